--- /dev/null
+++ b/runloft/agreement/__init__.py
@@ -0,0 +1,1 @@
+"""The control plane: one committed configuration over all sidecars."""
--- a/runloft/net/agreeing.py
+++ b/runloft/agreement/client.py
@@ -7,7 +7,7 @@
 import anyio
 import structlog
 
-from runloft.config.agreement.content import (
+from runloft.agreement.content import (
     Content,
     Difference,
     Effective,
@@ -16,7 +16,8 @@
     refusals,
     unreserved,
 )
-from runloft.config.agreement.member import (
+from runloft.agreement.local_snapshot import CopyError, CopyWriter, LocalCopy
+from runloft.agreement.member import (
     Adopt,
     Begin,
     Effect,
@@ -30,11 +31,10 @@
     Say,
     Settle,
 )
+from runloft.agreement.store import AgreementStore, StoreError
 from runloft.config.faults import ConfigError
 from runloft.config.settings import AgreementSettings, Config, config_from_json
 from runloft.core.model import SuspendedVolumes
-from runloft.sharing.agreement import AgreementStore, StoreError
-from runloft.sharing.copy import CopyError, CopyWriter, LocalCopy
 
 log = structlog.get_logger()
 
--- a/runloft/rolling.py
+++ b/runloft/agreement/commands.py
@@ -15,11 +15,11 @@
 
 import anyio
 
-from runloft.config.agreement.content import Content
-from runloft.config.agreement.fencing import over_ns
-from runloft.config.agreement.member import Begin, Settle
-from runloft.config.agreement.records import View
-from runloft.config.agreement.rollout import (
+from runloft.agreement.content import Content
+from runloft.agreement.fencing import over_ns
+from runloft.agreement.member import Begin, Settle
+from runloft.agreement.records import View
+from runloft.agreement.rollout import (
     DropStage,
     Effect,
     Phase,
@@ -28,10 +28,10 @@
     RollOut,
     Tell,
 )
+from runloft.agreement.store import AgreementStore, StoreError
 from runloft.config.commands import checked_fleet, misused, table, tell
 from runloft.config.faults import serious
 from runloft.config.settings import FENCE_LEASES, AgreementSettings, agreement_of
-from runloft.sharing.agreement import AgreementStore, StoreError
 
 HASTE = 10  # after a lost reply it looks so many times sooner
 ASKS = 10  # looks at the store in the time of a lease
@@ -92,7 +92,7 @@
 
 
 def _out(options: argparse.Namespace) -> int:
-    from runloft.config.agreement.planning import wanted, ways
+    from runloft.agreement.planning import wanted, ways
     from runloft.config.comparing import compared
     from runloft.config.operator import check_file
 
@@ -118,7 +118,7 @@
 
 
 def _back(options: argparse.Namespace) -> int:
-    from runloft.config.agreement.planning import ways
+    from runloft.agreement.planning import ways
 
     fleet, faults = checked_fleet(options.fleet, None)
     if fleet is None or (bad := [f for f in serious(faults) if f.code != "reserve-not-borne"]):
--- a/runloft/config/agreement/fencing.py
+++ b/runloft/agreement/fencing.py
@@ -7,8 +7,8 @@
 
 - its record says that it serves by what is in force: it is one generation back then, as whoever misses a
   change is; or
-- it has been seen to ask nothing for the fence and ``DRIFT``: its last question was asked before its
-  record was first read, so that it holds no lease at all, and need not be known any more; or
+- it has been seen to ask nothing for the fence and its drift allowance: its last question was asked before
+  its record was first read, so that it holds no lease at all, and need not be known any more; or
 - what is in force has been seen to be for as long: a lease by anything before it was asked for before.
 
 Both measure by their own steady clocks; the store's clock may step as it likes.  A store that has lost
@@ -16,12 +16,12 @@
 lease is renewed and nothing is rolled out: who held a lease of the store as it was is fenced by then.
 """
 
-DRIFT = 16  # a part of the fence: what two steady clocks may go apart in its time
+from runloft.config.settings import FENCE_DRIFT_DIVISOR
 
 
 def over_ns(fence_ns: int) -> int:
     """Give how long whoever waits for a fence has to wait until it is over for certain."""
-    return fence_ns + fence_ns // DRIFT
+    return fence_ns + fence_ns // FENCE_DRIFT_DIVISOR
 
 
 class Stillness:
--- a/runloft/sharing/copy.py
+++ b/runloft/agreement/local_snapshot.py
@@ -16,7 +16,7 @@
 
 import structlog
 
-from runloft.config.agreement.records import Force, RecordError, force_from
+from runloft.agreement.records import Force, RecordError, force_from
 
 log = structlog.get_logger()
 FORMAT = b"runloft-copy-2\n"
--- a/runloft/config/agreement/member.py
+++ b/runloft/agreement/member.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from runloft.config.agreement.content import Content, completed
-from runloft.config.agreement.fencing import Stillness, over_ns
-from runloft.config.agreement.records import Force, Lease, Stage, Verdict, View, rank_of
+from runloft.agreement.content import Content, completed
+from runloft.agreement.fencing import Stillness, over_ns
+from runloft.agreement.records import Force, Lease, Stage, Verdict, View, rank_of
 
 BEATS = 4  # exchanges in the time of a lease
 HASTE = 4  # after a failed exchange the next one comes this many times sooner, after each further one half so
--- a/runloft/config/agreement/planning.py
+++ b/runloft/agreement/planning.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from runloft.config.agreement.content import Content, between, content_of, joined
-from runloft.config.agreement.rollout import CanNotError
+from runloft.agreement.content import Content, between, content_of, joined
+from runloft.agreement.rollout import CanNotError
 from runloft.config.faults import Fault, serious
 from runloft.config.fleet import Fleet, Volume
 from runloft.config.honouring import honourable
--- a/runloft/config/agreement/records.py
+++ b/runloft/agreement/records.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from runloft.config.agreement.content import Content, ContentError, content_from
+from runloft.agreement.content import Content, ContentError, content_from
 
 FORMAT = 1
 LEASE_FORMAT = 2  # 1 had no fence and ran out by the store's clock: whoever writes it can't be left out
--- a/runloft/config/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from runloft.config.agreement.content import Content
-from runloft.config.agreement.fencing import Stillness, over_ns
-from runloft.config.agreement.member import Begin, Settle
-from runloft.config.agreement.records import Force, Lease, Mark, Rank, Stage, View, rank_of
+from runloft.agreement.content import Content
+from runloft.agreement.fencing import Stillness, over_ns
+from runloft.agreement.member import Begin, Settle
+from runloft.agreement.records import Force, Lease, Mark, Rank, Stage, View, rank_of
 
 PATIENCE = 4  # leases: for answers, and for all to have changed
 
--- a/runloft/sharing/agreement.py
+++ b/runloft/agreement/store.py
@@ -21,8 +21,8 @@
 from redis.backoff import NoBackoff
 from redis.exceptions import RedisError, WatchError
 
-from runloft.config.agreement.member import Begin, Exchange, Extend, Found, Restore, Settle
-from runloft.config.agreement.records import (
+from runloft.agreement.member import Begin, Exchange, Extend, Found, Restore, Settle
+from runloft.agreement.records import (
     Force,
     Lease,
     RecordError,
@@ -33,7 +33,7 @@
     stage_from,
     verdict_from,
 )
-from runloft.config.agreement.rollout import DropStage, PutForce, PutStage
+from runloft.agreement.rollout import DropStage, PutForce, PutStage
 
 log = structlog.get_logger()
 STAGE_LEASES = 2  # a stage runs out after so many leases, unless it is renewed
--- a/runloft/cli.py
+++ b/runloft/cli.py
@@ -16,7 +16,7 @@
 from runloft.config.faults import ConfigError
 from runloft.config.settings import Config, UnreadableConfigError, load_config
 from runloft.core.trace import trace
-from runloft.net.runner import serve
+from runloft.service.runner import serve
 
 READ_TRIES, READ_AGAIN_S = 40, 0.05  # of a configuration that can't be read for a moment
 
@@ -79,11 +79,11 @@
 
             return commands_of_config.run(options)
         # Loaded here: ``serve`` on the platform needs no client of a store.
-        from runloft import rolling
+        from runloft.agreement import commands as commands_of_rollouts
 
         # What is told on the way goes beside what is printed, which may be JSON.
         structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))
-        return rolling.run(options)
+        return commands_of_rollouts.run(options)
     if options.command == "lab":
         return _lab(options)
     level = logging.DEBUG if options.verbose else logging.INFO
--- a/runloft/config/commands.py
+++ b/runloft/config/commands.py
@@ -42,7 +42,7 @@
 
 
 def add_rolling_parsers(actions: Any) -> None:
-    """Describe the actions that talk with the store; ``runloft.rolling`` carries them out."""
+    """Describe the actions that talk with the store; ``runloft.agreement.commands`` carries them out."""
     roll = actions.add_parser("roll", help="bring a configuration into force over all sidecars")
     ways = roll.add_subparsers(dest="way", required=True)
     out = ways.add_parser("out", help="roll out a directory of operators' files")
--- a/runloft/config/operator.py
+++ b/runloft/config/operator.py
@@ -10,7 +10,6 @@
 import attrs
 
 from runloft.config import kinds
-from runloft.config.agreement.fencing import DRIFT
 from runloft.config.faults import Fault, Severity, nearest
 from runloft.config.kinds import (
     Address,
@@ -27,6 +26,7 @@
 from runloft.config.records import Check, Named, Reader, Record, Rows, Table, raw_of, setting
 from runloft.config.settings import (
     EFFECTS,
+    FENCE_DRIFT_DIVISOR,
     FENCE_LEASES,
     GROUPS,
     MEMORY_MB,
@@ -40,7 +40,7 @@
 STORE = Text(form=re.compile(r"redis://[^\s/]+:\d{1,5}(/\d+)?"), says="redis://host:port/0")
 AFTER_FENCE = Text(form=re.compile("unreserved|hold"), says='"unreserved" or "hold"')
 # How the program parts its descriptors and how long it lets clients rest; the fronts and links go by their
-# own figures, which tests/test_configs.py holds against these.
+# own figures, which tests/config/test_configs.py holds against these.
 CLIENT_PART, CROWD_PART = 1 / 2, 1 / 3  # for clients at most; beyond this some are closed to make room
 IDLE_MS, CROWD_MS = 15_000.0, 2_000.0  # a client's rest, and beyond half of the crowd
 NODE_PARTS = {False: (2,), True: (4, 8)}  # with the object API off and on: each link's part of the rest
@@ -51,7 +51,7 @@
 CHANGE_MS = 10_000.0  # a change is to be in force everywhere within so long
 # What a change waits for where somebody is silent (docs/design/agreement.md): until the fence is over for
 # certain; then a lease to its moment, and a look of the tool's.
-FENCE_OVER, BEHIND_FENCE = 1 + 1 / DRIFT, 1 + 1 / 10
+FENCE_OVER, BEHIND_FENCE = 1 + 1 / FENCE_DRIFT_DIVISOR, 1 + 1 / 10
 EXCHANGES = 4  # an exchange with the store may take the lease by this
 # Figures beside classes and plans that shares, refusals or rules go by: the same at each sidecar.
 SHARED = {
--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -65,6 +65,7 @@
 
 
 FENCE_LEASES = 1.5  # a fence, unless it is set
+FENCE_DRIFT_DIVISOR = 16  # two steady clocks may drift apart by this part of a fence in its time
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -182,9 +182,7 @@
         COUNTERS.requests_started += 1
         self.ids.add(name)
         use[0], use[1] = use[0] + 1, use[1] + size
-        request = PendingRequest(
-            next(self._request_ids), asker, ask, now + ask.time_left_ns, now
-        )
+        request = PendingRequest(next(self._request_ids), asker, ask, now + ask.time_left_ns, now)
         self.requests[request.id] = self.by_asker[asker] = request
         if self.observer is not None:
             self.observer.taken(request.id, now, ask.volume, ask.klass, ask.plan, ask.units)
--- /dev/null
+++ b/runloft/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The watch of discovery's list of storage nodes."""
--- a/runloft/lab/reporting.py
+++ b/runloft/lab/reporting.py
@@ -59,4 +59,3 @@
     figure.tight_layout()
     figure.savefig(path)
     pyplot.close(figure)
-
--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -14,13 +14,13 @@
 
 import anyio
 
-from runloft.config.agreement.content import Content
+from runloft.agreement.client import Agreeing
+from runloft.agreement.commands import roll_out
+from runloft.agreement.content import Content
+from runloft.agreement.store import AgreementStore
 from runloft.config.commands import table
 from runloft.config.settings import AgreementSettings, Config, config_from_json
 from runloft.lab.redis import RedisStandIn
-from runloft.net.agreeing import Agreeing
-from runloft.rolling import roll_out
-from runloft.sharing.agreement import AgreementStore
 
 MOST_S = 60.0
 
--- a/runloft/lab/running.py
+++ b/runloft/lab/running.py
@@ -20,8 +20,10 @@
 import anyio.abc
 import tomli_w
 
-from runloft.config.agreement.planning import wanted, ways
-from runloft.config.agreement.records import View
+from runloft.agreement.commands import roll_out
+from runloft.agreement.planning import wanted, ways
+from runloft.agreement.records import View
+from runloft.agreement.store import AgreementStore, StoreError
 from runloft.config.generating import Generator
 from runloft.config.records import Reader, raw_of
 from runloft.lab.discovery import LabDiscovery
@@ -29,8 +31,6 @@
 from runloft.lab.node import LabNode, NodeKind
 from runloft.lab.redis import RedisStandIn
 from runloft.lab.scenario import ArmRecord, EditRecord, EventRecord, Scenario
-from runloft.rolling import roll_out
-from runloft.sharing.agreement import AgreementStore, StoreError
 
 START_S, STOP_S = 20.0, 10.0
 SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespFront")
@@ -233,4 +233,3 @@
     if not report["done"]:
         raise RuntimeError(f"the roll-out stopped: {report['why']}")
     return float(report["seconds"])
-
--- a/runloft/lab/scale/datapath.py
+++ b/runloft/lab/scale/datapath.py
@@ -35,15 +35,15 @@
 
 from runloft import __version__
 from runloft.config.settings import address
-from runloft.fronts.accepting import CLIENT_PART, CROWD_PART
-from runloft.fronts.resp import IDLE_NS
 from runloft.lab.discovery import LabDiscovery
 from runloft.lab.load import GRACE_S
 from runloft.lab.node import LabNode, NodeKind
 from runloft.lab.redis import RedisStandIn
 from runloft.lab.scale.records import Event, Point, Result, Sizes, result_from
+from runloft.listeners.accepting import CLIENT_PART, CROWD_PART
+from runloft.listeners.resp import IDLE_NS
 from runloft.net import resp2
-from runloft.net.links import OTHERS
+from runloft.upstream.links import OTHERS
 
 Progress = Callable[[str], None]
 # Not taken from the scenarios' module: what a stand-in loads, it loads before each measurement.
--- a/runloft/lab/scale/hollow.py
+++ b/runloft/lab/scale/hollow.py
@@ -13,16 +13,16 @@
 import anyio
 import anyio.abc
 
+from runloft.agreement.client import Agreeing
 from runloft.config.settings import OPERATIONS, Config, config_from_json
 from runloft.core.model import NodeListUpdate
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import NodeState
+from runloft.discovery.watch import Watch
 from runloft.lab.scale.child import Role
-from runloft.net.agreeing import Agreeing
-from runloft.net.discovery import Watch
-from runloft.net.reload import Reload
-from runloft.net.runner import Clock, Runner
+from runloft.service.reload import Reload
+from runloft.service.runner import Clock, Runner
 
 LOOK_S = 0.1  # between looks at what a scheduler goes by, beside what it tells by itself
 BATCH = 25  # are begun before those that run are let on
--- a/runloft/lab/scale/tool.py
+++ b/runloft/lab/scale/tool.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from runloft.config.agreement.content import Content, content_of
+from runloft.agreement.commands import roll_out
+from runloft.agreement.content import Content, content_of
+from runloft.agreement.store import AgreementStore
 from runloft.lab.scale.child import Role
-from runloft.rolling import roll_out
-from runloft.sharing.agreement import AgreementStore
 
 
 def changed(number: int, own: Content) -> Callable[[Content | None], Sequence[Content]]:
--- a/runloft/fronts/objects.py
+++ b/runloft/listeners/objects.py
@@ -27,11 +27,11 @@
 from runloft.core.model import Event, Failed, Left, Refused, Rejected, Reply, RequestSpec, Served, Taken
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import Ending
-from runloft.fronts.accepting import FRESH_NS, AcceptingFront
-from runloft.net.http_link import HttpPayload, Stream
+from runloft.listeners.accepting import FRESH_NS, AcceptingFront
 from runloft.net.sockets import Budget, close, half_closed, nothing_to_read
 from runloft.net.timing import Clock, pause, within
 from runloft.sharing.places import Place, SharedStore, StoreDownError
+from runloft.upstream.http_link import HttpPayload, Stream
 
 log = structlog.get_logger()
 HEAD_LIMIT = 16 << 10
--- a/runloft/fronts/resp.py
+++ b/runloft/listeners/resp.py
@@ -20,8 +20,8 @@
 from runloft.core.model import Left, Refused, Rejected, Reply, Served, Taken
 from runloft.core.timers import TimerHandle
 from runloft.core.trace import trace
-from runloft.fronts.accepting import FRESH_NS, AcceptingFront
-from runloft.fronts.grammar import BadCommandError, Translator
+from runloft.listeners.accepting import FRESH_NS, AcceptingFront
+from runloft.listeners.grammar import BadCommandError, Translator
 from runloft.net import resp2
 from runloft.net.sockets import ArrivalTimes, Inbox, Outbox, close, data_age_ns, half_closed, nothing_to_read
 from runloft.net.timing import pause
--- a/runloft/net/admin.py
+++ b/runloft/service/admin.py
@@ -13,7 +13,7 @@
 from runloft.core.reducer import Core
 
 if TYPE_CHECKING:  # it brings the store's client along, which metrics need not
-    from runloft.net.agreeing import Standing
+    from runloft.agreement.client import Standing
 
 log = structlog.get_logger()
 MOST_SHOWN = 20  # volumes with accounts among the metrics
--- a/runloft/net/reload.py
+++ b/runloft/service/reload.py
@@ -13,7 +13,7 @@
 from runloft.core.model import Event, Reconfigured
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.decisions.contract import ListKind
-from runloft.net.discovery import Watch, listed
+from runloft.discovery.watch import Watch, listed
 
 log = structlog.get_logger()
 READ_TRIES, READ_AGAIN_NS = 30, 100_000_000  # of a file that can't be read: what it says counts 4 s later
--- a/runloft/net/runner.py
+++ b/runloft/service/runner.py
@@ -27,15 +27,15 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import ListKind
-from runloft.fronts.resp import RespFront
-from runloft.net.discovery import Watch, listed
-from runloft.net.links import NodeLink, RespConnection
-from runloft.net.reload import Configured, Reload
+from runloft.discovery.watch import Watch, listed
+from runloft.listeners.resp import RespFront
 from runloft.net.sockets import close, listening_when_possible
 from runloft.net.timing import pause
+from runloft.service.reload import Configured, Reload
+from runloft.upstream.links import NodeLink, RespConnection
 
 if TYPE_CHECKING:
-    from runloft.net.agreeing import Agreeing
+    from runloft.agreement.client import Agreeing
 
 log = structlog.get_logger()
 POLL_S = 0.02  # while winding down
@@ -168,7 +168,7 @@
     agreeing = None
     if config.agreement:
         # Loaded here, like the object front: only where an operator's file sets it up.
-        from runloft.net.agreeing import Agreeing
+        from runloft.agreement.client import Agreeing
 
         agreeing = Agreeing(config.agreement, config, clock)
         config = agreeing.start()
@@ -215,14 +215,12 @@
         store = None
         if config.objects:
             # Loaded here: the platform, where it is off, needs neither its memory nor its start-up time.
-            from runloft.fronts.objects import ObjectFront
-            from runloft.net.http_link import HttpConnection
+            from runloft.listeners.objects import ObjectFront
             from runloft.sharing.places import SharedStore
+            from runloft.upstream.http_link import HttpConnection
 
             store = SharedStore(config.objects.store)
-            fronts.append(
-                ObjectFront(group, runner.post, deadlines, clock, config, config.objects, store)
-            )
+            fronts.append(ObjectFront(group, runner.post, deadlines, clock, config, config.objects, store))
             listeners.append(await listening_when_possible(config.objects.listen))
             runner.links["http"] = NodeLink(
                 group,
@@ -261,7 +259,7 @@
             group.start_soon(agreeing.run)
         closes: list[Callable[[], None]] = []
         if config.admin:
-            from runloft.net.admin import admin_listener
+            from runloft.service.admin import admin_listener
 
             closes.append(admin_listener(config.admin, core, agreeing.standing if agreeing else None))
         group.start_soon(_heed, received, reload, stopped)
--- /dev/null
+++ b/runloft/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions on the simulator's pipe."""
--- /dev/null
+++ b/runloft/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to storage nodes: the pool, and a connection for each protocol."""
--- a/runloft/net/http_link.py
+++ b/runloft/upstream/http_link.py
@@ -11,7 +11,7 @@
 from runloft.core.model import Began, Dispatch, Ended, Held
 from runloft.core.timers import TimerHandle
 from runloft.decisions.contract import Ending
-from runloft.net.links import Connection
+from runloft.upstream.links import Connection
 
 READ_AHEAD = 256 << 10  # bytes of an answer held for a client that reads slowly
 STALL_NS = 30_000_000_000  # an answer that does not move for so long is over
@@ -151,9 +151,7 @@
     def _move(self) -> None:
         link = self.link
         link.deadlines.discard(self.stall)
-        self.stall = link.deadlines.add(
-            link.clock() + STALL_NS, partial(self.end, NodeCloseReason.STALLED)
-        )
+        self.stall = link.deadlines.add(link.clock() + STALL_NS, partial(self.end, NodeCloseReason.STALLED))
 
     def _head(self, head: h11.Response) -> None:
         assert self.order is not None
--- a/runloft/net/links.py
+++ b/runloft/upstream/links.py
@@ -411,7 +411,6 @@
         inbox.shrink()
         self.finished(ended, clean)
 
-
     async def _reserve(self, size: int) -> None:
         """Guard memory against many long replies at once: the rest of this one waits in its socket."""
         await self.link.replies.take(size)
--- a/tests/test_accounts.py
+++ b/tests/accounts/test_accounts.py
@@ -11,9 +11,9 @@
 from runloft.accounts.parts import Account, Part
 from runloft.core.model import Began, Ended, Held, Left, NodeListUpdate, NodeUpdate, Written
 from runloft.decisions.contract import Ending, Fail, Forget, ListKind, NodeState, Refuse, Send
-from tests.driver import MS
-from tests.driver import settings as driver_settings
-from tests.test_core import Turns
+from tests.core.test_core import Turns
+from tests.support.driver import MS
+from tests.support.driver import settings as driver_settings
 
 # A clock that may stand still or, wherever news crosses, be told late: never less than before.
 STEPS = st.lists(st.tuples(st.integers(-5, 1000), st.sampled_from(list(Part))), max_size=30)
--- a/tests/test_local_copy.py
+++ b/tests/agreement/test_local_copy.py
@@ -6,10 +6,17 @@
 
 import pytest
 
-from runloft.config.agreement.content import Content
-from runloft.config.agreement.records import Force
-from runloft.sharing import copy as copies
-from runloft.sharing.copy import BootTime, Copy, CopyError, CopyWriter, LocalCopy, UnreadableCopyError
+from runloft.agreement import local_snapshot as copies
+from runloft.agreement.content import Content
+from runloft.agreement.local_snapshot import (
+    BootTime,
+    Copy,
+    CopyError,
+    CopyWriter,
+    LocalCopy,
+    UnreadableCopyError,
+)
+from runloft.agreement.records import Force
 
 ONE = Content({}, {"p": {"Parts": 1.0}}, {}, {})
 
--- a/tests/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -26,8 +26,8 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import Effect, Ending, Group, ListKind, NodeState
-from runloft.fronts.grammar import Translator
-from tests.driver import MS, SECOND
+from runloft.listeners.grammar import Translator
+from tests.support.driver import MS, SECOND
 
 DOUBTFUL = (Ending.ERROR, Ending.RESET, Ending.TIMEOUT)
 TIMES = st.sampled_from([5, 20, 60, 150, 400, 1300, 5000, 30_000, 240_000])  # ms
--- a/tests/test_core.py
+++ b/tests/core/test_core.py
@@ -37,8 +37,8 @@
     Send,
     Timer,
 )
-from runloft.net.runner import Clock, Runner
-from tests.driver import MS, SECOND, Host, gone, klass, settings
+from runloft.service.runner import Clock, Runner
+from tests.support.driver import MS, SECOND, Host, gone, klass, settings
 
 NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
 
--- a/tests/test_guard.py
+++ b/tests/core/test_guard.py
@@ -14,7 +14,7 @@
 from runloft.core.model import Bounds, NodeUpdate, RequestSpec
 from runloft.core.records import Attempt, PendingRequest
 from runloft.decisions.contract import Effect, NodeState
-from tests.driver import MS, SECOND, klass, settings
+from tests.support.driver import MS, SECOND, klass, settings
 
 NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
 EFFECTS = st.sampled_from(Effect)
--- a/tests/test_start_times.py
+++ b/tests/core/test_start_times.py
@@ -10,8 +10,8 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import ListKind
-from runloft.net.runner import Clock
-from tests.driver import MS, SECOND, klass, settings
+from runloft.service.runner import Clock
+from tests.support.driver import MS, SECOND, klass, settings
 
 HOUR = 3600 * SECOND
 COLD = 18 * SECOND
--- a/tests/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -3,8 +3,8 @@
 import pytest
 
 from runloft.decisions.contract import Effect, Ending, Group, NodeEntry, NodeState
-from tests.driver import MS, NODE, SECOND, Host, klass, settings
-from tests.fleet import CONNECT, Fleet, fleet_settings
+from tests.support.driver import MS, NODE, SECOND, Host, klass, settings
+from tests.support.fleet import CONNECT, Fleet, fleet_settings
 
 
 @pytest.mark.parametrize("load", [15.0, 27.0])
--- a/tests/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -19,7 +19,7 @@
     StreamStarted,
     Subscribe,
 )
-from tests.driver import MS, SECOND, Host, gone, klass, settings
+from tests.support.driver import MS, SECOND, Host, gone, klass, settings
 
 # 1. No request is lost.
 
--- a/tests/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -12,8 +12,8 @@
 import pytest
 
 from runloft.core.timers import TimerQueue
-from runloft.net.discovery import Messages, Watch
-from tests.standins import Discovery, Program, RespNode, config, entry, reset, until
+from runloft.discovery.watch import Messages, Watch
+from tests.support.standins import Discovery, Program, RespNode, config, entry, reset, until
 
 OK = b"$2\r\nok\r\n"
 DELTA = {"rev": 3, "all": False, "targets": [entry("127.0.0.1:1", uid='odd "{[ name')]}
--- a/tests/test_scale_datapath.py
+++ b/tests/lab/test_scale_datapath.py
@@ -14,7 +14,7 @@
 from runloft.lab.scale import datapath
 from runloft.lab.scale.datapath import ChildError, Limits, SizeError, check, crew, points, resting
 from runloft.lab.scale.records import Sizes
-from tests.standins import Listener, words_of
+from tests.support.standins import Listener, words_of
 
 SMALL = Sizes(schedulers=2, nodes=3, clients=6, statements=40.0)
 ALWAYS = {
--- a/tests/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -20,7 +20,7 @@
 from runloft.lab.soak.running import SoakRun
 from runloft.lab.soak.schedule import SYSTEM_KINDS, ScheduleError, TroubleKind, checked_kinds, draw, read
 from runloft.lab.soak.shim import ERRORS, Fault, Faults
-from tests.standins import until
+from tests.support.standins import until
 
 ID = "00000000000000aa"
 
--- a/tests/test_exchanges.py
+++ b/tests/listeners/test_exchanges.py
@@ -15,8 +15,8 @@
 import pytest
 
 from runloft.net.resp2 import command
-from tests.lab import Redis
-from tests.standins import Discovery, Program, config, entry, words_of
+from tests.support.lab import Redis
+from tests.support.standins import Discovery, Program, config, entry, words_of
 
 FILES = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
 
--- a/tests/test_grammar.py
+++ b/tests/listeners/test_grammar.py
@@ -6,9 +6,9 @@
 import pytest
 
 from runloft.config.settings import config_from_json
-from runloft.fronts.grammar import TRAVEL_NS, BadCommandError, Translator
-from tests.driver import MS
-from tests.standins import Discovery, Program, config, until
+from runloft.listeners.grammar import TRAVEL_NS, BadCommandError, Translator
+from tests.support.driver import MS
+from tests.support.standins import Discovery, Program, config, until
 
 ID = b"9b1f03aa5c7e2d41"
 GOOD = b"c=position-read,t=basic,d=480,volume=00000003b4d60021,units=2,shard=5,hosts=3"
--- a/tests/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -14,11 +14,11 @@
 from runloft.core.guard import CloseReason
 from runloft.core.model import Left, Served, Taken
 from runloft.core.timers import TimerQueue
-from runloft.fronts.resp import IDLE_NS, LINGER_NS, PIPELINED, RespFront
+from runloft.listeners.resp import IDLE_NS, LINGER_NS, PIPELINED, RespFront
 from runloft.net.sockets import connecting
-from tests.driver import MS, SECOND
-from tests.standins import Discovery, Program, RespNode, config, entry, reset, until
-from tests.test_discovery import read_command
+from tests.discovery.test_discovery import read_command
+from tests.support.driver import MS, SECOND
+from tests.support.standins import Discovery, Program, RespNode, config, entry, reset, until
 
 QUIT, BAD = b"*1\r\n$4\r\nQUIT\r\n", b"*1\r\n$3\r\nBAD\r\n"
 BUSY = b"-BUSY\r\n"
@@ -318,7 +318,7 @@
 HOOKED = """
 import os, signal, sys
 from runloft import cli
-from runloft.net import runner
+from runloft.service import runner
 def hooked(call, stop):
     def inner(*args, **more):
         if stop is None or args[:1] == (stop,):
--- a/tests/test_objects.py
+++ b/tests/listeners/test_objects.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.lab import Redis
-from tests.standins import Discovery, ObjectServer, Program, RespNode, config, entry, settings, until
+from tests.support.lab import Redis
+from tests.support.standins import Discovery, ObjectServer, Program, RespNode, config, entry, settings, until
 
 ITEM = "/volumes/tracks/objects/2026/run.csv"
 
--- a/tests/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -8,11 +8,11 @@
 from runloft.config.settings import config_from_json
 from runloft.core.model import Served, Taken
 from runloft.core.timers import TimerQueue
-from runloft.fronts.objects import FREE_ERRORS, LINGER_S, ObjectFront
-from runloft.net.http_link import Stream
+from runloft.listeners.objects import FREE_ERRORS, LINGER_S, ObjectFront
 from runloft.sharing.places import Place
-from tests.driver import MS, SECOND
-from tests.standins import config
+from runloft.upstream.http_link import Stream
+from tests.support.driver import MS, SECOND
+from tests.support.standins import config
 
 ASK = b"GET /volumes/tracks/objects/k HTTP/1.1\r\nHost: x\r\n\r\n"
 SIZE = 60_000  # more than its client takes before it reads, less than the system takes from the front
--- a/tests/test_told_wait.py
+++ b/tests/listeners/test_told_wait.py
@@ -7,10 +7,10 @@
 import pytest
 
 from runloft.core.model import Served, Taken
-from runloft.fronts.resp import PIPELINED
-from tests.driver import MS
-from tests.test_discovery import read_command
-from tests.test_leaving import BAD, play
+from runloft.listeners.resp import PIPELINED
+from tests.discovery.test_discovery import read_command
+from tests.listeners.test_leaving import BAD, play
+from tests.support.driver import MS
 
 WAITED_MS = 1000
 SLOWED_MS = 240  # in which nothing is read of a client that errs
--- a/tests/test_momentary_failures.py
+++ b/tests/service/test_momentary_failures.py
@@ -14,8 +14,8 @@
 from runloft.core.model import Reconfigured
 from runloft.core.timers import TimerQueue
 from runloft.net import sockets
-from runloft.net.reload import READ_AGAIN_NS, READ_TRIES, Reload
-from tests.standins import config, entry
+from runloft.service.reload import READ_AGAIN_NS, READ_TRIES, Reload
+from tests.support.standins import config, entry
 
 MOMENTARY = [errno.EIO, errno.ENFILE, errno.EMFILE, errno.EINTR]
 
--- a/tests/test_reload.py
+++ b/tests/service/test_reload.py
@@ -14,12 +14,12 @@
 from runloft.core.model import Dispatch, Ended, NodeUpdate, Reconfigured, Refused
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import Ending, ListKind, NewSettings, PlanSettings, Send
-from runloft.net.discovery import Watch
-from runloft.net.links import NodeLink
-from runloft.net.reload import Reload, changeable
-from tests.driver import MS, SECOND, Host, settings
-from tests.standins import Discovery, Program, RespNode, config, entry, until
-from tests.test_core import Turns
+from runloft.discovery.watch import Watch
+from runloft.service.reload import Reload, changeable
+from runloft.upstream.links import NodeLink
+from tests.core.test_core import Turns
+from tests.support.driver import MS, SECOND, Host, settings
+from tests.support.standins import Discovery, Program, RespNode, config, entry, until
 
 READ = b"c=position-read,t=basic,d=2000,volume=00000003b4d60021,units=2,shard=0,hosts=1"
 
--- a/tests/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -11,9 +11,9 @@
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
 from runloft.decisions.contract import Effect, Ending, Fail, ListKind, Refuse
-from runloft.net.runner import FINISH_NS, Runner, wind_down
-from tests.driver import MS, SECOND, Host, klass, settings
-from tests.test_core import Turns
+from runloft.service.runner import FINISH_NS, Runner, wind_down
+from tests.core.test_core import Turns
+from tests.support.driver import MS, SECOND, Host, klass, settings
 
 KILL_NS = 700 * MS  # PROTOCOL: SIGKILL comes so long after the longest deadline, counted as 3 s at most
 
--- a/tests/test_shared_store.py
+++ b/tests/sharing/test_shared_store.py
@@ -4,7 +4,7 @@
 import pytest
 
 from runloft.sharing.places import Place, SharedStore, StoreDownError
-from tests.lab import Redis
+from tests.support.lab import Redis
 
 
 def run(check):
--- a/tests/fleet.py
+++ b/tests/support/fleet.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from runloft.decisions.contract import Ending, NodeEntry, NodeState, PlanSettings
-from tests.driver import MS, SECOND, Host, klass, settings
+from tests.support.driver import MS, SECOND, Host, klass, settings
 
 STEP = 5 * MS
 FALL_NS, COLD_NS, COLD_FROM, MULTIPLE = 2 * SECOND, 18 * SECOND, 0.23, 2.0
--- a/tests/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -21,12 +21,12 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import Ending, ListKind, NodeState
-from runloft.net import links
-from runloft.net.links import NodeLink, RespConnection, RespPayload
-from runloft.net.runner import Runner
 from runloft.net.sockets import close, connect, connecting
-from tests.driver import MS, SECOND
-from tests.standins import config, reset, settings
+from runloft.service.runner import Runner
+from runloft.upstream import links
+from runloft.upstream.links import NodeLink, RespConnection, RespPayload
+from tests.support.driver import MS, SECOND
+from tests.support.standins import config, reset, settings
 
 ID = b"9b1f03aa5c7e2d41"
 BUSY = b"-BUSY\r\n"
