--- a/runloft/accounts/ledger.py
+++ b/runloft/accounts/ledger.py
@@ -103,11 +103,11 @@
 
     def configured(self, settings: Settings) -> None:
         """Go by these classes' aims; classes keep their numbers, more may come."""
-        self.aims_ns = tuple(klass.aim_ns for klass in settings.classes)
+        self.aims_ns = tuple(request_class.aim_ns for request_class in settings.classes)
 
-    def taken(self, id_: int, now: int, volume: int, klass: int, plan: int, units: float) -> None:
+    def taken(self, id_: int, now: int, volume: int, request_class: int, plan: int, units: float) -> None:
         """Note that a request was taken."""
-        self.open[id_] = Account(volume, klass, plan, units, now)
+        self.open[id_] = Account(volume, request_class, plan, units, now)
 
     def held(self, id_: int, now: int, node: int | None, why: str) -> None:
         """Note that it is held here, for this node where it is known for which."""
@@ -165,7 +165,7 @@
             return
         account.end(now)
         totals = self._totals(account.volume)
-        late = served and account.whole > self.aims_ns[account.klass]
+        late = served and account.whole > self.aims_ns[account.request_class]
         totals.add(account, served, late)
         self._settle(id_, account, account.since)
 
--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -203,11 +203,11 @@
         faults.append("settings.Classes: at least one class is wanted")
     if not settings.plans:
         faults.append("settings.ServiceLevels: at least one plan is wanted")
-    for index, klass in enumerate(settings.classes):
+    for index, request_class in enumerate(settings.classes):
         path = f"settings.Classes.{index}"
-        if klass.deadline_ns <= 0:
+        if request_class.deadline_ns <= 0:
             faults.append(f"{path}.HardLimit: a positive time is wanted")
-        if klass.aim_ns <= 0:
+        if request_class.aim_ns <= 0:
             faults.append(f"{path}.Target: a positive time is wanted")
         if pairs.get(f"Classes.{index}.Effect") not in (*EFFECTS, "fragile", None):
             faults.append(f"{path}.Effect: one of {', '.join(EFFECTS)}, fragile is wanted")
--- a/runloft/core/guard.py
+++ b/runloft/core/guard.py
@@ -109,11 +109,11 @@
     """Say why no further attempt may leave for a request of which one may have run."""
     if request.doubt_at is None:
         return None
-    klass = settings.classes[request.ask.klass]
-    if klass.effect is Effect.UNSAFE:
+    request_class = settings.classes[request.ask.request_class]
+    if request_class.effect is Effect.UNSAFE:
         return SendRefusal.MAY_HAVE_RUN
-    closes_at = request.doubt_at + klass.window_ns
-    if klass.effect is Effect.KEYED and now + settings.tick_ns >= closes_at:
+    closes_at = request.doubt_at + request_class.window_ns
+    if request_class.effect is Effect.KEYED and now + settings.tick_ns >= closes_at:
         return SendRefusal.REPEAT_WINDOW_CLOSED
     return None
 
--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -48,7 +48,7 @@
 class RequestSpec:
     """A request as its front read it."""
 
-    klass: int
+    request_class: int
     plan: int
     volume: int
     units: float
@@ -221,7 +221,7 @@
     def configured(self, settings: Settings) -> None:
         """Go by these classes from now on; what is open keeps its numbers."""
 
-    def taken(self, id_: int, now: int, volume: int, klass: int, plan: int, units: float) -> None:
+    def taken(self, id_: int, now: int, volume: int, request_class: int, plan: int, units: float) -> None:
         """Note that a request was taken."""
 
     def held(self, id_: int, now: int, node: int | None, why: str) -> None:
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -185,14 +185,14 @@
         request = PendingRequest(next(self._request_ids), asker, ask, now + ask.time_left_ns, now)
         self.requests[request.id] = self.by_asker[asker] = request
         if self.observer is not None:
-            self.observer.taken(request.id, now, ask.volume, ask.klass, ask.plan, ask.units)
+            self.observer.taken(request.id, now, ask.volume, ask.request_class, ask.plan, ask.units)
             self.observer.held(request.id, now, *self._why(ask.shard, now))
         if trace.enabled:
             trace("request", request=request.id, id=ask.id, time_left_ms=ask.time_left_ns // 1_000_000)
         told.append(
             contract.Request(
                 id=request.id,
-                klass=ask.klass,
+                request_class=ask.request_class,
                 plan=ask.plan,
                 volume=ask.volume,
                 units=ask.units,
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -126,7 +126,7 @@
     """A client's request arrived; exactly one final answer is owed."""
 
     id: int
-    klass: int
+    request_class: int
     plan: int
     volume: int
     units: float
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -308,15 +308,17 @@
 
     def _arrive(self, request: Request, now: int) -> None:
         self.taken.add(now, 1)
-        ticket = self.tickets[request.id] = Ticket(request, self.settings.classes[request.klass], now)
+        ticket = self.tickets[request.id] = Ticket(request, self.settings.classes[request.request_class], now)
         ticket.hold_until = now + int(HOLD_PART * request.time_left_ns)
         # Who brings less time than its class's first tries is a later try, and its aim runs from the first.
-        most = self.most_left[request.klass] = max(self.most_left.get(request.klass, 0), request.time_left_ns)
+        most = self.most_left[request.request_class] = max(
+            self.most_left.get(request.request_class, 0), request.time_left_ns
+        )
         if request.time_left_ns < most - RETRY_SLACK * self.aim:
-            ticket.aim_at -= ticket.klass.deadline_ns - request.time_left_ns
+            ticket.aim_at -= ticket.request_class.deadline_ns - request.time_left_ns
         if self.many:
             ticket.luck = self.random.uniform(1 - PRICE_JITTER, 1 + PRICE_JITTER)
-        if ticket.klass.in_order and request.key:
+        if ticket.request_class.in_order and request.key:
             self.lines.setdefault(request.key, []).append(ticket)
         # Guards the final answer: due at a set time, whatever happens to the request until then.
         self.actions.append(Timer(max(now, ticket.deadline - self.settings.tick_ns), ticket.id))
@@ -381,8 +383,10 @@
         if store.reserve < ticket.units:
             fair = store.excess < SHARE_PART * rate / max(store.plan.weight, 1.0)
             due = self.settings.share_worth if fair else self.settings.spare_worth
-        in_time = 1.0 if node.ready(ticket.units, rate, now) <= ticket.aim_at else ticket.klass.late_worth
-        return ticket.klass.worth * store.plan.price * due * in_time
+        in_time = (
+            1.0 if node.ready(ticket.units, rate, now) <= ticket.aim_at else ticket.request_class.late_worth
+        )
+        return ticket.request_class.worth * store.plan.price * due * in_time
 
     def _dispatch(self, held: list[Ticket], node: Node, now: int) -> None:
         """Send from one node's held requests, the worthiest first, until its bound is reached."""
@@ -395,7 +399,7 @@
         while held and node.has_room(rate, now):
             best, best_rank = None, (False, 0.0, 0)
             for ticket in held:
-                harmless = not suspect or ticket.klass.effect is not Effect.UNSAFE  # as a trial
+                harmless = not suspect or ticket.request_class.effect is not Effect.UNSAFE  # as a trial
                 rank = (harmless, self._worth(ticket, node, rate, now), -ticket.aim_at)
                 if (best is None or rank > best_rank) and self._may_send(ticket, node, rate, now):
                     best, best_rank = ticket, rank
@@ -448,15 +452,15 @@
 
     def _same_group(self, ticket: Ticket, node: Node) -> bool:
         """Whether a keyed request that may have run would be known there as a repeat."""
-        if ticket.doubt_node is None or ticket.klass.effect is Effect.SAFE:
+        if ticket.doubt_node is None or ticket.request_class.effect is Effect.SAFE:
             return True
-        first, group = self.nodes[ticket.doubt_node].entry, ticket.klass.group
+        first, group = self.nodes[ticket.doubt_node].entry, ticket.request_class.group
         same = first.zone == node.entry.zone if group is Group.ZONE else first.shard == node.entry.shard
         return same or group is Group.ALL
 
     def _in_turn(self, ticket: Ticket, now: int) -> bool:
         """Whether it has the turn and its key has rested from others' open ends."""
-        line = ticket.klass.in_order and self.lines.get(ticket.request.key)
+        line = ticket.request_class.in_order and self.lines.get(ticket.request.key)
         until, owner = self.rests.get(ticket.request.key, (0, ticket))
         return not line or (line[0] is ticket and (owner is ticket or now >= until))
 
@@ -482,10 +486,10 @@
         """Guards effects and budget: a further attempt goes out only as class, budget and cap allow."""
         if ticket.out or ticket.attempts >= self.settings.max_attempts or not self._in_budget(now):
             return False
-        if ticket.doubt_at is None or ticket.klass.effect is Effect.SAFE:
+        if ticket.doubt_at is None or ticket.request_class.effect is Effect.SAFE:
             return True
-        in_window = now + self.settings.tick_ns < ticket.doubt_at + ticket.klass.window_ns
-        keyed = ticket.klass.effect is Effect.KEYED and in_window
+        in_window = now + self.settings.tick_ns < ticket.doubt_at + ticket.request_class.window_ns
+        keyed = ticket.request_class.effect is Effect.KEYED and in_window
         return keyed and node is not None and self._same_group(ticket, node)
 
     def _cold_since(self, node: Node, now: int) -> int | None:
@@ -523,7 +527,9 @@
             self.extra.add(now, 1)
         else:
             self._volume(ticket, now).draw(ticket.units)
-        timeout = int(SILENT_AIMS * self.aim) if suspect and ticket.klass.effect is not Effect.UNSAFE else 0
+        timeout = (
+            int(SILENT_AIMS * self.aim) if suspect and ticket.request_class.effect is not Effect.UNSAFE else 0
+        )
         if ticket.refusable and self.many:
             # Guards crowded nodes: late work that left before the crowd was known makes all behind it late.
             timeout = max(ticket.aim_at - now, self.aim)
@@ -543,7 +549,7 @@
         self.nodes[sent_to].ended(now, key, ticket.units, outcome.ending, outcome.latency_ns, luck)
         if self.many and (outcome.ending is Ending.OK or outcome.latency_ns >= self.aim):
             price, mean = self.nodes[sent_to].price, self.mean_price.now(now)
-            price.learn(now, outcome.latency_ns * self.aim // ticket.klass.aim_ns, mean)
+            price.learn(now, outcome.latency_ns * self.aim // ticket.request_class.aim_ns, mean)
             self.mean_price.value, self.mean_price.at = mean + PRICE_SPREAD * (price.value - mean), now
         ticket.reached |= outcome.ending not in (Ending.CONNECT_FAILED, Ending.MOOT)
         may_have_run = outcome.ending not in NEVER_RAN and not outcome.never_began
--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -575,9 +575,9 @@
             target += f"?uploadId={upload}"
         methods = {"get": b"GET", "parts": b"GET", "head": b"HEAD", "put": b"PUT", "part": b"PUT"}
         method = methods.get(asked.name, b"POST" if asked.name in ("create", "complete") else b"DELETE")
-        klass = self.settings.classes[asked.name]
+        request_class = self.settings.classes[asked.name]
         settings = self.config.settings
-        deadline = settings.classes[klass].deadline_ns
+        deadline = settings.classes[request_class].deadline_ns
         wait = headers.get(b"x-expires-in-ms")
         if wait is not None:
             if not (wait.isdigit() and len(wait) < 10 and int(wait)):
@@ -585,7 +585,7 @@
             deadline = min(deadline, int(wait) * 1_000_000)
         units = min(max(1.0, settings.max_units), max(1.0, math.ceil(length / self.settings.unit_bytes)))
         return RequestSpec(
-            klass=klass,
+            request_class=request_class,
             plan=volume.plan,
             volume=volume.id,
             units=units,
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -301,7 +301,7 @@
     """
     core, deadlines, clock = runner.core, runner.deadlines, runner.clock
     log.info("stopping", open=len(core.requests))
-    longest = max((klass.deadline_ns for klass in core.settings.classes), default=LONGEST_NS)
+    longest = max((request_class.deadline_ns for request_class in core.settings.classes), default=LONGEST_NS)
     ends = clock() + min(longest, LONGEST_NS)
     await pause(deadlines, clock, GRACE_S)
     for front, listener in zip(fronts, listeners, strict=True):
--- a/runloft/simulator/adapter.py
+++ b/runloft/simulator/adapter.py
@@ -37,10 +37,10 @@
     """Translate one record; None for what the scheduler has no use for."""
     f = record.fields
     if record.code == wire.REQUEST:
-        id_, units, options, key, plan, klass, left, hosts, volume, shard = f
+        id_, units, options, key, plan, request_class, left, hosts, volume, shard = f
         return contract.Request(
             id=id_,
-            klass=klass,
+            request_class=request_class,
             plan=plan,
             volume=volume,
             units=units,
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -107,7 +107,7 @@
 
     def run(self):
         self.step(NodeListUpdate(ListKind.CACHED, tuple(self.nodes.values())))
-        span = max(klass.deadline_ns for klass in self.settings.classes)
+        span = max(request_class.deadline_ns for request_class in self.settings.classes)
         for _ in range(40):
             self.at(self.now + int(self.random.random() * min(span, 3 * SECOND)), self.ask)
         for _ in range(4):
@@ -127,8 +127,8 @@
         assert not self.open, "no final answer"
 
     def ask(self):
-        name, klass = self.random.choice(self.names)
-        facts = self.settings.classes[klass]
+        name, request_class = self.random.choice(self.names)
+        facts = self.settings.classes[request_class]
         time = max(30, facts.deadline_ns // MS)
         piece = self.random.randrange(3)  # 0: no key
         plan = self.random.choice(self.plans)  # each plan has a volume of its own
@@ -138,7 +138,7 @@
         asker = ResponseSink()
         ask = self.translator.ask(words)
         self.open[asker] = self.now + ask.time_left_ns
-        asker.ask, asker.klass = ask, facts
+        asker.ask, asker.request_class = ask, facts
         self.taken_at.append(self.now)
         if facts.in_order and ask.key:
             self.lines[ask.key].append(asker)
@@ -176,9 +176,9 @@
         assert self.now <= self.open.pop(asker) + self.settings.tick_ns
         assert not isinstance(reply, Rejected)
         asker.over = True
-        keyed = asker.klass.effect is Effect.KEYED and asker.klass.group is Group.ALL
+        keyed = asker.request_class.effect is Effect.KEYED and asker.request_class.group is Group.ALL
         if isinstance(reply, Refused):
-            harmless = asker.klass.effect is Effect.SAFE or keyed
+            harmless = asker.request_class.effect is Effect.SAFE or keyed
             assert harmless or (asker.doubt_at is None and not asker.out)
         assert isinstance(reply, Served | Failed | Refused)
 
@@ -194,23 +194,23 @@
 
     def dispatched(self, order):
         attempt = self.core.attempts[order.attempt]
-        asker, klass, conf = attempt.request.asker, attempt.request.asker.klass, self.settings
+        asker, request_class, conf = attempt.request.asker, attempt.request.asker.request_class, self.settings
         assert not asker.over and not asker.out and asker.sends < conf.max_attempts
         assert self.nodes[order.node.uid].state is NodeState.READY
         assert asker.ask.shard in (None, order.node.shard)
         assert 0 < order.wait_ns <= self.open[asker] - self.now
         if asker.doubt_at is not None:
-            assert klass.effect is not Effect.UNSAFE
-            if klass.effect is Effect.KEYED:
-                assert self.now < asker.doubt_at + klass.window_ns
+            assert request_class.effect is not Effect.UNSAFE
+            if request_class.effect is Effect.KEYED:
+                assert self.now < asker.doubt_at + request_class.window_ns
                 first = self.nodes[asker.first]
                 same = {Group.ALL: True, Group.ZONE: first.zone == order.node.zone}
-                assert same.get(klass.group, first.shard == order.node.shard)
-        if klass.in_order and asker.ask.key:
+                assert same.get(request_class.group, first.shard == order.node.shard)
+        if request_class.in_order and asker.ask.key:
             ahead = self.lines[asker.ask.key][: self.lines[asker.ask.key].index(asker)]
             assert all(other.over and not other.out for other in ahead)
             until, owner = self.rest.get(asker.ask.key, (0, asker))
-            if owner.klass.in_order and owner is not asker:
+            if owner.request_class.in_order and owner is not asker:
                 assert self.now >= until
         if asker.sends:
             self.extra_at.append(self.now)
@@ -231,7 +231,7 @@
         self.core.begin_attempt(order.attempt, order.wait_ns, self.now)
         endings = [Ending.OK, Ending.ERROR, Ending.FULL, Ending.CONNECT_FAILED, Ending.RESET, None]
         if (ending := self.random.choice(endings)) is not None:
-            delay = int(self.random.random() ** 3 * 2 * klass.aim_ns)
+            delay = int(self.random.random() ** 3 * 2 * request_class.aim_ns)
             self.at(self.now + delay, Ended(order.attempt, ending, b"v" if ending is Ending.OK else None))
 
 
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -38,7 +38,7 @@
     Timer,
 )
 from runloft.service.runner import Clock, Runner
-from tests.support.driver import MS, SECOND, Host, gone, klass, settings
+from tests.support.driver import MS, SECOND, Host, gone, request_class, settings
 
 NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
 
@@ -68,7 +68,7 @@
 
     def __init__(self, scripted=True, **more):
         self.now, self.deadlines = SECOND, TimerQueue()
-        self.core = Core(settings(klass(deadline=600), **more), 1, self.now, self.deadlines)
+        self.core = Core(settings(request_class(deadline=600), **more), 1, self.now, self.deadlines)
         self.script = Script()
         if scripted:
             self.core.scheduler = self.script
@@ -236,7 +236,7 @@
 
 
 def test_a_node_that_an_open_attempt_is_at_is_not_forgotten():
-    host = Host(settings(klass(deadline=300_000)))
+    host = Host(settings(request_class(deadline=300_000)))
     host.ask()
     for _ in range(3):
         host.wait(61_000)
@@ -247,7 +247,7 @@
 
 
 def test_what_could_not_connect_until_half_its_time_is_given_up_at_once():
-    host = Host(settings(klass(deadline=1000)))
+    host = Host(settings(request_class(deadline=1000)))
     id_ = host.ask()
     host.wait(480)
     assert any(isinstance(a, Refuse) for a in host.end(id_, Ending.CONNECT_FAILED))
--- a/tests/core/test_guard.py
+++ b/tests/core/test_guard.py
@@ -14,7 +14,7 @@
 from runloft.core.model import Bounds, NodeUpdate, RequestSpec
 from runloft.core.records import Attempt, PendingRequest
 from runloft.decisions.contract import Effect, NodeState
-from tests.support.driver import MS, SECOND, klass, settings
+from tests.support.driver import MS, SECOND, request_class, settings
 
 NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
 EFFECTS = st.sampled_from(Effect)
@@ -27,7 +27,7 @@
 
 
 def conf(effect=Effect.SAFE, **more):
-    return settings(klass(effect, deadline=1000, window_ns=500 * MS), **more)
+    return settings(request_class(effect, deadline=1000, window_ns=500 * MS), **more)
 
 
 @given(
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -19,7 +19,7 @@
     StreamStarted,
     Subscribe,
 )
-from tests.support.driver import MS, SECOND, Host, gone, klass, settings
+from tests.support.driver import MS, SECOND, Host, gone, request_class, settings
 
 # 1. No request is lost.
 
@@ -33,7 +33,7 @@
 
 
 def test_a_timeout_at_the_deadline_still_owes_an_answer_and_gets_one():
-    host = Host(settings(klass(Effect.UNSAFE)))
+    host = Host(settings(request_class(Effect.UNSAFE)))
     id_ = host.ask()
     host.now = 600 * MS
     host.end(id_, Ending.TIMEOUT)
@@ -42,7 +42,7 @@
 
 
 def test_an_answer_by_timer_comes_even_if_no_outcome_does():
-    host = Host(settings(klass(Effect.UNSAFE)))
+    host = Host(settings(request_class(Effect.UNSAFE)))
     id_ = host.ask()
     host.wait(1000)
     assert [t <= 600 * MS for t, _ in host.answers(id_)] == [True]
@@ -63,7 +63,7 @@
 
 
 def test_a_stream_that_began_has_no_deadline():
-    host = Host(settings(klass(streamed=True)))
+    host = Host(settings(request_class(streamed=True)))
     id_ = host.ask()
     host.see(StreamStarted(id_, 0, 10))
     host.wait(2000)
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("ending", [Ending.ERROR, Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED])
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_repeated(ending):
-    host = Host(settings(klass(Effect.UNSAFE)))
+    host = Host(settings(request_class(Effect.UNSAFE)))
     id_ = host.ask()
     host.end(id_, ending)
     host.wait(1000)
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("ending", [Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT])
 def test_an_unsafe_request_that_surely_never_ran_is_tried_again(ending):
-    host = Host(settings(klass(Effect.UNSAFE)))
+    host = Host(settings(request_class(Effect.UNSAFE)))
     id_ = host.ask()
     host.end(id_, ending)
     host.wait(100)
@@ -93,7 +93,7 @@
 
 
 def test_a_keyed_request_is_repeated_within_its_window_only():
-    host = Host(settings(klass(Effect.KEYED, deadline=3000, window_ns=200 * MS)))
+    host = Host(settings(request_class(Effect.KEYED, deadline=3000, window_ns=200 * MS)))
     id_ = host.ask()
     host.wait(50)
     host.end(id_, Ending.ERROR)
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize(("group", "count"), [(Group.SHARD, 1), (Group.ZONE, 1), (Group.ALL, 2)])
 def test_a_keyed_new_object_that_may_have_run_stays_in_its_group(group, count):
-    conf = settings(klass(Effect.KEYED, deadline=3000, window_ns=SECOND, group=group))
+    conf = settings(request_class(Effect.KEYED, deadline=3000, window_ns=SECOND, group=group))
     host = Host(conf, nodes=(NodeEntry(10, 0, zone=0), NodeEntry(11, 1, zone=1)))
     id_ = host.ask(shard=None)
     first = host.nodes[id_]
@@ -120,7 +120,7 @@
 
 def test_only_a_group_of_all_lets_a_keyed_request_be_refused_after_doubt():
     for group, kind in ((Group.ALL, Refuse), (Group.SHARD, Fail)):
-        host = Host(settings(klass(Effect.KEYED, window_ns=1, group=group)))
+        host = Host(settings(request_class(Effect.KEYED, window_ns=1, group=group)))
         id_ = host.ask()
         host.end(id_, Ending.ERROR)
         assert [type(a) for _, a in host.answers(id_)] == [kind]
@@ -271,7 +271,7 @@
 
 # 5. Order is kept where a class asks for it.
 
-ORDERED = klass(Effect.KEYED, deadline=3000, window_ns=SECOND, in_order=True)
+ORDERED = request_class(Effect.KEYED, deadline=3000, window_ns=SECOND, in_order=True)
 
 
 def test_requests_of_one_key_run_one_at_a_time_in_order():
@@ -336,7 +336,7 @@
 
 
 def test_a_host_sends_its_part_of_a_limit_and_starts_with_nothing():
-    host = Host(settings(klass(deadline=50), plan=LIMITED))
+    host = Host(settings(request_class(deadline=50), plan=LIMITED))
     assert flood(host, 1000, Ending.OK, volume_hosts=2.0) <= 40 / 2
     host.wait(60)
     host.end_all(Ending.OK)
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -13,7 +13,7 @@
 from runloft.decisions.contract import Effect, Ending, Fail, ListKind, Refuse
 from runloft.service.runner import FINISH_NS, Runner, wind_down
 from tests.core.test_core import Turns
-from tests.support.driver import MS, SECOND, Host, klass, settings
+from tests.support.driver import MS, SECOND, Host, request_class, settings
 
 KILL_NS = 700 * MS  # PROTOCOL: SIGKILL comes so long after the longest deadline, counted as 3 s at most
 
@@ -57,7 +57,7 @@
             self.front.scene.runner.deadlines.add(self.front.scene.now, self.front.close_if_idle)
 
 
-ASK = {"klass": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0, "key": 0, "volume_hosts": 1.0}
+ASK = {"request_class": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0, "key": 0, "volume_hosts": 1.0}
 ASK |= {"is_write": False, "is_client_retry": False, "id": b""}
 
 
@@ -66,7 +66,7 @@
 
     def __init__(self, deadline, every):
         self.now, deadlines = SECOND, TimerQueue()
-        self.core = Core(settings(klass(deadline=deadline)), 1, self.now, deadlines)
+        self.core = Core(settings(request_class(deadline=deadline)), 1, self.now, deadlines)
         self.runner = Runner(self.core, deadlines, lambda: self.now)
         self.runner.links["resp"] = SimpleNamespace(
             dispatch=lambda order: None, abandon=lambda n: None, listed=lambda n: None
@@ -141,7 +141,7 @@
     "effect, answer", [(Effect.SAFE, Refuse), (Effect.UNSAFE, Fail), (Effect.KEYED, Fail)]
 )
 def test_what_is_open_at_the_end_has_one_answer_that_fits_what_may_have_run(effect, answer):
-    host = Host(settings(klass(effect, aim=1000, deadline=9000)), at=SECOND)
+    host = Host(settings(request_class(effect, aim=1000, deadline=9000)), at=SECOND)
     sent = host.ask()
     held = host.ask(shard=7)  # no node has it
     done = host.ask()
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -28,7 +28,7 @@
 SECOND = 1000 * MS
 
 
-def klass(effect=Effect.SAFE, aim=100, deadline=600, **more) -> ClassSettings:
+def request_class(effect=Effect.SAFE, aim=100, deadline=600, **more) -> ClassSettings:
     return ClassSettings(aim_ns=aim * MS, deadline_ns=deadline * MS, effect=effect, **more)
 
 
@@ -36,7 +36,7 @@
     more.setdefault("max_attempts", 4)
     more.setdefault("max_retry_after_ns", SECOND)
     return Settings(
-        classes=classes or (klass(),),
+        classes=classes or (request_class(),),
         plans=(plan or PlanSettings(rate=10.0, reserve=1000.0),),
         tick_ns=2 * MS,
         **more,
@@ -85,9 +85,9 @@
     def ask(self, **more) -> int:
         """Let a request arrive; give its id."""
         id_, self.next_id = self.next_id, self.next_id + 1
-        index = more.get("klass", 0)
+        index = more.get("request_class", 0)
         left = more.pop("left", self.scheduler.settings.classes[index].deadline_ns // MS)
-        facts = {"klass": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0} | more
+        facts = {"request_class": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0} | more
         self.see(Request(id=id_, time_left_ns=int(left * MS), **facts))
         return id_
 
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from runloft.decisions.contract import Ending, NodeEntry, NodeState, PlanSettings
-from tests.support.driver import MS, SECOND, Host, klass, settings
+from tests.support.driver import MS, SECOND, Host, request_class, settings
 
 STEP = 5 * MS
 FALL_NS, COLD_NS, COLD_FROM, MULTIPLE = 2 * SECOND, 18 * SECOND, 0.23, 2.0
@@ -19,7 +19,7 @@
     facts = {"cold_units": 3.0, "mean_units": 2.0, "max_units": 6.0} | more
     facts = {"share_worth": 0.3, "spare_worth": 0.08} | facts
     made = settings(
-        klass(**{"aim": 1000, "deadline": 6000, "late_worth": 0.1} | dict(one_class)),
+        request_class(**{"aim": 1000, "deadline": 6000, "late_worth": 0.1} | dict(one_class)),
         hosts=hosts,
         host_number=number,
         cold_from=COLD_FROM,
