--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from runloft.decisions.contract import Ending, ListKind, NodeState, Settings
+from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState, Settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,14 +96,14 @@
     """
 
     retry_after_ns: int = 0
-    cause: Ending | None = None
+    cause: AttemptOutcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
     """Not served; ``cause`` is how the last attempt ended, if there was one."""
 
-    cause: Ending | None = None
+    cause: AttemptOutcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,11 +163,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptFinished:
     """An attempt is over and its connection carries nothing of it any more."""
 
     attempt: int
-    ending: Ending
+    outcome: AttemptOutcome
     value: object = None
     used_percent: int | None = None
     elsewhere_units: int = 0
@@ -211,7 +211,16 @@
 
 
 Event = (
-    Taken | Left | Began | Held | Ended | AttemptWithdrawn | Written | NodeListUpdate | Reconfigured | Closing
+    Taken
+    | Left
+    | Began
+    | Held
+    | AttemptFinished
+    | AttemptWithdrawn
+    | Written
+    | NodeListUpdate
+    | Reconfigured
+    | Closing
 )
 
 
@@ -236,7 +245,7 @@
     def reading(self, attempt: int, now: int) -> None:
         """Note that the node has served it, and from here on it waits for its own client."""
 
-    def returned(self, attempt: int, now: int, ending: Ending) -> None:
+    def returned(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
         """Note that the attempt is over."""
 
     def over(self, id_: int, now: int, served: bool) -> None:
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -19,6 +19,7 @@
     HELD_NS,
     AbortAttempt,
     Answer,
+    AttemptFinished,
     AttemptWithdrawn,
     Began,
     Begin,
@@ -26,7 +27,6 @@
     Closing,
     Dispatch,
     Effect,
-    Ended,
     Event,
     Failed,
     Held,
@@ -49,11 +49,14 @@
 from runloft.core.timers import TimerQueue
 from runloft.core.trace import trace
 from runloft.decisions import contract
-from runloft.decisions.contract import Ending, ListKind, NodeState, Settings
+from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState, Settings
 from runloft.decisions.policy import NEVER_RAN, Scheduler
 
 log = structlog.get_logger()
-UNANSWERED = (Ending.TIMEOUT, Ending.CANCELLED)  # endings that are ours: the node may have nothing of it
+UNANSWERED = (
+    AttemptOutcome.TIMEOUT,
+    AttemptOutcome.CANCELLED,
+)  # endings that are ours: the node may have nothing of it
 USED_NS = 2_000_000_000  # so long an id that is no longer open is still known
 
 
@@ -127,11 +130,18 @@
                 case AttemptWithdrawn(attempt) if attempt in self.attempts:
                     # Guards the node's record: that nothing was sent says nothing of it.
                     gone = self.attempts[attempt].request.over
-                    self._ended(Ended(attempt, Ending.CANCELLED if gone else Ending.MOOT), now, told, effects)
+                    self._ended(
+                        AttemptFinished(
+                            attempt, AttemptOutcome.CANCELLED if gone else AttemptOutcome.NOT_SENT
+                        ),
+                        now,
+                        told,
+                        effects,
+                    )
                 case Written(attempt):
                     if self.observer is not None:
                         self.observer.written(attempt, now)
-                case Ended():
+                case AttemptFinished():
                     self._ended(event, now, told, effects)
                 case NodeListUpdate():
                     told.append(self._listed(event, now))
@@ -149,7 +159,7 @@
                 case AttemptDue(attempt) if attempt in self.attempts:
                     # Closed before the module hears of it: no resend can pass a copy that is still out.
                     effects.append(AbortAttempt(attempt))
-                    self._ended(Ended(attempt, Ending.TIMEOUT), now, told, effects)
+                    self._ended(AttemptFinished(attempt, AttemptOutcome.TIMEOUT), now, told, effects)
                 case _ if callable(item):
                     item()
         if told:
@@ -236,9 +246,9 @@
             for attempt in list(request.out.values()):
                 effects.append(AbortAttempt(attempt))
                 if self.observer is not None:
-                    self.observer.returned(attempt, self.now, Ending.CANCELLED)
+                    self.observer.returned(attempt, self.now, AttemptOutcome.CANCELLED)
                 if not self.attempts[attempt].told:
-                    self._next_turn.append(self._outcome(self.attempts[attempt], Ending.CANCELLED, 0))
+                    self._next_turn.append(self._outcome(self.attempts[attempt], AttemptOutcome.CANCELLED, 0))
                 self._forget(self.attempts[attempt])
         told.append(contract.ClientGone(request.id))
         self._tidy(request)
@@ -265,47 +275,54 @@
         attempt.told = True
         if self.observer is not None:
             self.observer.reading(number, now)
-        outcome = self._outcome(attempt, Ending.OK, now - attempt.sent_at)
-        told.append(replace(outcome, complete=True))
+        result = self._outcome(attempt, AttemptOutcome.OK, now - attempt.sent_at)
+        told.append(replace(result, complete=True))
 
-    def _ended(self, event: Ended, now: int, told: list[contract.Event], effects: list[Effect]) -> None:
+    def _ended(
+        self, event: AttemptFinished, now: int, told: list[contract.Event], effects: list[Effect]
+    ) -> None:
         attempt = self.attempts.get(event.attempt)
         if attempt is None:
             return  # late news of what has ended
         request, news = attempt.request, attempt.news
-        request.last = event.ending
-        never_began = event.ending in UNANSWERED and not attempt.begun
-        if event.ending not in NEVER_RAN and not never_began and request.doubt_at is None:
+        request.last = event.outcome
+        never_started = event.outcome in UNANSWERED and not attempt.begun
+        if event.outcome not in NEVER_RAN and not never_started and request.doubt_at is None:
             request.doubt_at = attempt.sent_at
         if trace.enabled:
-            trace("attempt over", request=request.id, attempt=attempt.number, ending=event.ending.value)
+            trace("attempt over", request=request.id, attempt=attempt.number, outcome=event.outcome.value)
         if self.observer is not None:
-            self.observer.returned(event.attempt, now, event.ending)
-        if not request.over and event.ending is Ending.OK:
+            self.observer.returned(event.attempt, now, event.outcome)
+        if not request.over and event.outcome is AttemptOutcome.OK:
             self._over(request)
             if trace.enabled:
                 trace("request served", request=request.id, id=request.ask.id, node=news.uid)
             effects.append(Answer(request.asker, Served(event.value, news.uid, news.shard)))
         elif not request.over and request.streaming:  # the client has part of it: this is the end
             self._over(request)
-            effects.append(Answer(request.asker, Failed(event.ending)))
+            effects.append(Answer(request.asker, Failed(event.outcome)))
         if not attempt.told:
             told.append(
                 self._outcome(
-                    attempt, event.ending, now - attempt.sent_at, event.used_percent, event.elsewhere_units
+                    attempt, event.outcome, now - attempt.sent_at, event.used_percent, event.elsewhere_units
                 )
             )
         self._forget(attempt)
         self._tidy(request)
 
     def _outcome(
-        self, attempt: Attempt, ending: Ending, latency: int, used: int | None = None, elsewhere: int = 0
-    ) -> contract.Outcome:
+        self,
+        attempt: Attempt,
+        outcome: AttemptOutcome,
+        latency: int,
+        used: int | None = None,
+        elsewhere: int = 0,
+    ) -> contract.AttemptResult:
         request = attempt.request
         index = self._index(attempt)
-        never_began = ending in UNANSWERED and not attempt.begun
-        return contract.Outcome(
-            request.id, index, attempt.node, ending, request.over, latency, used, elsewhere, never_began
+        never_started = outcome in UNANSWERED and not attempt.begun
+        return contract.AttemptResult(
+            request.id, index, attempt.node, outcome, request.over, latency, used, elsewhere, never_started
         )
 
     def _index(self, attempt: Attempt) -> int:
@@ -321,7 +338,7 @@
         """Note that the client has its final answer or is gone; nothing is owed from here on."""
         request.over = True
         if self.observer is not None:
-            self.observer.over(request.id, self.now, request.last is Ending.OK)
+            self.observer.over(request.id, self.now, request.last is AttemptOutcome.OK)
         del self.by_asker[request.asker]
 
     def _tidy(self, request: PendingRequest) -> None:
@@ -382,8 +399,10 @@
                     attempt = self.attempts[number]
                     effects.append(AbortAttempt(number))
                     if self.observer is not None:
-                        self.observer.returned(number, now, Ending.CANCELLED)
-                    self._next_turn.append(self._outcome(attempt, Ending.CANCELLED, now - attempt.sent_at))
+                        self.observer.returned(number, now, AttemptOutcome.CANCELLED)
+                    self._next_turn.append(
+                        self._outcome(attempt, AttemptOutcome.CANCELLED, now - attempt.sent_at)
+                    )
                     self._forget(attempt)
                     self._tidy(request)
             case contract.Timer(at_ns, token):
@@ -410,21 +429,23 @@
         for attempt in attempts:
             effects.append(AbortAttempt(attempt.number))
             if self.observer is not None:
-                self.observer.returned(attempt.number, now, Ending.CANCELLED)
-            self._next_turn.append(self._outcome(attempt, Ending.CANCELLED, now - attempt.sent_at))
+                self.observer.returned(attempt.number, now, AttemptOutcome.CANCELLED)
+            self._next_turn.append(self._outcome(attempt, AttemptOutcome.CANCELLED, now - attempt.sent_at))
             self._forget(attempt)
         return True
 
     def _send(self, id_: int, node: int, timeout_ns: int, now: int, effects: list[Effect]) -> None:
         request, news = self.requests.get(id_), self.nodes.get(node)
         if request is None or news is None:
-            self._next_turn.append(contract.Outcome(id_, 0, node, Ending.MOOT, True))
+            self._next_turn.append(contract.AttemptResult(id_, 0, node, AttemptOutcome.NOT_SENT, True))
             return
         refusal = guard.permit_send(request, news, self.settings, now)
         index, request.sends = request.sends, request.sends + 1
         if refusal is not None:
             COUNTERS.add(Counted.NOT_SENT, refusal)
-            self._next_turn.append(contract.Outcome(id_, index, node, Ending.MOOT, request.over))
+            self._next_turn.append(
+                contract.AttemptResult(id_, index, node, AttemptOutcome.NOT_SENT, request.over)
+            )
             return
         if index:
             COUNTERS.add(Counted.RETRIED, request.last.value if request.last else "unknown")
@@ -440,12 +461,12 @@
             trace("attempt", request=request.id, id=request.ask.id, attempt=attempt.number, node=news.uid)
         effects.append(Dispatch(attempt.number, news, request.ask.payload, wait))
 
-    def _cause(self, id_: int, now: int) -> Ending | None:
+    def _cause(self, id_: int, now: int) -> AttemptOutcome | None:
         request = self.requests.get(id_)
         if request is None:
             return None
         expired = now + 2 * self.settings.tick_ns >= request.deadline
-        return Ending.TIMEOUT if expired and request.sends else request.last
+        return AttemptOutcome.TIMEOUT if expired and request.sends else request.last
 
     def _final(self, id_: int, reply: Refused | Failed, effects: list[Effect]) -> None:
         request = self.requests.get(id_)
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -24,7 +24,7 @@
     SHARD = "shard"
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """How an attempt or a probe ended."""
 
     OK = "ok"
@@ -34,7 +34,7 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
 class NodeState(Enum):
@@ -139,18 +139,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptResult:
     """An attempt ended.  ``complete``: the request has its final answer."""
 
     id: int
     attempt: int
     node: int
-    ending: Ending
+    outcome: AttemptOutcome
     complete: bool
     latency_ns: int = 0
     used_percent: int | None = None
     elsewhere_units: int = 0
-    never_began: bool = False  # given up before its first byte left, so that it can't have run
+    never_started: bool = False  # given up before its first byte left, so that it can't have run
     report: tuple[float, ...] = ()
 
 
@@ -195,7 +195,7 @@
     """A probe ended."""
 
     node: int
-    ending: Ending
+    outcome: AttemptOutcome
     latency_ns: int = 0
     report: tuple[float, ...] = ()
 
@@ -221,7 +221,7 @@
 
 Event = (
     Request
-    | Outcome
+    | AttemptResult
     | StreamStarted
     | ClientGone
     | NodeList
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -10,10 +10,32 @@
 from dataclasses import replace
 
 from runloft.decisions.contract import (
-    Action, Cancel, ClientGone, Closing, Effect, Ending, Event, Fail, Forget, Group, ListKind, NewSettings,
-    NodeEntry, NodeList, NodeState, Outcome, PlanSettings, Refuse, Request, Send, Settings, StreamStarted,
-    Subscribe, Timer, TimerFired,
-)  # fmt: skip
+    Action,
+    Cancel,
+    ClientGone,
+    Closing,
+    Effect,
+    AttemptOutcome,
+    Event,
+    Fail,
+    Forget,
+    Group,
+    ListKind,
+    NewSettings,
+    NodeEntry,
+    NodeList,
+    NodeState,
+    AttemptResult,
+    PlanSettings,
+    Refuse,
+    Request,
+    Send,
+    Settings,
+    StreamStarted,
+    Subscribe,
+    Timer,
+    TimerFired,
+)
 from runloft.decisions.state import SlidingSum, Ticket
 
 SECOND = 1_000_000_000
@@ -41,9 +63,9 @@
 MOST_VOLUMES = 4096  # volumes remembered; beyond it the one that was quiet longest is forgotten
 RETRY_SLACK = 0.25  # tightest aims by which tries' waits differ anyway
 WAKE_PART = 0.1  # while anything is held, look again after this part of the tightest aim
-NEVER_RAN = (Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT)
-FAILURES = (Ending.ERROR, Ending.FULL, Ending.CONNECT_FAILED)
-UNSETTLED = (Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED)
+NEVER_RAN = (AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
+FAILURES = (AttemptOutcome.ERROR, AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED)
+UNSETTLED = (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
 FAILED_ALPHA, FAILED_PART = 0.3, 0.25  # weight of the newest answer; part of errors from which a node fails
 FAILED_FOR = 5 * SECOND  # after its last error a node is no longer taken for failing
 SHUT_LEAST, SHUT_MOST = 0.02, 0.5  # tightest aims in which nothing leaves for a node that turned one away
@@ -167,19 +189,19 @@
         self.saved -= units
 
     def ended(
-        self, now: int, key: tuple[int, int], units: float, ending: Ending, took: int, luck: float
+        self, now: int, key: tuple[int, int], units: float, outcome: AttemptOutcome, took: int, luck: float
     ) -> None:
         """Note an attempt's end; only successes count as finished work, so quick errors raise no rate."""
         # Guards requests' three attempts, and the node: what is full, drains or is gone stays so for a while.
-        if ending in NEVER_RAN and now >= self.shut_until:
+        if outcome in NEVER_RAN and now >= self.shut_until:
             self.shut = min(max(2 * self.shut, SHUT_LEAST), SHUT_MOST)
             self.shut_until = now + int(self.shut * luck * self.aim)
         sent_at = self.release(key)
         # Guards new objects where lists are late: what drains turns all away, what is gone can't be reached.
-        if ending in FAILURES or ending is Ending.OK:
-            self.failed += FAILED_ALPHA * ((ending in FAILURES) - self.failed)
-            self.failed_at = now if ending in FAILURES else self.failed_at
-        if ending is Ending.OK:
+        if outcome in FAILURES or outcome is AttemptOutcome.OK:
+            self.failed += FAILED_ALPHA * ((outcome in FAILURES) - self.failed)
+            self.failed_at = now if outcome in FAILURES else self.failed_at
+        if outcome is AttemptOutcome.OK:
             self.served_up_to = max(self.served_up_to, sent_at)
             self.rate.finish(units, sent_at or now, now)
             self.served.add(now, units)
@@ -189,9 +211,9 @@
             self.quiet_since, self.unanswered = now if self.out else None, len(self.out)
             self.latency += LATENCY_ALPHA * (took - self.latency)
             self.down_since = self.shut = 0
-        elif ending is Ending.TIMEOUT and took < SILENT_AIMS * self.aim:
+        elif outcome is AttemptOutcome.TIMEOUT and took < SILENT_AIMS * self.aim:
             self.unanswered -= 1  # its client had little time: no silence yet
-        elif ending is Ending.CONNECT_FAILED:
+        elif outcome is AttemptOutcome.CONNECT_FAILED:
             # Guards nodes in use: connections break off here and there, but a process that starts was down.
             self.down_since = self.down_since or now
             self.refused_at = now if now >= self.down_since + DOWN else self.refused_at
@@ -272,7 +294,7 @@
             match event:
                 case Request():
                     self._arrive(event, now)
-                case Outcome():
+                case AttemptResult():
                     self._outcome(event, now)
                 case TimerFired():
                     self._timer(event.token, now)
@@ -464,12 +486,12 @@
         until, owner = self.rests.get(ticket.request.key, (0, ticket))
         return not line or (line[0] is ticket and (owner is ticket or now >= until))
 
-    def _turn_ended(self, ticket: Ticket, ending: Ending | None, now: int) -> None:
+    def _turn_ended(self, ticket: Ticket, outcome: AttemptOutcome | None, now: int) -> None:
         """After an attempt's end or a final answer: start the rest, leave the line when all is over."""
         key, line = ticket.request.key, self.lines.get(ticket.request.key, [])
         if ticket not in line:
             return
-        if ending in UNSETTLED:
+        if outcome in UNSETTLED:
             self.rests[key] = (now + self.settings.settle_ns, ticket)
         if ticket.done and not ticket.out:
             line.remove(ticket)
@@ -538,30 +560,30 @@
         ticket.attempts, ticket.sent_at = ticket.attempts + 1, now
         self.actions.append(Send(ticket.id, node.entry.node, timeout))
 
-    def _outcome(self, outcome: Outcome, now: int) -> None:
-        ticket = self.tickets.get(outcome.id)
-        sent_to = ticket.out.pop(outcome.attempt, None) if ticket else None
+    def _outcome(self, result: AttemptResult, now: int) -> None:
+        ticket = self.tickets.get(result.id)
+        sent_to = ticket.out.pop(result.attempt, None) if ticket else None
         if ticket is None or sent_to is None:
             return  # late or repeated news of what has ended
-        key = (outcome.id, outcome.attempt)
+        key = (result.id, result.attempt)
         self.touched[self.nodes[sent_to].entry.shard] = True
         luck = self.random.uniform(0.5, 1.5) if self.many else 0.0  # few hosts are no storm
-        self.nodes[sent_to].ended(now, key, ticket.units, outcome.ending, outcome.latency_ns, luck)
-        if self.many and (outcome.ending is Ending.OK or outcome.latency_ns >= self.aim):
+        self.nodes[sent_to].ended(now, key, ticket.units, result.outcome, result.latency_ns, luck)
+        if self.many and (result.outcome is AttemptOutcome.OK or result.latency_ns >= self.aim):
             price, mean = self.nodes[sent_to].price, self.mean_price.now(now)
-            price.learn(now, outcome.latency_ns * self.aim // ticket.request_class.aim_ns, mean)
+            price.learn(now, result.latency_ns * self.aim // ticket.request_class.aim_ns, mean)
             self.mean_price.value, self.mean_price.at = mean + PRICE_SPREAD * (price.value - mean), now
-        ticket.reached |= outcome.ending not in (Ending.CONNECT_FAILED, Ending.MOOT)
-        may_have_run = outcome.ending not in NEVER_RAN and not outcome.never_began
+        ticket.reached |= result.outcome not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
+        may_have_run = result.outcome not in NEVER_RAN and not result.never_started
         if may_have_run and ticket.doubt_at is None:
             ticket.doubt_at, ticket.doubt_node = ticket.sent_at, sent_to
-        self._turn_ended(ticket, outcome.ending if may_have_run else Ending.MOOT, now)
-        if ticket.done or outcome.complete:
+        self._turn_ended(ticket, result.outcome if may_have_run else AttemptOutcome.NOT_SENT, now)
+        if ticket.done or result.complete:
             self._finish(ticket, now)
             return
         self._hold(ticket, now)
         node = self.shards.get(ticket.shard)
-        late = outcome.ending is Ending.TIMEOUT and self.many and ticket.refusable
+        late = result.outcome is AttemptOutcome.TIMEOUT and self.many and ticket.refusable
         late = late or (not ticket.reached and now >= ticket.hold_until)  # its timer came while connecting
         if now + self.settings.tick_ns >= ticket.deadline or late or not self._may_repeat(ticket, node, now):
             self._give_up(ticket, now)
--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -26,7 +26,7 @@
 from runloft.core.invariants import INVARIANTS
 from runloft.core.model import Event, Failed, Left, Refused, Rejected, Reply, RequestSpec, Served, Taken
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Ending
+from runloft.decisions.contract import AttemptOutcome
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
 from runloft.net.sockets import Budget, close, half_closed, nothing_to_read
 from runloft.net.timing import Clock, pause, within
@@ -168,9 +168,9 @@
         wait, cause = reply.retry_after_ns, reply.cause
     else:
         wait, cause = 0, reply.cause if isinstance(reply, Failed) else None
-    if cause is Ending.TIMEOUT:
+    if cause is AttemptOutcome.TIMEOUT:
         return Problem(504, "GatewayTimeout", "no storage node answered in time", wait)
-    if cause in (Ending.ERROR, Ending.RESET, Ending.CONNECT_FAILED):
+    if cause in (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED):
         return Problem(502, "BadGateway", "the storage node failed", wait)
     if isinstance(reply, Refused):
         return Problem(503, "SlowDown", "come again later", wait or 1)
@@ -408,7 +408,7 @@
             while await stream.next() is not None:
                 pass
             if stream.broken:
-                raise problem_of(exchange.reply or Failed(Ending.RESET))
+                raise problem_of(exchange.reply or Failed(AttemptOutcome.RESET))
         try:
             await self.front.note(asked, stream, exchange.shard, upload, size)
         except StoreDownError as error:
--- a/runloft/simulator/adapter.py
+++ b/runloft/simulator/adapter.py
@@ -14,14 +14,14 @@
 from runloft.simulator import wire as wire
 
 ENDINGS = {
-    200: contract.Ending.OK,
-    500: contract.Ending.ERROR,
-    503: contract.Ending.FULL,
-    504: contract.Ending.TIMEOUT,
-    502: contract.Ending.CONNECT_FAILED,
-    598: contract.Ending.RESET,
-    499: contract.Ending.CANCELLED,
-    410: contract.Ending.MOOT,
+    200: contract.AttemptOutcome.OK,
+    500: contract.AttemptOutcome.ERROR,
+    503: contract.AttemptOutcome.FULL,
+    504: contract.AttemptOutcome.TIMEOUT,
+    502: contract.AttemptOutcome.CONNECT_FAILED,
+    598: contract.AttemptOutcome.RESET,
+    499: contract.AttemptOutcome.CANCELLED,
+    410: contract.AttemptOutcome.NOT_SENT,
 }
 LIST_KINDS = (
     contract.ListKind.DELTA,
@@ -52,12 +52,12 @@
             is_client_retry=bool(options & IS_RETRY),
         )
     if record.code == wire.OUTCOME:
-        id_, attempt, node, ending, latency, complete, used, elsewhere, count, *load = f
-        return contract.Outcome(
+        id_, attempt, node, outcome, latency, complete, used, elsewhere, count, *load = f
+        return contract.AttemptResult(
             id=id_,
             attempt=attempt,
             node=node,
-            ending=ENDINGS.get(ending, contract.Ending.ERROR),
+            outcome=ENDINGS.get(outcome, contract.AttemptOutcome.ERROR),
             complete=bool(complete),
             latency_ns=latency,
             used_percent=used - 1 if used else None,
@@ -71,8 +71,8 @@
     if record.code == wire.TIMER:
         return contract.TimerFired(token=f[0])
     if record.code == wire.PROBED:
-        node, ending, latency, count, *load = f
-        verdict = ENDINGS.get(ending, contract.Ending.ERROR)
+        node, outcome, latency, count, *load = f
+        verdict = ENDINGS.get(outcome, contract.AttemptOutcome.ERROR)
         return contract.ProbeResult(node, verdict, latency, tuple(load[:count]))
     if record.code == wire.MEMBERS:
         if f[1] >= len(LIST_KINDS):
--- a/tests/accounts/test_accounts.py
+++ b/tests/accounts/test_accounts.py
@@ -9,8 +9,8 @@
 from runloft.accounts.ledger import MOST_NAMED, OTHERS, Largest, Ledger, VolumeTotals
 from runloft.accounts.node import NodeLog
 from runloft.accounts.parts import Account, Part
-from runloft.core.model import Began, Ended, Held, Left, NodeListUpdate, NodeUpdate, Written
-from runloft.decisions.contract import Ending, Fail, Forget, ListKind, NodeState, Refuse, Send
+from runloft.core.model import AttemptFinished, Began, Held, Left, NodeListUpdate, NodeUpdate, Written
+from runloft.decisions.contract import AttemptOutcome, Fail, Forget, ListKind, NodeState, Refuse, Send
 from tests.core.test_core import Turns
 from tests.support.driver import MS
 from tests.support.driver import settings as driver_settings
@@ -153,7 +153,7 @@
     turns.step(after=45)  # given up
     turns.step(NUDGE, after=10, plan=[Send(1, 1)])
     turns.step(Written(2), after=2)
-    turns.step(Ended(2, Ending.OK, b"v"), after=40)
+    turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=40)
     assert parts(ledger) == {"HELD_BOUND": 30, "CONNECTING": 7, "OUT": 85, "BETWEEN": 10}
     totals = ledger.totals[1]
     assert (totals.requests, totals.served, totals.late, totals.whole_ns) == (1, 1, 1, 132 * MS)
@@ -167,7 +167,7 @@
     turns.take([Send(2, 1)], volume=7)
     turns.take([Send(3, 1)], volume=1)
     for attempt in (1, 2, 3):
-        turns.step(Ended(attempt, Ending.OK, b"v"), after=20)
+        turns.step(AttemptFinished(attempt, AttemptOutcome.OK, b"v"), after=20)
     assert ledger.totals[1].waited_for.amounts == {7: 40 * MS, 1: 20 * MS}
     assert ledger.totals[7].waited_for.amounts == {7: 60 * MS}
 
@@ -194,7 +194,7 @@
     turns.step(Written(1))
     turns.step(Began(1, "head"), after=10)
     turns.step(Held(1))
-    turns.step(Ended(1, Ending.OK, "stream"), after=500)
+    turns.step(AttemptFinished(1, AttemptOutcome.OK, "stream"), after=500)
     assert parts(ledger) == {"OUT": 10, "READER": 500}
     assert ledger.totals[1].waited_for.amounts == {1: 10 * MS}
 
@@ -204,8 +204,8 @@
     asker, _ = turns.take([Send(1, 1)], volume=7)
     turns.step(Left(asker), after=5)
     turns.take([Send(2, 1)], volume=1)
-    turns.step(Ended(1, Ending.OK, b"v"), after=20)
-    turns.step(Ended(2, Ending.OK, b"v"), after=10)
+    turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=20)
+    turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=10)
     assert ledger.totals[1].waited_for.amounts == {7: 20 * MS, 1: 10 * MS}
     assert ledger.totals[7].whole_ns == 5 * MS and not ledger._attempts
 
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -12,8 +12,8 @@
 from runloft.core.model import (
     AbortAttempt,
     Answer,
+    AttemptFinished,
     Dispatch,
-    Ended,
     Failed,
     Left,
     NodeListUpdate,
@@ -25,11 +25,11 @@
 )  # fmt: skip
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Effect, Ending, Group, ListKind, NodeState
+from runloft.decisions.contract import AttemptOutcome, Effect, Group, ListKind, NodeState
 from runloft.listeners.grammar import Translator
 from tests.support.driver import MS, SECOND
 
-DOUBTFUL = (Ending.ERROR, Ending.RESET, Ending.TIMEOUT)
+DOUBTFUL = (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)
 TIMES = st.sampled_from([5, 20, 60, 150, 400, 1300, 5000, 30_000, 240_000])  # ms
 LETTER = st.characters(codec="utf-8", exclude_categories=("C", "Z"), exclude_characters=",")
 NAME = st.text(LETTER, min_size=1)
@@ -162,13 +162,13 @@
 
     def step(self, *events):
         for event in events:
-            if isinstance(event, Ended):
-                self.ended(event.attempt, event.ending)
+            if isinstance(event, AttemptFinished):
+                self.ended(event.attempt, event.outcome)
         for effect in self.core.step(self.now, events):
             if isinstance(effect, Dispatch):
                 self.dispatched(effect)
             elif isinstance(effect, AbortAttempt):
-                self.ended(effect.attempt, Ending.TIMEOUT)
+                self.ended(effect.attempt, AttemptOutcome.TIMEOUT)
             elif isinstance(effect, Answer):
                 self.answered(effect.asker, effect.reply)
 
@@ -182,14 +182,14 @@
             assert harmless or (asker.doubt_at is None and not asker.out)
         assert isinstance(reply, Served | Failed | Refused)
 
-    def ended(self, number, ending):
+    def ended(self, number, outcome):
         if number not in self.attempts:
             return
         asker, at = self.attempts.pop(number)
         asker.out.discard(number)
-        if ending in DOUBTFUL and asker.doubt_at is None:
+        if outcome in DOUBTFUL and asker.doubt_at is None:
             asker.doubt_at = at
-        if ending in (Ending.TIMEOUT, Ending.RESET):
+        if outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET):
             self.rest[asker.ask.key] = (self.now + self.settings.settle_ns, asker)
 
     def dispatched(self, order):
@@ -229,10 +229,20 @@
         asker.out.add(order.attempt)
         self.attempts[order.attempt] = (asker, self.now)
         self.core.begin_attempt(order.attempt, order.wait_ns, self.now)
-        endings = [Ending.OK, Ending.ERROR, Ending.FULL, Ending.CONNECT_FAILED, Ending.RESET, None]
-        if (ending := self.random.choice(endings)) is not None:
+        outcomes = [
+            AttemptOutcome.OK,
+            AttemptOutcome.ERROR,
+            AttemptOutcome.FULL,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.RESET,
+            None,
+        ]
+        if (outcome := self.random.choice(outcomes)) is not None:
             delay = int(self.random.random() ** 3 * 2 * request_class.aim_ns)
-            self.at(self.now + delay, Ended(order.attempt, ending, b"v" if ending is Ending.OK else None))
+            self.at(
+                self.now + delay,
+                AttemptFinished(order.attempt, outcome, b"v" if outcome is AttemptOutcome.OK else None),
+            )
 
 
 class ResponseSink:
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -8,10 +8,10 @@
 from runloft.core.model import (
     AbortAttempt,
     Answer,
+    AttemptFinished,
     Began,
     Begin,
     Dispatch,
-    Ended,
     Failed,
     Held,
     Left,
@@ -26,13 +26,13 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import (
+    AttemptOutcome,
+    AttemptResult,
     Cancel,
-    Ending,
     Fail,
     Forget,
     ListKind,
     NodeState,
-    Outcome,
     Refuse,
     Send,
     Timer,
@@ -60,7 +60,7 @@
         return self.plans.pop(0) if self.plans else []
 
     def outcomes(self):
-        return [(e.id, e.attempt, e.ending, e.complete) for e in self.told if isinstance(e, Outcome)]
+        return [(e.id, e.attempt, e.outcome, e.complete) for e in self.told if isinstance(e, AttemptResult)]
 
 
 class Turns:
@@ -96,9 +96,11 @@
     turns = Turns()
     asker, (sent,) = turns.take([Send(1, 1)])
     assert isinstance(sent, Dispatch) and sent.wait_ns == 600 * MS
-    assert turns.step(Ended(1, Ending.OK, b"v"), after=5) == [Answer(asker, Served(b"v", "s-1", 0))]
-    assert turns.step(Ended(1, Ending.RESET), Left(asker), plan=[Refuse(1)]) == []
-    assert turns.script.outcomes() == [(1, 0, Ending.OK, True)]
+    assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=5) == [
+        Answer(asker, Served(b"v", "s-1", 0))
+    ]
+    assert turns.step(AttemptFinished(1, AttemptOutcome.RESET), Left(asker), plan=[Refuse(1)]) == []
+    assert turns.script.outcomes() == [(1, 0, AttemptOutcome.OK, True)]
     assert not turns.core.requests and not turns.core.attempts
 
 
@@ -107,8 +109,8 @@
     turns.take([Send(1, 1, 100 * MS)])
     effects = turns.step(after=100, plan=[Send(1, 1)])
     assert [type(e) for e in effects] == [AbortAttempt, Dispatch] and effects[0].attempt == 1
-    turns.step(Ended(1, Ending.OK, b"late"))
-    assert turns.script.outcomes() == [(1, 0, Ending.TIMEOUT, False)]
+    turns.step(AttemptFinished(1, AttemptOutcome.OK, b"late"))
+    assert turns.script.outcomes() == [(1, 0, AttemptOutcome.TIMEOUT, False)]
 
 
 @pytest.mark.parametrize("twice", [Send(1, 1), Send(1, 9), Send(1, 2)])
@@ -119,7 +121,7 @@
     assert len(effects) == 1
     assert turns.core.next_at(turns.now) == turns.now
     turns.step()
-    assert [o[2] for o in turns.script.outcomes()] == [Ending.MOOT]
+    assert [o[2] for o in turns.script.outcomes()] == [AttemptOutcome.NOT_SENT]
 
 
 @pytest.mark.parametrize("finish", [Refuse(1, 7), Fail(1)])
@@ -128,16 +130,16 @@
     asker, effects = turns.take([Send(1, 1), finish, Refuse(1), Fail(1), Send(1, 1)])
     reply = Refused(7) if isinstance(finish, Refuse) else Failed()
     assert effects[1:] == [Answer(asker, reply)]
-    assert turns.step(Ended(1, Ending.OK, b"v"), after=1) == []
-    assert sorted(o[2].name for o in turns.script.outcomes()) == ["MOOT", "OK"]
+    assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=1) == []
+    assert sorted(o[2].name for o in turns.script.outcomes()) == ["NOT_SENT", "OK"]
 
 
 def test_a_cancel_closes_and_is_reported_once():
     turns = Turns()
     asker, _ = turns.take([Send(1, 1)])
     assert turns.step(Left(asker), plan=[Cancel(1, 0)]) == [AbortAttempt(1)]
-    turns.step(Ended(1, Ending.RESET))
-    assert turns.script.outcomes() == [(1, 0, Ending.CANCELLED, True)]
+    turns.step(AttemptFinished(1, AttemptOutcome.RESET))
+    assert turns.script.outcomes() == [(1, 0, AttemptOutcome.CANCELLED, True)]
 
 
 def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it_as_failed():
@@ -145,7 +147,9 @@
     asker, _ = turns.take([Send(1, 1)])
     assert turns.step(Began(1, "head"), after=10) == [Begin(asker, "head", "s-1", 0)]
     assert turns.step(after=5000) == []
-    assert turns.step(Ended(1, Ending.RESET)) == [Answer(asker, Failed(Ending.RESET))]
+    assert turns.step(AttemptFinished(1, AttemptOutcome.RESET)) == [
+        Answer(asker, Failed(AttemptOutcome.RESET))
+    ]
 
 
 def test_a_client_that_reads_slowly_does_not_make_its_node_look_slow():
@@ -153,9 +157,11 @@
     asker, _ = turns.take([Send(1, 1)])
     turns.step(Began(1, "head"), Held(1), after=10)
     turns.step(Held(1), after=3000)
-    assert turns.step(Ended(1, Ending.OK), after=1) == [Answer(asker, Served(None, "s-1", 0))]
-    (outcome,) = [e for e in turns.script.told if isinstance(e, Outcome)]
-    assert outcome.ending is Ending.OK and outcome.complete and outcome.latency_ns == 10 * MS
+    assert turns.step(AttemptFinished(1, AttemptOutcome.OK), after=1) == [
+        Answer(asker, Served(None, "s-1", 0))
+    ]
+    (outcome,) = [e for e in turns.script.told if isinstance(e, AttemptResult)]
+    assert outcome.outcome is AttemptOutcome.OK and outcome.complete and outcome.latency_ns == 10 * MS
 
 
 def test_what_is_added_between_turns_is_heeded_in_its_time():
@@ -180,7 +186,7 @@
     turns.step(Began(1, "head"))
     assert turns.step(Left(asker)) == [AbortAttempt(1)]
     turns.step()
-    assert turns.script.outcomes() == [(1, 0, Ending.CANCELLED, True)] and not turns.core.requests
+    assert turns.script.outcomes() == [(1, 0, AttemptOutcome.CANCELLED, True)] and not turns.core.requests
 
 
 def test_timers_fire_in_a_later_turn_in_the_order_of_their_times():
@@ -222,7 +228,7 @@
     for number in range(3000):
         turns.step(news(number), after=20)
         for effect in turns.take(shard=number % 9, id=b"%d" % number)[1]:
-            turns.step(Ended(effect.attempt, Ending.OK, b"v"), after=1)
+            turns.step(AttemptFinished(effect.attempt, AttemptOutcome.OK, b"v"), after=1)
             sent += 1
         turns.take(shard=20_000 + number)  # of no node
         turns.step(news(number, NodeState.GONE))
@@ -250,7 +256,7 @@
     host = Host(settings(request_class(deadline=1000)))
     id_ = host.ask()
     host.wait(480)
-    assert any(isinstance(a, Refuse) for a in host.end(id_, Ending.CONNECT_FAILED))
+    assert any(isinstance(a, Refuse) for a in host.end(id_, AttemptOutcome.CONNECT_FAILED))
 
 
 @pytest.mark.parametrize("after, taken", [(0, False), (1000, False), (2100, True)])
@@ -259,6 +265,6 @@
     turns.take([Send(1, 1)], id=b"same")
     rejected = Rejected("this id is another request's")
     assert turns.take(id=b"same")[1][0].reply == rejected
-    turns.step(Ended(1, Ending.OK, b"v"))
+    turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))
     turns.step(after=after)
     assert (turns.take(id=b"same")[1] == []) is taken
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -6,13 +6,13 @@
 import pytest
 
 from runloft.decisions.contract import (
+    AttemptOutcome,
+    AttemptResult,
     ClientGone,
     Effect,
-    Ending,
     Fail,
     NodeEntry,
     NodeState,
-    Outcome,
     PlanSettings,
     Refuse,
     Send,
@@ -95,7 +95,7 @@
     host.wait(1000)
     before = len(host.sends())
     for id_ in sorted(host.open):  # lost: the node hangs
-        host.end(id_, Ending.TIMEOUT, latency=1000)
+        host.end(id_, AttemptOutcome.TIMEOUT, latency=1000)
     assert len(host.open) <= 1
     for _ in range(5):
         host.ask()
@@ -133,7 +133,7 @@
     for _ in range(3):
         id_ = host.ask(left=60)
         host.wait(60)
-        host.end(id_, Ending.TIMEOUT, latency=60)
+        host.end(id_, AttemptOutcome.TIMEOUT, latency=60)
     host.wait(400)
     assert not host.scheduler.nodes[10].suspect(host.now)
 
@@ -145,13 +145,13 @@
         host = Host(settings(request_class(aim=100, deadline=2000), hosts=hosts))
         host.serve(30)
         for _ in range(2):
-            host.end(host.ask(), Ending.TIMEOUT, latency=1000)
+            host.end(host.ask(), AttemptOutcome.TIMEOUT, latency=1000)
         host.wait(1000)
         before = len(host.sends())
         for _ in range(40):
             host.ask()
             host.wait(50)
-            host.end_all(Ending.RESET)
+            host.end_all(AttemptOutcome.RESET)
         return len(host.sends()) - before
 
     assert 1 <= trials(60) < trials(4) / 4
@@ -161,7 +161,7 @@
     host = Host(settings(request_class(aim=100, deadline=600)))
     id_ = host.ask()
     host.now += 700 * MS
-    host.see(TimerFired(id_), Outcome(id_, 0, 10, Ending.OK, True, 20 * MS))
+    host.see(TimerFired(id_), AttemptResult(id_, 0, 10, AttemptOutcome.OK, True, 20 * MS))
     assert not host.answers(id_)
 
 
@@ -172,7 +172,7 @@
     for _ in range(200):
         host.ask()
         host.wait(1)
-        host.end_all(Ending.ERROR)
+        host.end_all(AttemptOutcome.ERROR)
     assert host.scheduler.nodes[10].rate.z <= before
 
 
@@ -222,7 +222,9 @@
     id_ = host.ask()
     host.end(id_)
     host.end(id_)
-    host.see(Outcome(999, 0, 10, Ending.OK, True), ClientGone(999), TimerFired(999), ClientGone(id_))
+    host.see(
+        AttemptResult(999, 0, 10, AttemptOutcome.OK, True), ClientGone(999), TimerFired(999), ClientGone(id_)
+    )
     host.wait(1000)
     assert not host.answers(id_) and len(host.sends(id_)) == 1
 
@@ -282,7 +284,7 @@
     host.tell(NODE)
     seen = host.ask()
     host.tell(gone(10, state=NodeState.DRAINING))
-    host.end(seen, Ending.RESET)
+    host.end(seen, AttemptOutcome.RESET)
     host.wait(900)
     assert not host.answers(seen)
     host.wait(98)
@@ -293,7 +295,7 @@
     host = Host(settings(request_class(aim=100, deadline=600), max_attempts=1))
     host.serve(30, latency=20)
     id_ = host.ask()
-    host.end(id_, Ending.ERROR)
+    host.end(id_, AttemptOutcome.ERROR)
     ((at, answer),) = host.answers(id_)
     assert at == host.now and isinstance(answer, Refuse) and 0 < answer.retry_after_ns <= SECOND
 
@@ -311,7 +313,7 @@
     host.serve(30, latency=50, request_class=1)
     asked, keyed = host.now, host.ask()
     host.ask(request_class=1)  # worth more: takes the only place when the first attempt ends
-    host.end(keyed, Ending.RESET)
+    host.end(keyed, AttemptOutcome.RESET)
     host.wait(400)
     ((at, answer),) = host.answers(keyed)
     assert len(host.sends(keyed)) == 1 and isinstance(answer, Fail) and at <= asked + 300 * MS
@@ -320,27 +322,27 @@
 # Many hosts: a price where others crowd a node.
 
 
-def crowded(hosts: int, ending=Ending.OK) -> Host:
+def crowded(hosts: int, outcome=AttemptOutcome.OK) -> Host:
     """A host that saw a node answer late, or not at all; it has a dear class and a cheap one."""
     dear, cheap = (request_class(aim=100, deadline=3000, worth=w, late_worth=0.5) for w in (4.0, 1.0))
     host = Host(settings(dear, cheap, hosts=hosts), nodes=[NodeEntry(10, 0), NodeEntry(11, 1)])
-    for _ in range(6 if ending is Ending.OK else 3):
+    for _ in range(6 if outcome is AttemptOutcome.OK else 3):
         host.wait(400)
-        id_, latency = host.ask(), 90 if ending is Ending.OK else 150
+        id_, latency = host.ask(), 90 if outcome is AttemptOutcome.OK else 150
         host.wait(latency)
-        host.end(id_, ending, latency=latency)
+        host.end(id_, outcome, latency=latency)
     host.wait(400)
     return host
 
 
-@pytest.mark.parametrize("ending", [Ending.OK, Ending.TIMEOUT])
-def test_many_hosts_keep_what_earns_least_from_a_crowded_node(ending):
+@pytest.mark.parametrize("outcome", [AttemptOutcome.OK, AttemptOutcome.TIMEOUT])
+def test_many_hosts_keep_what_earns_least_from_a_crowded_node(outcome):
     """Issue 11: 213 hosts with one request each filled every node for seconds, for clients who had left."""
     for hosts, leaves in ((200, False), (4, True)):
-        host = crowded(hosts, ending)
+        host = crowded(hosts, outcome)
         cheap = host.ask(request_class=1)
         assert bool(host.sends(cheap)) is leaves
-    host = crowded(200, ending)
+    host = crowded(200, outcome)
     assert host.sends(host.ask(request_class=0))
 
 
@@ -360,7 +362,7 @@
 
 def test_a_node_that_started_anew_has_no_price_and_no_silence():
     """Its queue died with the process; what the dead one showed kept requests away for seconds."""
-    host = crowded(200, Ending.TIMEOUT)
+    host = crowded(200, AttemptOutcome.TIMEOUT)
     assert not host.sends(host.ask(request_class=1))
     host.tell(NodeEntry(10, 0, started_ns=host.now))
     assert host.sends(host.ask(request_class=1))
@@ -374,7 +376,7 @@
     host.wait(300)
     ((_, send),) = host.sends(id_)
     assert 0 < send.timeout_ns <= 2 * 100 * MS
-    host.end(id_, Ending.TIMEOUT, latency=100)
+    host.end(id_, AttemptOutcome.TIMEOUT, latency=100)
     assert [a.retry_after_ns > 0 for _, a in host.answers(id_)] == [True]
 
 
@@ -403,8 +405,8 @@
 def test_new_objects_leave_a_node_that_fails_quickly_until_it_has_not_failed_for_a_while():
     host = Host(settings(request_class(), max_attempts=1), nodes=(NODE, NodeEntry(11, 1)))
     for _ in range(20):  # one in three is served there, so that it is never silent
-        for ending in (Ending.ERROR, Ending.ERROR, Ending.OK):
-            host.end(host.ask(shard=0), ending, latency=1)
+        for outcome in (AttemptOutcome.ERROR, AttemptOutcome.ERROR, AttemptOutcome.OK):
+            host.end(host.ask(shard=0), outcome, latency=1)
             host.wait(5)
             host.end(host.ask(shard=1), latency=20)
             host.wait(5)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from runloft.decisions.contract import Effect, Ending, Group, NodeEntry, NodeState
+from runloft.decisions.contract import AttemptOutcome, Effect, Group, NodeEntry, NodeState
 from tests.support.driver import MS, NODE, SECOND, Host, request_class, settings
 from tests.support.fleet import CONNECT, Fleet, fleet_settings
 
@@ -41,13 +41,13 @@
     assert 5 < scheduler._rate(scheduler.nodes[0], host.now) < 20
 
 
-@pytest.mark.parametrize("ending", [Ending.FULL, Ending.CONNECT_FAILED])
-def test_new_objects_leave_a_node_that_drained_or_went_before_the_list_tells(ending):
+@pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
+def test_new_objects_leave_a_node_that_drained_or_went_before_the_list_tells(outcome):
     """Day herd+vast: lists came six seconds late, and new objects went on to nodes that turned all away."""
     host = Host(fleet_settings(40, 0, max_attempts=1), nodes=(NODE, NodeEntry(11, 1)))
     for shard in (0, 1):
         host.serve(2, latency=20, shard=shard)
-    host.end(host.ask(shard=0), ending, latency=1)
+    host.end(host.ask(shard=0), outcome, latency=1)
     host.wait(100)
     placed = []
     for _ in range(6):
@@ -82,16 +82,16 @@
     assert dear > 0 and host.scheduler._price(node, host.now) < dear / 4
 
 
-@pytest.mark.parametrize("ending", [Ending.FULL, Ending.CONNECT_FAILED])
-def test_a_request_waits_a_while_where_a_node_turned_it_away_and_keeps_its_attempts(ending):
+@pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
+def test_a_request_waits_a_while_where_a_node_turned_it_away_and_keeps_its_attempts(outcome):
     """Day herd+vast: three attempts within 15 ms, a thousand refused connects a second over the fleet."""
     host = Host(settings(request_class(aim=1000, deadline=6000), hosts=40, max_attempts=3), at=SECOND)
     id_ = host.ask()
-    host.end(id_, ending, latency=1)
+    host.end(id_, outcome, latency=1)
     assert len(host.sends(id_)) == 1 and not host.answers(id_)
     host.wait(200)
     assert len(host.sends(id_)) == 2
-    host.end(id_, ending, latency=1)
+    host.end(id_, outcome, latency=1)
     gaps = [host.sends(id_)[1][0] - host.sends(id_)[0][0]]
     host.wait(200)
     gaps.append(host.sends(id_)[2][0] - host.sends(id_)[1][0])
@@ -104,7 +104,7 @@
     """Simulated big-1: seven hosts are no storm, and resting cost them requests that the next try served."""
     host = Host(settings(request_class(aim=1000, deadline=6000), hosts=7, max_attempts=3), at=SECOND)
     id_ = host.ask()
-    host.end(id_, Ending.FULL, latency=1)
+    host.end(id_, AttemptOutcome.FULL, latency=1)
     assert len(host.sends(id_)) == 2
 
 
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -5,10 +5,10 @@
 import pytest
 
 from runloft.decisions.contract import (
+    AttemptOutcome,
     Cancel,
     ClientGone,
     Effect,
-    Ending,
     Fail,
     Group,
     ListKind,
@@ -36,7 +36,7 @@
     host = Host(settings(request_class(Effect.UNSAFE)))
     id_ = host.ask()
     host.now = 600 * MS
-    host.end(id_, Ending.TIMEOUT)
+    host.end(id_, AttemptOutcome.TIMEOUT)
     host.wait(1000)
     assert [type(a) for _, a in host.answers(id_)] == [Fail]
 
@@ -46,7 +46,7 @@
     id_ = host.ask()
     host.wait(1000)
     assert [t <= 600 * MS for t, _ in host.answers(id_)] == [True]
-    host.end(id_, Ending.TIMEOUT)
+    host.end(id_, AttemptOutcome.TIMEOUT)
     host.wait(1000)
     assert len(host.answers(id_)) == 1 and len(host.sends(id_)) == 1
 
@@ -56,7 +56,7 @@
     out, held = host.ask(), host.ask(shard=5)
     actions = host.see(ClientGone(out), ClientGone(held))
     assert Cancel(out, 0) in actions
-    host.end(out, Ending.CANCELLED)
+    host.end(out, AttemptOutcome.CANCELLED)
     host.tell(NodeEntry(11, 5))
     host.wait(1000)
     assert not host.answers(out) and not host.answers(held) and not host.sends(held)
@@ -73,21 +73,25 @@
 # 2. No effect happens twice.
 
 
-@pytest.mark.parametrize("ending", [Ending.ERROR, Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED])
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_repeated(ending):
+@pytest.mark.parametrize(
+    "outcome", [AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED]
+)
+def test_an_unsafe_request_that_may_have_run_fails_and_is_not_repeated(outcome):
     host = Host(settings(request_class(Effect.UNSAFE)))
     id_ = host.ask()
-    host.end(id_, ending)
+    host.end(id_, outcome)
     host.wait(1000)
     assert len(host.sends(id_)) == 1
     assert [type(a) for _, a in host.answers(id_)] == [Fail]
 
 
-@pytest.mark.parametrize("ending", [Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT])
-def test_an_unsafe_request_that_surely_never_ran_is_tried_again(ending):
+@pytest.mark.parametrize(
+    "outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT]
+)
+def test_an_unsafe_request_that_surely_never_ran_is_tried_again(outcome):
     host = Host(settings(request_class(Effect.UNSAFE)))
     id_ = host.ask()
-    host.end(id_, ending)
+    host.end(id_, outcome)
     host.wait(100)
     assert len(host.sends(id_)) == 2
 
@@ -96,10 +100,10 @@
     host = Host(settings(request_class(Effect.KEYED, deadline=3000, window_ns=200 * MS)))
     id_ = host.ask()
     host.wait(50)
-    host.end(id_, Ending.ERROR)
+    host.end(id_, AttemptOutcome.ERROR)
     assert len(host.sends(id_)) == 2
     host.wait(200)
-    host.end(id_, Ending.ERROR)
+    host.end(id_, AttemptOutcome.ERROR)
     host.wait(3000)
     assert len(host.sends(id_)) == 2
     assert [type(a) for _, a in host.answers(id_)] == [Fail]
@@ -112,7 +116,7 @@
     id_ = host.ask(shard=None)
     first = host.nodes[id_]
     host.tell(replace(gone(first, first - 10), zone=first - 10))
-    host.end(id_, Ending.RESET)
+    host.end(id_, AttemptOutcome.RESET)
     host.wait(900)
     assert len(host.sends(id_)) == 1 or group is Group.ALL
     assert len({a.node for _, a in host.sends(id_)}) <= count
@@ -122,7 +126,7 @@
     for group, kind in ((Group.ALL, Refuse), (Group.SHARD, Fail)):
         host = Host(settings(request_class(Effect.KEYED, window_ns=1, group=group)))
         id_ = host.ask()
-        host.end(id_, Ending.ERROR)
+        host.end(id_, AttemptOutcome.ERROR)
         assert [type(a) for _, a in host.answers(id_)] == [kind]
 
 
@@ -157,14 +161,14 @@
 # 4. A cold node is not pushed over.
 
 
-def flood(host: Host, milliseconds: int, ending=Ending.ERROR, **more) -> int:
+def flood(host: Host, milliseconds: int, outcome=AttemptOutcome.ERROR, **more) -> int:
     """Offer a request every 5 ms, let each attempt end at once; give how many were sent."""
     before = len(host.sends())
     for _ in range(milliseconds // 5):
         host.ask(**more)
-        host.end_all(ending)
+        host.end_all(outcome)
         host.wait(5)
-        host.end_all(ending)
+        host.end_all(outcome)
     return len(host.sends()) - before
 
 
@@ -201,7 +205,7 @@
     """Let connecting fail, with nothing served, for as long as a process is down."""
     for _ in range(2):
         host.wait(600)
-        host.end(host.ask(), Ending.CONNECT_FAILED)
+        host.end(host.ask(), AttemptOutcome.CONNECT_FAILED)
 
 
 def test_a_refused_connection_is_a_guess_that_ends_early_and_restarts_no_dated_start():
@@ -221,7 +225,7 @@
         host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
         flood(host, 100)
         host.wait(20_000)
-        assert flood(host, 100, Ending.OK) > 0
+        assert flood(host, 100, AttemptOutcome.OK) > 0
 
 
 def test_a_restarted_host_takes_a_cold_nodes_window_as_spent():
@@ -258,11 +262,11 @@
     assert flood(host, 1500) <= 2
 
 
-@pytest.mark.parametrize("between", [None, Ending.OK])
+@pytest.mark.parametrize("between", [None, AttemptOutcome.OK])
 def test_a_connection_that_breaks_here_and_there_is_no_start(between):
     host = Host(settings(cold_units=8, hosts=4, max_attempts=1, **COLD), at=100 * SECOND)
     for _ in range(5):
-        host.end(host.ask(), Ending.CONNECT_FAILED)
+        host.end(host.ask(), AttemptOutcome.CONNECT_FAILED)
         host.wait(300 if between else 90)
         if between:
             host.end(host.ask(), between)
@@ -282,14 +286,14 @@
     assert host.sends(second)
 
 
-@pytest.mark.parametrize("ending", [Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED])
-def test_a_key_rests_after_an_open_end(ending):
+@pytest.mark.parametrize("outcome", [AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED])
+def test_a_key_rests_after_an_open_end(outcome):
     host = Host(settings(ORDERED, settle_ns=100 * MS, may_cancel=True))
     first, second = host.ask(key=7), host.ask(key=7)
     host.see(ClientGone(first))
     assert not host.sends(second)  # its attempt has no outcome yet
     ended = host.now
-    host.end(first, ending)
+    host.end(first, outcome)
     host.wait(300)
     assert host.sends(second)[0][0] >= ended + 100 * MS
 
@@ -297,7 +301,7 @@
 def test_the_request_that_has_the_turn_is_tried_again_at_once():
     host = Host(settings(ORDERED, settle_ns=500 * MS))
     first = host.ask(key=7)
-    host.end(first, Ending.RESET)
+    host.end(first, AttemptOutcome.RESET)
     host.wait(30)
     assert len(host.sends(first)) == 2
 
@@ -309,15 +313,15 @@
     conf = settings(budget_free=2, budget_share=0.1, budget_window_ns=SECOND)
     host = Host(conf)
     for n in range(30):
-        host.end(host.ask(), Ending.ERROR)
+        host.end(host.ask(), AttemptOutcome.ERROR)
         while host.sends(n + 1) and not host.answers(n + 1):
-            host.end(n + 1, Ending.ERROR)
+            host.end(n + 1, AttemptOutcome.ERROR)
         host.wait(1)
     extra = len(host.sends()) - len({a.id for _, a in host.sends()})
     assert 2 <= extra <= 2 + 0.1 * 30
     host.wait(2000)
     id_ = host.ask()
-    host.end(id_, Ending.ERROR)
+    host.end(id_, AttemptOutcome.ERROR)
     host.wait(20)
     assert len(host.sends(id_)) == 2  # the window has passed
 
@@ -326,7 +330,7 @@
     host = Host(settings(max_attempts=50))
     id_ = host.ask()
     for _ in range(20):
-        host.end(id_, Ending.ERROR)
+        host.end(id_, AttemptOutcome.ERROR)
     assert len(host.sends(id_)) == 21
 
 
@@ -337,17 +341,17 @@
 
 def test_a_host_sends_its_part_of_a_limit_and_starts_with_nothing():
     host = Host(settings(request_class(deadline=50), plan=LIMITED))
-    assert flood(host, 1000, Ending.OK, volume_hosts=2.0) <= 40 / 2
+    assert flood(host, 1000, AttemptOutcome.OK, volume_hosts=2.0) <= 40 / 2
     host.wait(60)
-    host.end_all(Ending.OK)
+    host.end_all(AttemptOutcome.OK)
     host.wait(10_000)
-    assert 12 <= flood(host, 1000, Ending.OK, volume_hosts=2.0) <= 12 + 40 / 2
+    assert 12 <= flood(host, 1000, AttemptOutcome.OK, volume_hosts=2.0) <= 12 + 40 / 2
 
 
 def test_a_further_attempt_draws_nothing_from_the_limit():
     host = Host(settings(plan=LIMITED))
     host.wait(1000)
     first = host.ask(units=24)
-    host.end(first, Ending.ERROR)
+    host.end(first, AttemptOutcome.ERROR)
     host.wait(30)
     assert len(host.sends(first)) == 2
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -11,9 +11,9 @@
 import pytest
 
 from runloft.config.settings import config_from_json
-from runloft.core.model import Dispatch, Ended, NodeUpdate, Reconfigured, Refused
+from runloft.core.model import AttemptFinished, Dispatch, NodeUpdate, Reconfigured, Refused
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Ending, ListKind, NewSettings, PlanSettings, Send
+from runloft.decisions.contract import AttemptOutcome, ListKind, NewSettings, PlanSettings, Send
 from runloft.discovery.watch import Watch
 from runloft.service.reload import Reload, changeable
 from runloft.upstream.links import NodeLink
@@ -139,7 +139,7 @@
     assert turns.step(Reconfigured(fresh, bounds)) == []
     assert isinstance(turns.script.told[-1], NewSettings) and turns.core.settings is fresh
     assert turns.take()[1][0].reply == Refused()  # by the new bound
-    assert turns.step(Ended(1, Ending.OK, b"v"))[0].asker is asker
+    assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].asker is asker
 
 
 def test_the_module_keeps_what_it_learned_and_goes_by_the_new_figures():
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -10,7 +10,7 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
-from runloft.decisions.contract import Effect, Ending, Fail, ListKind, Refuse
+from runloft.decisions.contract import AttemptOutcome, Effect, Fail, ListKind, Refuse
 from runloft.service.runner import FINISH_NS, Runner, wind_down
 from tests.core.test_core import Turns
 from tests.support.driver import MS, SECOND, Host, request_class, settings
@@ -151,6 +151,6 @@
     assert [type(a) for _, a in host.answers(sent)] == [answer]
     assert [type(a) for _, a in host.answers(held)] == [Refuse]
     assert host.answers(held)[0][1].retry_after_ns > 0 and not host.answers(done)
-    host.end(sent, Ending.RESET)
+    host.end(sent, AttemptOutcome.RESET)
     host.wait(20_000)
     assert len(host.answers(sent)) == 1 and not host.scheduler.tickets
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -4,16 +4,16 @@
 
 from runloft.decisions.contract import (
     Action,
+    AttemptOutcome,
+    AttemptResult,
     ClassSettings,
     Effect,
-    Ending,
     Event,
     Fail,
     ListKind,
     NodeEntry,
     NodeList,
     NodeState,
-    Outcome,
     PlanSettings,
     Refuse,
     Request,
@@ -91,17 +91,17 @@
         self.see(Request(id=id_, time_left_ns=int(left * MS), **facts))
         return id_
 
-    def end(self, id_: int, ending=Ending.OK, latency: float = 10, attempt=None) -> list[Action]:
+    def end(self, id_: int, outcome=AttemptOutcome.OK, latency: float = 10, attempt=None) -> list[Action]:
         """Let the last attempt of a request end."""
         number = self.attempts[id_] if attempt is None else attempt
-        done = ending is Ending.OK
+        done = outcome is AttemptOutcome.OK
         self.open.discard(id_)
-        return self.see(Outcome(id_, number, self.nodes[id_], ending, done, int(latency * MS)))
+        return self.see(AttemptResult(id_, number, self.nodes[id_], outcome, done, int(latency * MS)))
 
-    def end_all(self, ending=Ending.OK, latency: float = 10) -> None:
+    def end_all(self, outcome=AttemptOutcome.OK, latency: float = 10) -> None:
         """Let all that is out end, and what leaves upon that."""
         while self.open:
-            self.end(min(self.open), ending, latency)
+            self.end(min(self.open), outcome, latency)
 
     def serve(self, count: int, latency: float = 10, **more) -> None:
         """Let the node serve some requests, one after another, so that its rate is learned."""
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from itertools import count
 
-from runloft.decisions.contract import Ending, NodeEntry, NodeState, PlanSettings
+from runloft.decisions.contract import AttemptOutcome, NodeEntry, NodeState, PlanSettings
 from tests.support.driver import MS, SECOND, Host, request_class, settings
 
 STEP = 5 * MS
@@ -86,7 +86,7 @@
         self.hosts = [Host(fleet_settings(hosts, n, **more), nodes=entries) for n in range(hosts)]
         self.now, self.serial = 0, count()
         # When, in which order, what ends and how; None: it comes to its node.
-        self.due: list[tuple[int, int, Attempt, Ending | None]] = []
+        self.due: list[tuple[int, int, Attempt, AttemptOutcome | None]] = []
         self.together = 0  # connections come up so seldom: what left since the last time lands at once
         self.zones, self.cut_zone = 1, -1  # a zone that reaches no other: number of a host or node % zones
         self.connected: dict[tuple[int, int], int] = {}  # (host, node): when its connection was used last
@@ -153,21 +153,21 @@
         node = self.nodes[attempt.node]
         node.take(self.now, attempt)
         if len(node.queue) == 1:
-            self._push(node.first_ends(self.now), attempt, Ending.OK)
+            self._push(node.first_ends(self.now), attempt, AttemptOutcome.OK)
 
-    def _push(self, at: int, attempt: Attempt, ending: Ending | None) -> None:
-        heapq.heappush(self.due, (at, next(self.serial), attempt, ending))
+    def _push(self, at: int, attempt: Attempt, outcome: AttemptOutcome | None) -> None:
+        heapq.heappush(self.due, (at, next(self.serial), attempt, outcome))
 
-    def _due(self, attempt: Attempt, ending: Ending | None) -> None:
-        if ending is None:
+    def _due(self, attempt: Attempt, outcome: AttemptOutcome | None) -> None:
+        if outcome is None:
             if not attempt.over:
                 self._land(attempt)
             return
-        if ending is Ending.OK:  # what was given up while it was served has cost the node its time
+        if outcome is AttemptOutcome.OK:  # what was given up while it was served has cost the node its time
             node = self.nodes[attempt.node]
             node.queue.popleft()
             if (ends := node.first_ends(self.now)) is not None:
-                self._push(ends, node.queue[0], Ending.OK)
+                self._push(ends, node.queue[0], AttemptOutcome.OK)
             if self.unreached(attempt.host, attempt.node):
                 return  # the answer is lost, and nothing tells
             self.connected[attempt.host, attempt.node] = self.now
@@ -175,10 +175,10 @@
             return
         attempt.over = True
         host, name = self.hosts[attempt.host], (attempt.host, attempt.id)
-        in_time = ending is Ending.OK and self.now - self.asked_at[name] <= host.scheduler.aim
+        in_time = outcome is AttemptOutcome.OK and self.now - self.asked_at[name] <= host.scheduler.aim
         self.served += in_time and name not in self.floods
         host.now = self.now
-        host.end(attempt.id, ending, latency=(self.now - attempt.sent_at) / MS)
+        host.end(attempt.id, outcome, latency=(self.now - attempt.sent_at) / MS)
         self._collect(attempt.host)
 
     def _collect(self, number: int) -> None:
@@ -187,12 +187,12 @@
             ticket = host.scheduler.tickets[send.id]
             attempt = Attempt(number, send.id, send.node, ticket.units, at)
             due = min(at + (send.timeout_ns or ticket.deadline), ticket.deadline)
-            self._push(due, attempt, Ending.TIMEOUT)
+            self._push(due, attempt, AttemptOutcome.TIMEOUT)
             if not self.unreached(number, send.node):
                 if self.together:
                     self._push(-(-at // self.together) * self.together, attempt, None)
                 else:
                     self._land(attempt)
             elif self.connected.pop((number, send.node), -IDLE) < at - IDLE:
-                self._push(at + CONNECT, attempt, Ending.CONNECT_FAILED)
+                self._push(at + CONNECT, attempt, AttemptOutcome.CONNECT_FAILED)
         self.seen[number] = len(host.log)
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -20,7 +20,7 @@
 )
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Ending, ListKind, NodeState
+from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState
 from runloft.net.sockets import close, connect, connecting
 from runloft.service.runner import Runner
 from runloft.upstream import links
@@ -350,7 +350,7 @@
         assert len(scene.link.open) == 1 and not scene.runner.events
         scene.turn(20)
         await until(lambda: scene.runner.events)
-        assert scene.runner.events[0].ending is Ending.CONNECT_FAILED
+        assert scene.runner.events[0].outcome is AttemptOutcome.CONNECT_FAILED
         assert not scene.link.open and not scene.link.out
         scene.turn()
         scene.turn(100)
@@ -368,8 +368,10 @@
 UNSAFE = {"Classes": [c | {"Effect": "fragile"} for c in settings()["Classes"]]}
 
 
-@pytest.mark.parametrize("size, sends, ending", [(0, 1, Ending.RESET), (8 << 20, 2, Ending.CONNECT_FAILED)])
-def test_a_reset_before_the_last_byte_proves_that_nothing_ran(monkeypatch, size, sends, ending):
+@pytest.mark.parametrize(
+    "size, sends, ending", [(0, 1, AttemptOutcome.RESET), (8 << 20, 2, AttemptOutcome.CONNECT_FAILED)]
+)
+def test_a_reset_before_the_last_byte_proves_that_nothing_ran(monkeypatch, size, sends, outcome):
     """A class that may not be repeated is sent again then, and fails where all of it had left."""
 
     async def story(scene):
@@ -381,7 +383,7 @@
         scene.up = anyio.Event()
         reset(conn)
         await until(lambda: scene.runner.events)
-        assert scene.runner.events[0].ending is ending
+        assert scene.runner.events[0].outcome is outcome
         scene.turn()
         scene.turn(100)
         assert (not asker.replies) == (sends == 2) == bool(scene.core.attempts)
