--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -125,7 +125,7 @@
     def begin(self, value: object, node: str, shard: int) -> None:
         """Take the start of a streamed answer; its end comes as the final answer."""
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Look whether its client has gone, without waiting for the loop to notice."""
 
 
@@ -133,7 +133,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class RequestReceived:
     """A request was read whole."""
 
     asker: ResponseSink
@@ -141,14 +141,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class ClientDisconnected:
     """The client of a request went away."""
 
     asker: ResponseSink
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class StreamStarted:
     """An attempt's answer began and is passed on as it comes."""
 
     attempt: int
@@ -156,7 +156,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class ResponseBuffered:
     """A streamed answer waits for its client: the node's work on it no longer shows in the time."""
 
     attempt: int
@@ -181,7 +181,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class RequestWritten:
     """An attempt's last byte has left; links tell it where accounts are kept."""
 
     attempt: int
@@ -206,21 +206,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class ShutdownStarted:
     """The scheduler is about to exit: what is open gets its final answer now."""
 
 
 Event = (
-    Taken
-    | Left
-    | Began
-    | Held
+    RequestReceived
+    | ClientDisconnected
+    | StreamStarted
+    | ResponseBuffered
     | AttemptFinished
     | AttemptWithdrawn
-    | Written
+    | RequestWritten
     | NodeListUpdate
     | Reconfigured
-    | Closing
+    | ShutdownStarted
 )
 
 
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -21,28 +21,28 @@
     Answer,
     AttemptFinished,
     AttemptWithdrawn,
-    Began,
     Begin,
     Bounds,
-    Closing,
+    ClientDisconnected,
     Dispatch,
     Effect,
     Event,
     Failed,
-    Held,
-    Left,
     NodeListUpdate,
     NodeUpdate,
     Observer,
     Reconfigured,
     Refused,
     Rejected,
+    RequestReceived,
     RequestSpec,
+    RequestWritten,
+    ResponseBuffered,
     ResponseSink,
     Served,
+    ShutdownStarted,
+    StreamStarted,
     SuspendedVolumes,
-    Taken,
-    Written,
 )
 from runloft.core.records import Attempt, PendingRequest
 from runloft.core.start_times import StartTimes
@@ -119,13 +119,13 @@
         told, self._next_turn = self._next_turn, []
         for event in events:
             match event:
-                case Taken(asker, ask):
+                case RequestReceived(asker, ask):
                     self._take(asker, ask, now, told, effects)
-                case Left(asker):
+                case ClientDisconnected(asker):
                     self._leave(asker, told, effects)
-                case Began(attempt, value):
+                case StreamStarted(attempt, value):
                     self._began(attempt, value, told, effects)
-                case Held(attempt):
+                case ResponseBuffered(attempt):
                     self._held(attempt, now, told)
                 case AttemptWithdrawn(attempt) if attempt in self.attempts:
                     # Guards the node's record: that nothing was sent says nothing of it.
@@ -138,7 +138,7 @@
                         told,
                         effects,
                     )
-                case Written(attempt):
+                case RequestWritten(attempt):
                     if self.observer is not None:
                         self.observer.written(attempt, now)
                 case AttemptFinished():
@@ -150,8 +150,8 @@
                     if self.observer is not None:
                         self.observer.configured(settings)
                     told.append(contract.NewSettings(settings))
-                case Closing():
-                    told.append(contract.Closing())
+                case ShutdownStarted():
+                    told.append(contract.ShutdownStarted())
         for item in self.deadlines.sweep(now):
             match item:
                 case contract.TimerFired():
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -208,7 +208,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class ShutdownStarted:
     """The host is about to end: what is open gets its final answer now."""
 
 
@@ -228,7 +228,7 @@
     | ProbeResult
     | TimerFired
     | NewSettings
-    | Closing
+    | ShutdownStarted
 )
 
 
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -13,7 +13,7 @@
     Action,
     Cancel,
     ClientGone,
-    Closing,
+    ShutdownStarted,
     Effect,
     AttemptOutcome,
     Event,
@@ -304,7 +304,7 @@
                     self._client_gone(event.id, now)
                 case NewSettings(settings):
                     self._settle(settings)
-                case Closing():
+                case ShutdownStarted():
                     for ticket in [t for t in self.tickets.values() if not (t.done or t.streaming)]:
                         self._give_up(ticket, now)
                 case StreamStarted(id_) if id_ in self.tickets:
--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -24,7 +24,17 @@
 from runloft.core.counters import COUNTERS, Counted
 from runloft.core.guard import CloseReason
 from runloft.core.invariants import INVARIANTS
-from runloft.core.model import Event, Failed, Left, Refused, Rejected, Reply, RequestSpec, Served, Taken
+from runloft.core.model import (
+    ClientDisconnected,
+    Event,
+    Failed,
+    Refused,
+    Rejected,
+    Reply,
+    RequestReceived,
+    RequestSpec,
+    Served,
+)
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
@@ -145,7 +155,7 @@
         self.stream, self.shard = value, shard
         self.event.set()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Look whether its client ended its sending, whatever is still to be read."""
         return self.sock.fileno() < 0 or bool(half_closed((self.sock,)))
 
@@ -351,12 +361,12 @@
         except StoreDownError as error:
             raise self._store_down(error) from None
         exchange, failure = Exchange(self.sock), None
-        if exchange.has_left():  # while the store was asked: nothing of it is begun
+        if exchange.has_disconnected():  # while the store was asked: nothing of it is begun
             raise ConnectionResetError("the client closed")
         # The client's time runs from its request's last byte, also while the store is asked.
         time_left_ns = ask.time_left_ns - (self.front.clock() - arrived_at)
         ask = replace(ask, time_left_ns=max(time_left_ns, LEAST_TIME_NS))
-        self.front.post(Taken(exchange, ask))
+        self.front.post(RequestReceived(exchange, ask))
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._notice_close, group.cancel_scope)
@@ -372,7 +382,7 @@
         finally:
             # Nothing is owed to a client that has gone: its attempt and connection are freed.
             if exchange.reply is None:
-                self.front.post(Left(exchange))
+                self.front.post(ClientDisconnected(exchange))
         if failure:
             raise failure
         if self.gone:
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -17,12 +17,12 @@
     AbortAttempt,
     Answer,
     Begin,
-    Closing,
     Dispatch,
     Effect,
     Event,
     NodeListUpdate,
     NodeUpdate,
+    ShutdownStarted,
 )
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
@@ -314,7 +314,7 @@
             for front in fronts:
                 front.stop(last=clock() >= ends + FINISH_NS)
         if clock() >= ends + FINISH_NS:
-            runner.post(Closing())
+            runner.post(ShutdownStarted())
         if clock() >= ends + FINISH_NS + LAST_NS:
             log.warning("connections left at the end", clients=sum(len(front.clients) for front in fronts))
             return  # all is answered; who reads slowly, or goes on sending, is not waited for until SIGKILL
--- a/runloft/upstream/http_link.py
+++ b/runloft/upstream/http_link.py
@@ -8,7 +8,7 @@
 import h11
 
 from runloft.core.counters import NodeCloseReason
-from runloft.core.model import AttemptFinished, Began, Dispatch, Held
+from runloft.core.model import AttemptFinished, Dispatch, ResponseBuffered, StreamStarted
 from runloft.core.timers import TimerHandle
 from runloft.decisions.contract import AttemptOutcome
 from runloft.upstream.links import Connection
@@ -135,7 +135,7 @@
             raise ValueError(str(error)) from error
         if self.stream:
             if self.stream.size > READ_AHEAD and self.order:
-                self.link.post(Held(self.order.attempt))
+                self.link.post(ResponseBuffered(self.order.attempt))
             await self.stream.room()
 
     def eof(self) -> None:
@@ -160,7 +160,7 @@
             self.not_ran = AttemptOutcome.FULL if head.status_code == 503 else AttemptOutcome.ERROR
             return
         self.stream = Stream(head.status_code, list(head.headers.raw_items()))  # names as written
-        self.link.post(Began(self.order.attempt, self.stream))
+        self.link.post(StreamStarted(self.order.attempt, self.stream))
 
     def _whole(self) -> None:
         assert self.order is not None and self.protocol is not None
--- a/runloft/upstream/links.py
+++ b/runloft/upstream/links.py
@@ -14,7 +14,7 @@
 from runloft.config.settings import Config, address
 from runloft.core.counters import COUNTERS, Counted, NodeCloseReason
 from runloft.core.guard import SendPermit, SendRefusal
-from runloft.core.model import AttemptFinished, AttemptWithdrawn, Dispatch, Event, NodeUpdate, Written
+from runloft.core.model import AttemptFinished, AttemptWithdrawn, Dispatch, Event, NodeUpdate, RequestWritten
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.core.trace import trace
 from runloft.decisions.contract import AttemptOutcome, NodeState
@@ -148,7 +148,7 @@
         """
         permit = self.permit(attempt, self.clock())
         refusal = permit.refusal
-        if refusal is None and permit.verify is not None and permit.verify.has_left():
+        if refusal is None and permit.verify is not None and permit.verify.has_disconnected():
             refusal = SendRefusal.CLIENT_LEFT
         if refusal is not None:
             COUNTERS.add(Counted.NOT_SENT, refusal)
@@ -271,7 +271,7 @@
     def _left(self) -> None:
         """Tell that an attempt's last byte has left, where accounts are kept."""
         if self.link.tells_written and self.order is not None:
-            self.link.post(Written(self.order.attempt))
+            self.link.post(RequestWritten(self.order.attempt))
 
     def _flush(self) -> None:
         try:
--- a/tests/accounts/test_accounts.py
+++ b/tests/accounts/test_accounts.py
@@ -9,7 +9,15 @@
 from runloft.accounts.ledger import MOST_NAMED, OTHERS, Largest, Ledger, VolumeTotals
 from runloft.accounts.node import NodeLog
 from runloft.accounts.parts import Account, Part
-from runloft.core.model import AttemptFinished, Began, Held, Left, NodeListUpdate, NodeUpdate, Written
+from runloft.core.model import (
+    AttemptFinished,
+    ClientDisconnected,
+    NodeListUpdate,
+    NodeUpdate,
+    RequestWritten,
+    ResponseBuffered,
+    StreamStarted,
+)
 from runloft.decisions.contract import AttemptOutcome, Fail, Forget, ListKind, NodeState, Refuse, Send
 from tests.core.test_core import Turns
 from tests.support.driver import MS
@@ -149,10 +157,10 @@
     turns, ledger = kept()
     turns.take()
     turns.step(NUDGE, after=30, plan=[Send(1, 1, 50 * MS)])
-    turns.step(Written(1), after=5)
+    turns.step(RequestWritten(1), after=5)
     turns.step(after=45)  # given up
     turns.step(NUDGE, after=10, plan=[Send(1, 1)])
-    turns.step(Written(2), after=2)
+    turns.step(RequestWritten(2), after=2)
     turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=40)
     assert parts(ledger) == {"HELD_BOUND": 30, "CONNECTING": 7, "OUT": 85, "BETWEEN": 10}
     totals = ledger.totals[1]
@@ -191,9 +199,9 @@
 def test_a_slow_reader_is_its_own_account_and_not_the_nodes():
     turns, ledger = kept()
     turns.take([Send(1, 1)])
-    turns.step(Written(1))
-    turns.step(Began(1, "head"), after=10)
-    turns.step(Held(1))
+    turns.step(RequestWritten(1))
+    turns.step(StreamStarted(1, "head"), after=10)
+    turns.step(ResponseBuffered(1))
     turns.step(AttemptFinished(1, AttemptOutcome.OK, "stream"), after=500)
     assert parts(ledger) == {"OUT": 10, "READER": 500}
     assert ledger.totals[1].waited_for.amounts == {1: 10 * MS}
@@ -202,7 +210,7 @@
 def test_an_attempt_that_outlives_its_client_is_still_the_nodes_work():
     turns, ledger = kept()
     asker, _ = turns.take([Send(1, 1)], volume=7)
-    turns.step(Left(asker), after=5)
+    turns.step(ClientDisconnected(asker), after=5)
     turns.take([Send(2, 1)], volume=1)
     turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=20)
     turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=10)
@@ -213,8 +221,8 @@
 def test_a_client_that_leaves_its_stream_leaves_nothing_open():
     turns, ledger = kept()
     asker, _ = turns.take([Send(1, 1)])
-    turns.step(Began(1, "head"), after=10)
-    turns.step(Left(asker), after=10)
+    turns.step(StreamStarted(1, "head"), after=10)
+    turns.step(ClientDisconnected(asker), after=10)
     assert not ledger.open and not ledger._attempts and not ledger._waits
     assert ledger.nodes[1].out == 0
 
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -13,15 +13,15 @@
     AbortAttempt,
     Answer,
     AttemptFinished,
+    ClientDisconnected,
     Dispatch,
     Failed,
-    Left,
     NodeListUpdate,
     NodeUpdate,
     Refused,
     Rejected,
+    RequestReceived,
     Served,
-    Taken,
 )  # fmt: skip
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
@@ -144,13 +144,13 @@
             self.lines[ask.key].append(asker)
         if self.random.random() < 0.2:
             self.at(self.now + int(self.random.random() * ask.time_left_ns), lambda: self.leave(asker))
-        return Taken(asker, ask)
+        return RequestReceived(asker, ask)
 
     def leave(self, asker):
         if self.open.pop(asker, None) is None:
             return None
         asker.over = True
-        return Left(asker)
+        return ClientDisconnected(asker)
 
     def news(self):
         uid = self.random.choice(list(self.nodes))
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -9,19 +9,19 @@
     AbortAttempt,
     Answer,
     AttemptFinished,
-    Began,
     Begin,
+    ClientDisconnected,
     Dispatch,
     Failed,
-    Held,
-    Left,
     NodeListUpdate,
     NodeUpdate,
     Refused,
     Rejected,
+    RequestReceived,
     RequestSpec,
+    ResponseBuffered,
     Served,
-    Taken,
+    StreamStarted,
 )
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
@@ -89,7 +89,9 @@
         asker = object()
         facts = {"shard": 0, "payload": Payload(wire)} | more
         volume = facts.pop("volume", 1)
-        return asker, self.step(Taken(asker, RequestSpec(0, 0, volume, 1.0, 600 * MS, **facts)), plan=plan)
+        return asker, self.step(
+            RequestReceived(asker, RequestSpec(0, 0, volume, 1.0, 600 * MS, **facts)), plan=plan
+        )
 
 
 def test_the_first_ok_is_the_answer_and_what_comes_after_it_is_passed_over():
@@ -99,7 +101,10 @@
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=5) == [
         Answer(asker, Served(b"v", "s-1", 0))
     ]
-    assert turns.step(AttemptFinished(1, AttemptOutcome.RESET), Left(asker), plan=[Refuse(1)]) == []
+    assert (
+        turns.step(AttemptFinished(1, AttemptOutcome.RESET), ClientDisconnected(asker), plan=[Refuse(1)])
+        == []
+    )
     assert turns.script.outcomes() == [(1, 0, AttemptOutcome.OK, True)]
     assert not turns.core.requests and not turns.core.attempts
 
@@ -137,7 +142,7 @@
 def test_a_cancel_closes_and_is_reported_once():
     turns = Turns()
     asker, _ = turns.take([Send(1, 1)])
-    assert turns.step(Left(asker), plan=[Cancel(1, 0)]) == [AbortAttempt(1)]
+    assert turns.step(ClientDisconnected(asker), plan=[Cancel(1, 0)]) == [AbortAttempt(1)]
     turns.step(AttemptFinished(1, AttemptOutcome.RESET))
     assert turns.script.outcomes() == [(1, 0, AttemptOutcome.CANCELLED, True)]
 
@@ -145,7 +150,7 @@
 def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it_as_failed():
     turns = Turns()
     asker, _ = turns.take([Send(1, 1)])
-    assert turns.step(Began(1, "head"), after=10) == [Begin(asker, "head", "s-1", 0)]
+    assert turns.step(StreamStarted(1, "head"), after=10) == [Begin(asker, "head", "s-1", 0)]
     assert turns.step(after=5000) == []
     assert turns.step(AttemptFinished(1, AttemptOutcome.RESET)) == [
         Answer(asker, Failed(AttemptOutcome.RESET))
@@ -155,8 +160,8 @@
 def test_a_client_that_reads_slowly_does_not_make_its_node_look_slow():
     turns = Turns()
     asker, _ = turns.take([Send(1, 1)])
-    turns.step(Began(1, "head"), Held(1), after=10)
-    turns.step(Held(1), after=3000)
+    turns.step(StreamStarted(1, "head"), ResponseBuffered(1), after=10)
+    turns.step(ResponseBuffered(1), after=3000)
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK), after=1) == [
         Answer(asker, Served(None, "s-1", 0))
     ]
@@ -183,8 +188,8 @@
 def test_a_client_that_leaves_mid_stream_frees_the_attempt():
     turns = Turns()
     asker, _ = turns.take([Send(1, 1)])
-    turns.step(Began(1, "head"))
-    assert turns.step(Left(asker)) == [AbortAttempt(1)]
+    turns.step(StreamStarted(1, "head"))
+    assert turns.step(ClientDisconnected(asker)) == [AbortAttempt(1)]
     turns.step()
     assert turns.script.outcomes() == [(1, 0, AttemptOutcome.CANCELLED, True)] and not turns.core.requests
 
--- a/tests/listeners/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -12,7 +12,7 @@
 
 from runloft.config.settings import config_from_json
 from runloft.core.guard import CloseReason
-from runloft.core.model import Left, Served, Taken
+from runloft.core.model import ClientDisconnected, RequestReceived, Served
 from runloft.core.timers import TimerQueue
 from runloft.listeners.resp import IDLE_NS, LINGER_NS, PIPELINED, RespFront
 from runloft.net.sockets import connecting
@@ -48,10 +48,10 @@
         return sock
 
     def taken(self):
-        return [event.asker for event in self.posted if isinstance(event, Taken)]
+        return [event.asker for event in self.posted if isinstance(event, RequestReceived)]
 
     def left(self):
-        return [event.asker for event in self.posted if isinstance(event, Left)]
+        return [event.asker for event in self.posted if isinstance(event, ClientDisconnected)]
 
     def wait(self, milliseconds):
         self.now += int(milliseconds * MS)
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 
-from runloft.core.model import Answer, Closing, NodeListUpdate, NodeUpdate, Refused, Taken
+from runloft.core.model import Answer, NodeListUpdate, NodeUpdate, Refused, RequestReceived, ShutdownStarted
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
@@ -44,7 +44,7 @@
             self.next_at = self.scene.now + self.every
             payload = SimpleNamespace(wire="resp", held_bytes=1)
             ask = SimpleNamespace(payload=payload, time_left_ns=self.busy, **ASK)
-            self.scene.runner.post(Taken(ResponseSink(self), ask))
+            self.scene.runner.post(RequestReceived(ResponseSink(self), ask))
 
 
 class ResponseSink:
@@ -132,8 +132,8 @@
 def test_closing_is_told_to_the_module_and_its_answers_go_out():
     turns = Turns()
     asker, _ = turns.take([])
-    effects = turns.step(Closing(), plan=[Refuse(1, SECOND)])
-    assert turns.script.told[-1] == contract.Closing()
+    effects = turns.step(ShutdownStarted(), plan=[Refuse(1, SECOND)])
+    assert turns.script.told[-1] == contract.ShutdownStarted()
     assert effects == [Answer(asker, Refused(SECOND))]
 
 
@@ -146,8 +146,8 @@
     held = host.ask(shard=7)  # no node has it
     done = host.ask()
     host.end(done)
-    host.see(contract.Closing())
-    host.see(contract.Closing())
+    host.see(contract.ShutdownStarted())
+    host.see(contract.ShutdownStarted())
     assert [type(a) for _, a in host.answers(sent)] == [answer]
     assert [type(a) for _, a in host.answers(held)] == [Refuse]
     assert host.answers(held)[0][1].retry_after_ns > 0 and not host.answers(done)
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -10,13 +10,13 @@
 from runloft.config.settings import config_from_json
 from runloft.core.model import (
     AttemptWithdrawn,
+    ClientDisconnected,
     Failed,
-    Left,
     NodeListUpdate,
     NodeUpdate,
     Refused,
+    RequestReceived,
     RequestSpec,
-    Taken,
 )
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
@@ -39,7 +39,7 @@
     def answer(self, reply):
         self.replies.append(reply)
 
-    def has_left(self):
+    def has_disconnected(self):
         return self.left
 
 
@@ -88,7 +88,7 @@
     def take(self, deadline=2000, id_=ID, *body):
         asker = ResponseSink()
         payload = RespPayload((b"IO.IN", b"7f3a9c21e0b4d655", id_, *body), b"d=", b"")
-        self.runner.post(Taken(asker, RequestSpec(0, 0, 1, 1.0, deadline * MS, 0, payload, id=id_)))
+        self.runner.post(RequestReceived(asker, RequestSpec(0, 0, 1, 1.0, deadline * MS, 0, payload, id=id_)))
         self.runner.turn()
         return asker
 
@@ -124,7 +124,7 @@
 
 LIMITS = {"Limits": settings()["Limits"] | {"Cancel": False}}
 CROSSINGS = {
-    "its client leaves": lambda scene, asker: scene.runner.post(Left(asker)),
+    "its client leaves": lambda scene, asker: scene.runner.post(ClientDisconnected(asker)),
     "its node is to drain": lambda scene, _: scene.tell(ListKind.DELTA, state=NodeState.DRAINING),
     "its node is gone": lambda scene, _: scene.tell(uid="s-2", endpoint="127.0.0.1:1"),
     "its node starts anew": lambda scene, _: scene.tell(ListKind.DELTA, started_ns=scene.now),
@@ -206,7 +206,9 @@
         scene.up.set()
         body = b"x" * (8 << 20)  # more than the system takes before the node reads
         payload = RespPayload((b"IO.OUT", b"7f3a9c21e0b4d655", ID, body), b"d=", b"")
-        scene.runner.post(Taken(ResponseSink(), RequestSpec(0, 0, 1, 1.0, 2000 * MS, 0, payload, id=ID)))
+        scene.runner.post(
+            RequestReceived(ResponseSink(), RequestSpec(0, 0, 1, 1.0, 2000 * MS, 0, payload, id=ID))
+        )
         scene.turn()
         conn = await scene.node()
         connection = next(iter(scene.link.open))
@@ -268,7 +270,7 @@
         asker = scene.take()
         assert scene.link.waiting
         scene.link.most = 8
-        scene.runner.post(Left(asker))
+        scene.runner.post(ClientDisconnected(asker))
         scene.turn()
         scene.turn(10)
         assert not scene.link.waiting and not scene.link.open
@@ -435,7 +437,7 @@
                 scene.up = anyio.Event()
             askers.append(scene.take(400, b"%016x" % number))
             if number % 7 == 0:
-                scene.runner.post(Left(askers[-1]))
+                scene.runner.post(ClientDisconnected(askers[-1]))
             for _ in range(10):
                 await anyio.sleep(0)
                 look()
@@ -495,7 +497,7 @@
         monkeypatch.setattr(links, "connect", failing)
         asker = scene.take()
         await until(lambda: scene.link.waiting)
-        scene.runner.post(Left(asker))
+        scene.runner.post(ClientDisconnected(asker))
         scene.turn()
         assert not (scene.link.waiting or scene.link.open or scene.core.attempts)
 
