--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -15,8 +15,8 @@
 from runloft.core.model import Bounds, SuspendedVolumes
 from runloft.decisions import contract
 
-EFFECTS = {"retryable": contract.Effect.SAFE, "dedup": contract.Effect.KEYED}
-GROUPS = {"all": contract.Group.ALL, "zone": contract.Group.ZONE}
+EFFECTS = {"retryable": contract.Idempotency.IDEMPOTENT, "dedup": contract.Idempotency.IDEMPOTENT_WITH_KEY}
+GROUPS = {"all": contract.IdempotencyScope.ALL, "zone": contract.IdempotencyScope.ZONE}
 REPORT_FIELDS = {
     "rif": "inflight",
     "q": "queue",
@@ -363,9 +363,9 @@
                 deadline_ns=deadline,
                 worth=number(path + "Importance", 1.0),
                 late_worth=number(path + "LateValue"),
-                effect=EFFECTS.get(raw.get(path + "Effect", ""), contract.Effect.UNSAFE),
-                group=GROUPS.get(raw.get(path + "Group", ""), contract.Group.SHARD),
-                window_ns=integer(path + "Window"),
+                idempotency=EFFECTS.get(raw.get(path + "Effect", ""), contract.Idempotency.NOT_IDEMPOTENT),
+                idempotency_scope=GROUPS.get(raw.get(path + "Group", ""), contract.IdempotencyScope.SHARD),
+                idempotency_window_ns=integer(path + "Window"),
                 in_order=flag(path + "InTurn"),
                 streamed=flag(path + "Streamed"),
                 writes=index < len(writes) and writes[index] == "true",
--- a/runloft/core/guard.py
+++ b/runloft/core/guard.py
@@ -11,7 +11,7 @@
 
 from runloft.core.model import Bounds, NodeUpdate, ResponseSink
 from runloft.core.records import Attempt, PendingRequest
-from runloft.decisions.contract import Effect, NodeState, Settings
+from runloft.decisions.contract import Idempotency, NodeState, Settings
 
 WIRE_PART = 0.5  # of each bound, for what comes by one wire: a flood on one front leaves room for the other
 VERIFY_AFTER_NS = 10_000_000  # a client seen so recently needs no second look before the first byte
@@ -110,10 +110,10 @@
     if request.doubt_at is None:
         return None
     request_class = settings.classes[request.ask.request_class]
-    if request_class.effect is Effect.UNSAFE:
+    if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
         return SendRefusal.MAY_HAVE_RUN
-    closes_at = request.doubt_at + request_class.window_ns
-    if request_class.effect is Effect.KEYED and now + settings.tick_ns >= closes_at:
+    closes_at = request.doubt_at + request_class.idempotency_window_ns
+    if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and now + settings.tick_ns >= closes_at:
         return SendRefusal.REPEAT_WINDOW_CLOSED
     return None
 
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -8,15 +8,15 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeat of a request may do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class Group(Enum):
+class IdempotencyScope(Enum):
     """Which nodes discard the repeats of a keyed request."""
 
     ALL = "all"
@@ -62,9 +62,9 @@
     deadline_ns: int
     worth: float = 1.0
     late_worth: float = 0.0
-    effect: Effect = Effect.UNSAFE
-    group: Group = Group.SHARD
-    window_ns: int = 0
+    idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
+    idempotency_scope: IdempotencyScope = IdempotencyScope.SHARD
+    idempotency_window_ns: int = 0
     in_order: bool = False
     streamed: bool = False
     writes: bool = False
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -14,12 +14,12 @@
     Cancel,
     ClientGone,
     ShutdownStarted,
-    Effect,
+    Idempotency,
     AttemptOutcome,
     Event,
     Fail,
     Forget,
-    Group,
+    IdempotencyScope,
     ListKind,
     NewSettings,
     NodeEntry,
@@ -421,7 +421,9 @@
         while held and node.has_room(rate, now):
             best, best_rank = None, (False, 0.0, 0)
             for ticket in held:
-                harmless = not suspect or ticket.request_class.effect is not Effect.UNSAFE  # as a trial
+                harmless = (
+                    not suspect or ticket.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+                )  # as a trial
                 rank = (harmless, self._worth(ticket, node, rate, now), -ticket.aim_at)
                 if (best is None or rank > best_rank) and self._may_send(ticket, node, rate, now):
                     best, best_rank = ticket, rank
@@ -474,11 +476,15 @@
 
     def _same_group(self, ticket: Ticket, node: Node) -> bool:
         """Whether a keyed request that may have run would be known there as a repeat."""
-        if ticket.doubt_node is None or ticket.request_class.effect is Effect.SAFE:
+        if ticket.doubt_node is None or ticket.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        first, group = self.nodes[ticket.doubt_node].entry, ticket.request_class.group
-        same = first.zone == node.entry.zone if group is Group.ZONE else first.shard == node.entry.shard
-        return same or group is Group.ALL
+        first, group = self.nodes[ticket.doubt_node].entry, ticket.request_class.idempotency_scope
+        same = (
+            first.zone == node.entry.zone
+            if group is IdempotencyScope.ZONE
+            else first.shard == node.entry.shard
+        )
+        return same or group is IdempotencyScope.ALL
 
     def _in_turn(self, ticket: Ticket, now: int) -> bool:
         """Whether it has the turn and its key has rested from others' open ends."""
@@ -508,10 +514,10 @@
         """Guards effects and budget: a further attempt goes out only as class, budget and cap allow."""
         if ticket.out or ticket.attempts >= self.settings.max_attempts or not self._in_budget(now):
             return False
-        if ticket.doubt_at is None or ticket.request_class.effect is Effect.SAFE:
+        if ticket.doubt_at is None or ticket.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        in_window = now + self.settings.tick_ns < ticket.doubt_at + ticket.request_class.window_ns
-        keyed = ticket.request_class.effect is Effect.KEYED and in_window
+        in_window = now + self.settings.tick_ns < ticket.doubt_at + ticket.request_class.idempotency_window_ns
+        keyed = ticket.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and in_window
         return keyed and node is not None and self._same_group(ticket, node)
 
     def _cold_since(self, node: Node, now: int) -> int | None:
@@ -550,7 +556,9 @@
         else:
             self._volume(ticket, now).draw(ticket.units)
         timeout = (
-            int(SILENT_AIMS * self.aim) if suspect and ticket.request_class.effect is not Effect.UNSAFE else 0
+            int(SILENT_AIMS * self.aim)
+            if suspect and ticket.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+            else 0
         )
         if ticket.refusable and self.many:
             # Guards crowded nodes: late work that left before the crowd was known makes all behind it late.
--- a/runloft/decisions/state.py
+++ b/runloft/decisions/state.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from runloft.decisions.contract import ClassSettings, Effect, Group, Request
+from runloft.decisions.contract import ClassSettings, Idempotency, IdempotencyScope, Request
 
 
 class Ticket:
@@ -14,8 +14,11 @@
         self.aim_at = now + min(request_class.aim_ns, request.time_left_ns)
         self.deadline = now + request.time_left_ns
         # A repeat is harmless though an attempt may have run, so that a refusal may say so.
-        keyed = request_class.effect is Effect.KEYED and request_class.group is Group.ALL
-        self.refusable = request_class.effect is Effect.SAFE or keyed
+        keyed = (
+            request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and request_class.idempotency_scope is IdempotencyScope.ALL
+        )
+        self.refusable = request_class.idempotency is Idempotency.IDEMPOTENT or keyed
         self.taken_at = now
         self.hold_until = self.deadline  # when it is given up if nothing of it has left
         self.attempts = 0
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -25,7 +25,7 @@
 )  # fmt: skip
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import AttemptOutcome, Effect, Group, ListKind, NodeState
+from runloft.decisions.contract import AttemptOutcome, Idempotency, IdempotencyScope, ListKind, NodeState
 from runloft.listeners.grammar import Translator
 from tests.support.driver import MS, SECOND
 
@@ -46,7 +46,7 @@
         "HardLimit": TIMES.map(lambda t: t * MS),
         "Effect": st.sampled_from(["retryable", "dedup", "fragile"]),
     },
-    Group=st.sampled_from(["all", "zone", "cell"]),
+    IdempotencyScope=st.sampled_from(["all", "zone", "cell"]),
     Window=TIMES.map(lambda t: t * MS),
     InTurn=st.booleans(),
     Importance=st.sampled_from([0, 0.5, 7]),
@@ -176,9 +176,12 @@
         assert self.now <= self.open.pop(asker) + self.settings.tick_ns
         assert not isinstance(reply, Rejected)
         asker.over = True
-        keyed = asker.request_class.effect is Effect.KEYED and asker.request_class.group is Group.ALL
+        keyed = (
+            asker.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and asker.request_class.idempotency_scope is IdempotencyScope.ALL
+        )
         if isinstance(reply, Refused):
-            harmless = asker.request_class.effect is Effect.SAFE or keyed
+            harmless = asker.request_class.idempotency is Idempotency.IDEMPOTENT or keyed
             assert harmless or (asker.doubt_at is None and not asker.out)
         assert isinstance(reply, Served | Failed | Refused)
 
@@ -200,12 +203,12 @@
         assert asker.ask.shard in (None, order.node.shard)
         assert 0 < order.wait_ns <= self.open[asker] - self.now
         if asker.doubt_at is not None:
-            assert request_class.effect is not Effect.UNSAFE
-            if request_class.effect is Effect.KEYED:
-                assert self.now < asker.doubt_at + request_class.window_ns
+            assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+            if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+                assert self.now < asker.doubt_at + request_class.idempotency_window_ns
                 first = self.nodes[asker.first]
-                same = {Group.ALL: True, Group.ZONE: first.zone == order.node.zone}
-                assert same.get(request_class.group, first.shard == order.node.shard)
+                same = {IdempotencyScope.ALL: True, IdempotencyScope.ZONE: first.zone == order.node.zone}
+                assert same.get(request_class.idempotency_scope, first.shard == order.node.shard)
         if request_class.in_order and asker.ask.key:
             ahead = self.lines[asker.ask.key][: self.lines[asker.ask.key].index(asker)]
             assert all(other.over and not other.out for other in ahead)
--- a/tests/core/test_guard.py
+++ b/tests/core/test_guard.py
@@ -13,11 +13,11 @@
 from runloft.core.invariants import Invariants, Violation
 from runloft.core.model import Bounds, NodeUpdate, RequestSpec
 from runloft.core.records import Attempt, PendingRequest
-from runloft.decisions.contract import Effect, NodeState
+from runloft.decisions.contract import Idempotency, NodeState
 from tests.support.driver import MS, SECOND, request_class, settings
 
 NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
-EFFECTS = st.sampled_from(Effect)
+EFFECTS = st.sampled_from(Idempotency)
 TIMES = st.integers(0, 2 * SECOND)
 
 
@@ -26,8 +26,8 @@
     return PendingRequest(1, "asker", ask, SECOND, **more)
 
 
-def conf(effect=Effect.SAFE, **more):
-    return settings(request_class(effect, deadline=1000, window_ns=500 * MS), **more)
+def conf(idempotency=Idempotency.IDEMPOTENT, **more):
+    return settings(request_class(idempotency, deadline=1000, idempotency_window_ns=500 * MS), **more)
 
 
 @given(
@@ -46,8 +46,8 @@
     if refusal is None:
         assert not over and not out and now < request.deadline and sends < rules.max_attempts
         assert state is not NodeState.GONE
-        assert doubt_at is None or effect is not Effect.UNSAFE
-        assert doubt_at is None or effect is Effect.SAFE or now < doubt_at + 500 * MS
+        assert doubt_at is None or effect is not Idempotency.NOT_IDEMPOTENT
+        assert doubt_at is None or effect is Idempotency.IDEMPOTENT or now < doubt_at + 500 * MS
     else:
         assert isinstance(refusal, SendRefusal)
 
@@ -62,7 +62,7 @@
     assert bool(permit) is (permit.refusal is None) is (permit.wait_ns > 0)
     if permit:
         assert state is NodeState.READY and permit.wait_ns == due - now
-        assert doubt_at is None or effect is not Effect.UNSAFE
+        assert doubt_at is None or effect is not Idempotency.NOT_IDEMPOTENT
         assert permit.verify is (None if now - seen <= guard.VERIFY_AFTER_NS else "asker")
 
 
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -9,8 +9,8 @@
     AttemptOutcome,
     AttemptResult,
     ClientGone,
-    Effect,
     Fail,
+    Idempotency,
     NodeEntry,
     NodeState,
     PlanSettings,
@@ -218,7 +218,7 @@
 
 
 def test_news_of_what_has_ended_or_was_never_known_is_passed_over():
-    host = Host(settings(request_class(Effect.UNSAFE)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.end(id_)
     host.end(id_)
@@ -308,7 +308,9 @@
 
 
 def test_a_keyed_request_past_its_window_fails_then_and_is_not_held_to_its_deadline():
-    keyed_class = request_class(Effect.KEYED, aim=100, deadline=3000, window_ns=200 * MS)
+    keyed_class = request_class(
+        Idempotency.IDEMPOTENT_WITH_KEY, aim=100, deadline=3000, idempotency_window_ns=200 * MS
+    )
     host = Host(settings(keyed_class, request_class(aim=100, deadline=3000, worth=5.0)))
     host.serve(30, latency=50, request_class=1)
     asked, keyed = host.now, host.ask()
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from runloft.decisions.contract import AttemptOutcome, Effect, Group, NodeEntry, NodeState
+from runloft.decisions.contract import AttemptOutcome, Idempotency, IdempotencyScope, NodeEntry, NodeState
 from tests.support.driver import MS, NODE, SECOND, Host, request_class, settings
 from tests.support.fleet import CONNECT, Fleet, fleet_settings
 
@@ -166,7 +166,10 @@
 @pytest.mark.parametrize(
     "hosts, nodes, capacity, load, zones, request_class",
     [(*size, zones, {}) for size in SIZES for zones in (2, 3)]
-    + [(*SIZES[0], 3, {"effect": Effect.UNSAFE}), (*SIZES[0], 3, {"aim": 3000, "deadline": 12000})],
+    + [
+        (*SIZES[0], 3, {"idempotency": Idempotency.NOT_IDEMPOTENT}),
+        (*SIZES[0], 3, {"aim": 3000, "deadline": 12000}),
+    ],
 )
 def test_after_a_cut_the_nodes_that_were_silent_soon_serve(
     hosts, nodes, capacity, load, zones, request_class
@@ -184,10 +187,16 @@
     assert (fleet.served - served) / (fleet.asked - asked) >= 0.88 * before
 
 
-KEYED = {"effect": Effect.KEYED, "group": Group.ALL, "window_ns": 20 * SECOND}
+IDEMPOTENT_WITH_KEY = {
+    "idempotency": Idempotency.IDEMPOTENT_WITH_KEY,
+    "idempotency_scope": IdempotencyScope.ALL,
+    "idempotency_window_ns": 20 * SECOND,
+}
 
 
-@pytest.mark.parametrize("hosts, nodes, request_class", [(40, 30, {}), (40, 30, KEYED), (200, 60, {})])
+@pytest.mark.parametrize(
+    "hosts, nodes, request_class", [(40, 30, {}), (40, 30, IDEMPOTENT_WITH_KEY), (200, 60, {})]
+)
 def test_after_a_flood_what_is_within_its_reserve_is_served_again(hosts, nodes, request_class):
     """Day split+mass, seed 2: late work of a burst kept all nodes late, and prices kept idle ones shut."""
     fleet = Fleet(hosts, nodes, one_class=request_class)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -8,9 +8,9 @@
     AttemptOutcome,
     Cancel,
     ClientGone,
-    Effect,
     Fail,
-    Group,
+    Idempotency,
+    IdempotencyScope,
     ListKind,
     NodeEntry,
     NodeState,
@@ -33,7 +33,7 @@
 
 
 def test_a_timeout_at_the_deadline_still_owes_an_answer_and_gets_one():
-    host = Host(settings(request_class(Effect.UNSAFE)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.now = 600 * MS
     host.end(id_, AttemptOutcome.TIMEOUT)
@@ -42,7 +42,7 @@
 
 
 def test_an_answer_by_timer_comes_even_if_no_outcome_does():
-    host = Host(settings(request_class(Effect.UNSAFE)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.wait(1000)
     assert [t <= 600 * MS for t, _ in host.answers(id_)] == [True]
@@ -77,7 +77,7 @@
     "outcome", [AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED]
 )
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_repeated(outcome):
-    host = Host(settings(request_class(Effect.UNSAFE)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.end(id_, outcome)
     host.wait(1000)
@@ -89,7 +89,7 @@
     "outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT]
 )
 def test_an_unsafe_request_that_surely_never_ran_is_tried_again(outcome):
-    host = Host(settings(request_class(Effect.UNSAFE)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.end(id_, outcome)
     host.wait(100)
@@ -97,7 +97,11 @@
 
 
 def test_a_keyed_request_is_repeated_within_its_window_only():
-    host = Host(settings(request_class(Effect.KEYED, deadline=3000, window_ns=200 * MS)))
+    host = Host(
+        settings(
+            request_class(Idempotency.IDEMPOTENT_WITH_KEY, deadline=3000, idempotency_window_ns=200 * MS)
+        )
+    )
     id_ = host.ask()
     host.wait(50)
     host.end(id_, AttemptOutcome.ERROR)
@@ -109,22 +113,37 @@
     assert [type(a) for _, a in host.answers(id_)] == [Fail]
 
 
-@pytest.mark.parametrize(("group", "count"), [(Group.SHARD, 1), (Group.ZONE, 1), (Group.ALL, 2)])
+@pytest.mark.parametrize(
+    ("group", "count"), [(IdempotencyScope.SHARD, 1), (IdempotencyScope.ZONE, 1), (IdempotencyScope.ALL, 2)]
+)
 def test_a_keyed_new_object_that_may_have_run_stays_in_its_group(group, count):
-    conf = settings(request_class(Effect.KEYED, deadline=3000, window_ns=SECOND, group=group))
+    conf = settings(
+        request_class(
+            Idempotency.IDEMPOTENT_WITH_KEY,
+            deadline=3000,
+            idempotency_window_ns=SECOND,
+            idempotency_scope=group,
+        )
+    )
     host = Host(conf, nodes=(NodeEntry(10, 0, zone=0), NodeEntry(11, 1, zone=1)))
     id_ = host.ask(shard=None)
     first = host.nodes[id_]
     host.tell(replace(gone(first, first - 10), zone=first - 10))
     host.end(id_, AttemptOutcome.RESET)
     host.wait(900)
-    assert len(host.sends(id_)) == 1 or group is Group.ALL
+    assert len(host.sends(id_)) == 1 or group is IdempotencyScope.ALL
     assert len({a.node for _, a in host.sends(id_)}) <= count
 
 
 def test_only_a_group_of_all_lets_a_keyed_request_be_refused_after_doubt():
-    for group, kind in ((Group.ALL, Refuse), (Group.SHARD, Fail)):
-        host = Host(settings(request_class(Effect.KEYED, window_ns=1, group=group)))
+    for group, kind in ((IdempotencyScope.ALL, Refuse), (IdempotencyScope.SHARD, Fail)):
+        host = Host(
+            settings(
+                request_class(
+                    Idempotency.IDEMPOTENT_WITH_KEY, idempotency_window_ns=1, idempotency_scope=group
+                )
+            )
+        )
         id_ = host.ask()
         host.end(id_, AttemptOutcome.ERROR)
         assert [type(a) for _, a in host.answers(id_)] == [kind]
@@ -275,7 +294,9 @@
 
 # 5. Order is kept where a class asks for it.
 
-ORDERED = request_class(Effect.KEYED, deadline=3000, window_ns=SECOND, in_order=True)
+ORDERED = request_class(
+    Idempotency.IDEMPOTENT_WITH_KEY, deadline=3000, idempotency_window_ns=SECOND, in_order=True
+)
 
 
 def test_requests_of_one_key_run_one_at_a_time_in_order():
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -10,7 +10,7 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
-from runloft.decisions.contract import AttemptOutcome, Effect, Fail, ListKind, Refuse
+from runloft.decisions.contract import AttemptOutcome, Fail, Idempotency, ListKind, Refuse
 from runloft.service.runner import FINISH_NS, Runner, wind_down
 from tests.core.test_core import Turns
 from tests.support.driver import MS, SECOND, Host, request_class, settings
@@ -138,7 +138,12 @@
 
 
 @pytest.mark.parametrize(
-    "effect, answer", [(Effect.SAFE, Refuse), (Effect.UNSAFE, Fail), (Effect.KEYED, Fail)]
+    "effect, answer",
+    [
+        (Idempotency.IDEMPOTENT, Refuse),
+        (Idempotency.NOT_IDEMPOTENT, Fail),
+        (Idempotency.IDEMPOTENT_WITH_KEY, Fail),
+    ],
 )
 def test_what_is_open_at_the_end_has_one_answer_that_fits_what_may_have_run(effect, answer):
     host = Host(settings(request_class(effect, aim=1000, deadline=9000)), at=SECOND)
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from runloft.decisions.contract import Effect, Group
+from runloft.decisions.contract import Idempotency, IdempotencyScope
 from runloft.simulator import wire as wire
 from runloft.simulator.adapter import Adapter, settings_from_wire
 
 SETUP = b"""Classes.count=1
 Classes.0.Target=100000000
 Classes.0.HardLimit=600000000
-Classes.0.Effect=dedup
+Classes.0.Idempotency=dedup
 Classes.0.Group=cell
 ServiceLevels.count=1
 ServiceLevels.0.BaseRate=4.5
@@ -85,7 +85,10 @@
 
 def test_settings_are_translated_and_unknown_keys_passed_over():
     got = settings_from_wire(wire.parse_settings(SETUP.decode()))
-    assert got.classes[0].effect is Effect.KEYED and got.classes[0].group is Group.SHARD
+    assert (
+        got.classes[0].idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        and got.classes[0].idempotency_scope is IdempotencyScope.SHARD
+    )
     assert got.plans[0].rate == 4.5 and got.report_fields == ("inflight", "queue")
     assert got.budget_window_ns == 0 and got.max_attempts == 4
 
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -7,9 +7,9 @@
     AttemptOutcome,
     AttemptResult,
     ClassSettings,
-    Effect,
     Event,
     Fail,
+    Idempotency,
     ListKind,
     NodeEntry,
     NodeList,
@@ -28,8 +28,8 @@
 SECOND = 1000 * MS
 
 
-def request_class(effect=Effect.SAFE, aim=100, deadline=600, **more) -> ClassSettings:
-    return ClassSettings(aim_ns=aim * MS, deadline_ns=deadline * MS, effect=effect, **more)
+def request_class(idempotency=Idempotency.IDEMPOTENT, aim=100, deadline=600, **more) -> ClassSettings:
+    return ClassSettings(aim_ns=aim * MS, deadline_ns=deadline * MS, idempotency=idempotency, **more)
 
 
 def settings(*classes: ClassSettings, plan: PlanSettings | None = None, **more) -> Settings:
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -367,7 +367,7 @@
     play(monkeypatch, story)
 
 
-UNSAFE = {"Classes": [c | {"Effect": "fragile"} for c in settings()["Classes"]]}
+NOT_IDEMPOTENT = {"Classes": [c | {"Effect": "fragile"} for c in settings()["Classes"]]}
 
 
 @pytest.mark.parametrize(
@@ -391,7 +391,7 @@
         assert (not asker.replies) == (sends == 2) == bool(scene.core.attempts)
         assert all(isinstance(reply, Failed) for reply in asker.replies)
 
-    play(monkeypatch, story, **UNSAFE)
+    play(monkeypatch, story, **NOT_IDEMPOTENT)
 
 
 def test_a_further_attempt_tells_its_node_no_more_than_is_left_to_the_client(monkeypatch):
