--- a/runloft/accounts/ledger.py
+++ b/runloft/accounts/ledger.py
@@ -103,7 +103,7 @@
 
     def configured(self, settings: Settings) -> None:
         """Go by these classes' aims; classes keep their numbers, more may come."""
-        self.aims_ns = tuple(request_class.aim_ns for request_class in settings.classes)
+        self.aims_ns = tuple(request_class.latency_objective_ns for request_class in settings.classes)
 
     def taken(self, id_: int, now: int, volume: int, request_class: int, plan: int, units: float) -> None:
         """Note that a request was taken."""
--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -207,7 +207,7 @@
         path = f"settings.Classes.{index}"
         if request_class.deadline_ns <= 0:
             faults.append(f"{path}.HardLimit: a positive time is wanted")
-        if request_class.aim_ns <= 0:
+        if request_class.latency_objective_ns <= 0:
             faults.append(f"{path}.Target: a positive time is wanted")
         if pairs.get(f"Classes.{index}.Effect") not in (*EFFECTS, "fragile", None):
             faults.append(f"{path}.Effect: one of {', '.join(EFFECTS)}, fragile is wanted")
@@ -359,10 +359,10 @@
         deadline = integer(path + "HardLimit")
         classes.append(
             contract.ClassSettings(
-                aim_ns=integer(path + "Target", deadline),
+                latency_objective_ns=integer(path + "Target", deadline),
                 deadline_ns=deadline,
-                worth=number(path + "Importance", 1.0),
-                late_worth=number(path + "LateValue"),
+                priority_weight=number(path + "Importance", 1.0),
+                late_priority_weight=number(path + "LateValue"),
                 idempotency=EFFECTS.get(raw.get(path + "Effect", ""), contract.Idempotency.NOT_IDEMPOTENT),
                 idempotency_scope=GROUPS.get(raw.get(path + "Group", ""), contract.IdempotencyScope.SHARD),
                 idempotency_window_ns=integer(path + "Window"),
@@ -394,8 +394,8 @@
         tick_ns=integer("Tick", 1_000_000),
         mean_units=number("Extra.UsualUnits", 1.0),
         max_units=number("Extra.MaxUnits", 1.0),
-        share_worth=number("Extra.WithinShare", 1.0),
-        spare_worth=number("Extra.BeyondShare", 1.0),
+        within_quota_factor=number("Extra.WithinShare", 1.0),
+        beyond_quota_factor=number("Extra.BeyondShare", 1.0),
         cold_units=number("Extra.ColdUnits"),
         cold_from=number("Safety.ColdFrom", 1.0),
         cold_ns=integer("Safety.Cold"),
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -58,10 +58,10 @@
 class ClassSettings:
     """One class of request."""
 
-    aim_ns: int
+    latency_objective_ns: int
     deadline_ns: int
-    worth: float = 1.0
-    late_worth: float = 0.0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
     idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
     idempotency_scope: IdempotencyScope = IdempotencyScope.SHARD
     idempotency_window_ns: int = 0
@@ -94,8 +94,8 @@
     tick_ns: int = 1_000_000
     mean_units: float = 1.0
     max_units: float = 1.0
-    share_worth: float = 1.0
-    spare_worth: float = 1.0
+    within_quota_factor: float = 1.0
+    beyond_quota_factor: float = 1.0
     cold_units: float = 0.0
     cold_from: float = 1.0
     cold_ns: int = 0
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -271,8 +271,8 @@
         """Go by these settings from now on; what is open and what was learned stay."""
         self.settings, self.many = settings, settings.hosts > FEW_HOSTS
         self.limited = any(plan.limit for plan in settings.plans)
-        self.aim = min((c.aim_ns for c in settings.classes), default=SECOND)
-        self.top_worth = max((c.worth for c in settings.classes), default=1.0)
+        self.aim = min((c.latency_objective_ns for c in settings.classes), default=SECOND)
+        self.top_worth = max((c.priority_weight for c in settings.classes), default=1.0)
         self.top_worth *= max((p.price for p in settings.plans), default=1.0)
         self.pool.window = self.aim
         self.most_left.clear()  # a longer deadline than before would make every try look like a later one
@@ -337,7 +337,7 @@
             self.most_left.get(request.request_class, 0), request.time_left_ns
         )
         if request.time_left_ns < most - RETRY_SLACK * self.aim:
-            ticket.aim_at -= ticket.request_class.deadline_ns - request.time_left_ns
+            ticket.objective_at -= ticket.request_class.deadline_ns - request.time_left_ns
         if self.many:
             ticket.luck = self.random.uniform(1 - PRICE_JITTER, 1 + PRICE_JITTER)
         if ticket.request_class.in_order and request.key:
@@ -404,11 +404,13 @@
         store, due = self._volume(ticket, now), 1.0
         if store.reserve < ticket.units:
             fair = store.excess < SHARE_PART * rate / max(store.plan.weight, 1.0)
-            due = self.settings.share_worth if fair else self.settings.spare_worth
+            due = self.settings.within_quota_factor if fair else self.settings.beyond_quota_factor
         in_time = (
-            1.0 if node.ready(ticket.units, rate, now) <= ticket.aim_at else ticket.request_class.late_worth
+            1.0
+            if node.ready(ticket.units, rate, now) <= ticket.objective_at
+            else ticket.request_class.late_priority_weight
         )
-        return ticket.request_class.worth * store.plan.price * due * in_time
+        return ticket.request_class.priority_weight * store.plan.price * due * in_time
 
     def _dispatch(self, held: list[Ticket], node: Node, now: int) -> None:
         """Send from one node's held requests, the worthiest first, until its bound is reached."""
@@ -424,7 +426,7 @@
                 harmless = (
                     not suspect or ticket.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
                 )  # as a trial
-                rank = (harmless, self._worth(ticket, node, rate, now), -ticket.aim_at)
+                rank = (harmless, self._worth(ticket, node, rate, now), -ticket.objective_at)
                 if (best is None or rank > best_rank) and self._may_send(ticket, node, rate, now):
                     best, best_rank = ticket, rank
             if best is None:
@@ -453,7 +455,9 @@
     def _may_send(self, ticket: Ticket, node: Node, rate: float, now: int) -> bool:
         if self._barred(ticket, node, now) > 0:
             return False
-        late = node.ready(ticket.units, rate, now) > ticket.aim_at and node.latency > AIM_PART * self.aim
+        late = (
+            node.ready(ticket.units, rate, now) > ticket.objective_at and node.latency > AIM_PART * self.aim
+        )
         if late and now < node.sent_at + LATE_GAP * self.aim:
             return False  # late work waits while other hosts' work, maybe in time, fills the node
         allowed = not ticket.attempts or self._may_repeat(ticket, node, now)
@@ -471,8 +475,8 @@
         limit = 0.0 if ticket.attempts else self._volume(ticket, now).wait(ticket.units)
         if node is None or not (price := self._price(node, now) * ticket.luck * self.top_worth):
             return limit
-        worth = max(self._worth(ticket, node, self._rate(node, now), now), 1e-9)
-        return max(limit, math.log(price / worth) * node.price.fade / SECOND)
+        priority_weight = max(self._worth(ticket, node, self._rate(node, now), now), 1e-9)
+        return max(limit, math.log(price / priority_weight) * node.price.fade / SECOND)
 
     def _same_group(self, ticket: Ticket, node: Node) -> bool:
         """Whether a keyed request that may have run would be known there as a repeat."""
@@ -562,7 +566,7 @@
         )
         if ticket.refusable and self.many:
             # Guards crowded nodes: late work that left before the crowd was known makes all behind it late.
-            timeout = max(ticket.aim_at - now, self.aim)
+            timeout = max(ticket.objective_at - now, self.aim)
         node.sent(now, (ticket.id, ticket.attempts), ticket.units)
         ticket.out[ticket.attempts] = node.entry.node
         ticket.attempts, ticket.sent_at = ticket.attempts + 1, now
@@ -579,7 +583,7 @@
         self.nodes[sent_to].ended(now, key, ticket.units, result.outcome, result.latency_ns, luck)
         if self.many and (result.outcome is AttemptOutcome.OK or result.latency_ns >= self.aim):
             price, mean = self.nodes[sent_to].price, self.mean_price.now(now)
-            price.learn(now, result.latency_ns * self.aim // ticket.request_class.aim_ns, mean)
+            price.learn(now, result.latency_ns * self.aim // ticket.request_class.latency_objective_ns, mean)
             self.mean_price.value, self.mean_price.at = mean + PRICE_SPREAD * (price.value - mean), now
         ticket.reached |= result.outcome not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
         may_have_run = result.outcome not in NEVER_RAN and not result.never_started
--- a/runloft/decisions/state.py
+++ b/runloft/decisions/state.py
@@ -11,7 +11,7 @@
     def __init__(self, request: Request, request_class: ClassSettings, now: int) -> None:
         self.request, self.request_class = request, request_class
         self.id, self.units, self.shard = request.id, request.units, request.shard
-        self.aim_at = now + min(request_class.aim_ns, request.time_left_ns)
+        self.objective_at = now + min(request_class.latency_objective_ns, request.time_left_ns)
         self.deadline = now + request.time_left_ns
         # A repeat is harmless though an attempt may have run, so that a refusal may say so.
         keyed = (
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -241,7 +241,7 @@
             None,
         ]
         if (outcome := self.random.choice(outcomes)) is not None:
-            delay = int(self.random.random() ** 3 * 2 * request_class.aim_ns)
+            delay = int(self.random.random() ** 3 * 2 * request_class.latency_objective_ns)
             self.at(
                 self.now + delay,
                 AttemptFinished(order.attempt, outcome, b"v" if outcome is AttemptOutcome.OK else None),
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -73,7 +73,7 @@
 
 def test_a_surging_volume_crowds_out_only_itself():
     plan = PlanSettings(rate=2, reserve=3, weight=1)
-    conf = settings(request_class(deadline=2000), plan=plan, share_worth=0.3, spare_worth=0.1)
+    conf = settings(request_class(deadline=2000), plan=plan, within_quota_factor=0.3, beyond_quota_factor=0.1)
     host = Host(conf)
     host.serve(20, latency=20, volume=9)
     for _ in range(20):
@@ -311,7 +311,7 @@
     keyed_class = request_class(
         Idempotency.IDEMPOTENT_WITH_KEY, aim=100, deadline=3000, idempotency_window_ns=200 * MS
     )
-    host = Host(settings(keyed_class, request_class(aim=100, deadline=3000, worth=5.0)))
+    host = Host(settings(keyed_class, request_class(aim=100, deadline=3000, priority_weight=5.0)))
     host.serve(30, latency=50, request_class=1)
     asked, keyed = host.now, host.ask()
     host.ask(request_class=1)  # worth more: takes the only place when the first attempt ends
@@ -326,7 +326,9 @@
 
 def crowded(hosts: int, outcome=AttemptOutcome.OK) -> Host:
     """A host that saw a node answer late, or not at all; it has a dear class and a cheap one."""
-    dear, cheap = (request_class(aim=100, deadline=3000, worth=w, late_worth=0.5) for w in (4.0, 1.0))
+    dear, cheap = (
+        request_class(aim=100, deadline=3000, priority_weight=w, late_priority_weight=0.5) for w in (4.0, 1.0)
+    )
     host = Host(settings(dear, cheap, hosts=hosts), nodes=[NodeEntry(10, 0), NodeEntry(11, 1)])
     for _ in range(6 if outcome is AttemptOutcome.OK else 3):
         host.wait(400)
@@ -392,7 +394,7 @@
 
 
 def test_a_later_try_counts_its_aim_from_the_first():
-    host = Host(settings(request_class(aim=100, deadline=2000, late_worth=0.1)))
+    host = Host(settings(request_class(aim=100, deadline=2000, late_priority_weight=0.1)))
     host.serve(20, latency=20)
     out = [host.ask() for _ in range(4)]
     later, first = host.ask(left=1500), host.ask()
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -58,7 +58,10 @@
 
 def test_an_answer_in_its_classs_own_aim_raises_no_price():
     """A long class's answers, as slow as they may be, made every node look crowded to the tight classes."""
-    quick, slow = request_class(aim=100, deadline=3000), request_class(aim=1000, deadline=3000, worth=0.5)
+    quick, slow = (
+        request_class(aim=100, deadline=3000),
+        request_class(aim=1000, deadline=3000, priority_weight=0.5),
+    )
     host = Host(settings(quick, slow, hosts=40))
     for _ in range(6):
         host.end(host.ask(request_class=1), latency=300)
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -29,7 +29,9 @@
 
 
 def request_class(idempotency=Idempotency.IDEMPOTENT, aim=100, deadline=600, **more) -> ClassSettings:
-    return ClassSettings(aim_ns=aim * MS, deadline_ns=deadline * MS, idempotency=idempotency, **more)
+    return ClassSettings(
+        latency_objective_ns=aim * MS, deadline_ns=deadline * MS, idempotency=idempotency, **more
+    )
 
 
 def settings(*classes: ClassSettings, plan: PlanSettings | None = None, **more) -> Settings:
