--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -232,7 +232,7 @@
         if news.state is not NodeState.READY:
             return node, "drain"
         started_ns = self.start_times.own_ns(news.uid)
-        return node, "cold" if now - started_ns < self.settings.cold_ns else "bound"
+        return node, "cold" if now - started_ns < self.settings.slow_start_ns else "bound"
 
     def _leave(self, asker: ResponseSink, told: list[contract.Event], effects: list[Effect]) -> None:
         request = self.by_asker.get(asker)
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -96,11 +96,11 @@
     max_units: float = 1.0
     within_quota_factor: float = 1.0
     beyond_quota_factor: float = 1.0
-    cold_units: float = 0.0
-    cold_from: float = 1.0
-    cold_ns: int = 0
-    fall_multiple: float = 1.0
-    fall_ns: int = 0
+    slow_start_units: float = 0.0
+    slow_start_initial_fraction: float = 1.0
+    slow_start_ns: int = 0
+    overload_multiple: float = 1.0
+    overload_window_ns: int = 0
     settle_ns: int = 0
     budget_free: float = 0.0
     budget_share: float = 0.0
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -133,12 +133,12 @@
         self.quiet_since: int | None = None  # tried, with no success, since then
         self.sent_at = self.unanswered = 0
         self.saved, self.saved_from, self.saved_at = 0.0, -1, 0  # while cold: units below a whole request
-        self.served, self.usual = SlidingSum(settings.cold_ns), 0.0  # units served; a second, when warm
-        self.asked = SlidingSum(settings.cold_ns)  # units that clients asked for
+        self.served, self.usual = SlidingSum(settings.slow_start_ns), 0.0  # units served; a second, when warm
+        self.asked = SlidingSum(settings.slow_start_ns)  # units that clients asked for
         self.down_since = self.refused_at = self.gone_at = 0  # refused_at: when it was last found down
         self.failed, self.failed_at = 0.0, 0  # smoothed part of errors among answers; when last
         self.shut, self.shut_until = 0.0, 0  # turned away or not reached: how long nothing leaves, until when
-        self.recent = SlidingSum(settings.fall_ns)
+        self.recent = SlidingSum(settings.overload_window_ns)
 
     def usable(self) -> bool:
         """Guards drains: a node that is draining or gone gets nothing new."""
@@ -278,8 +278,8 @@
         self.most_left.clear()  # a longer deadline than before would make every try look like a later one
         for node in self.nodes.values():
             node.aim = node.rate.window = self.aim
-            node.served.window = node.asked.window = settings.cold_ns
-            node.recent.window = settings.fall_ns
+            node.served.window = node.asked.window = settings.slow_start_ns
+            node.recent.window = settings.overload_window_ns
         for price in (self.mean_price, *(node.price for node in self.nodes.values())):
             price.fade, price.timely = PRICE_FADE * self.aim, LATE_PART * self.aim
         for store in self.volumes.values():
@@ -526,7 +526,7 @@
 
     def _cold_since(self, node: Node, now: int) -> int | None:
         """When it started, by the list, or by a refused connection until the list could tell."""
-        since, cold = node.entry.started_ns, self.settings.cold_ns
+        since, cold = node.entry.started_ns, self.settings.slow_start_ns
         if since and now < since + cold:
             return since
         # A crowded node refuses too: the guess ends early, and restarts nothing that the list has dated.
@@ -535,22 +535,36 @@
     def _cold_room(self, node: Node, units: float, now: int) -> bool:
         """Guards cold nodes: this host's part of what the node bears in a window, sent or turned away."""
         s, since = self.settings, self._cold_since(node, now)
-        if since is None or not s.fall_ns:
+        if since is None or not s.overload_window_ns:
             return True
-        if now <= self.born + s.fall_ns and since < self.born:
+        if now <= self.born + s.overload_window_ns and since < self.born:
             return False  # a fresh host knows nothing of what it sent before: its first window is spent
         # A part of under one request is saved up to one, from even steps: never more than all parts together.
         if node.saved_from != since:
-            node.saved_from, node.saved_at = since, max(since, min(now, self.born + s.fall_ns))
+            node.saved_from, node.saved_at = since, max(since, min(now, self.born + s.overload_window_ns))
             node.saved = -(1 - s.host_number * GOLDEN % 1.0) * max(units, s.mean_units)
-            node.usual = node.served.total(now) * SECOND / max(1, min(s.cold_ns, now - self.born))
-        warm = s.cold_from + (1 - s.cold_from) * max(0, now - since - s.fall_ns) / max(1, s.cold_ns)
+            node.usual = node.served.total(now) * SECOND / max(1, min(s.slow_start_ns, now - self.born))
+        warm = s.slow_start_initial_fraction + (1 - s.slow_start_initial_fraction) * max(
+            0, now - since - s.overload_window_ns
+        ) / max(1, s.slow_start_ns)
         # All hosts' usual use is at most what a node does when warm; who knows no past goes by what is asked.
-        asked = node.asked.total(now) * SECOND / max(s.fall_ns, min(s.cold_ns, now - self.born))
+        asked = (
+            node.asked.total(now) * SECOND / max(s.overload_window_ns, min(s.slow_start_ns, now - self.born))
+        )
         even = self._rate(node, now) / max(1, s.hosts) * (EVEN_PARTS if self.many else 1)
-        borne = COLD_PART * s.fall_multiple * warm * max(node.usual, min(asked, even)) * s.fall_ns / SECOND
-        part = max((s.cold_units - s.mean_units) / max(1, s.hosts), borne)  # less one: steps are uneven
-        node.saved, node.saved_at = min(0.0, node.saved + part * (now - node.saved_at) / s.fall_ns), now
+        borne = (
+            COLD_PART
+            * s.overload_multiple
+            * warm
+            * max(node.usual, min(asked, even))
+            * s.overload_window_ns
+            / SECOND
+        )
+        part = max((s.slow_start_units - s.mean_units) / max(1, s.hosts), borne)  # less one: steps are uneven
+        node.saved, node.saved_at = (
+            min(0.0, node.saved + part * (now - node.saved_at) / s.overload_window_ns),
+            now,
+        )
         used = max(0.0, node.recent.total(now))
         return used + units <= part or (used < 1e-9 and node.saved >= 0.0)
 
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -143,7 +143,7 @@
 
 def sends_to_a_cold_node(latency):
     """Count those of a host that asks for a unit a second, in the first 14 s of a node."""
-    host = Host(fleet_settings(200, 0, cold_units=0.0), at=SECOND)
+    host = Host(fleet_settings(200, 0, slow_start_units=0.0), at=SECOND)
 
     def ask(times, answered):
         for _ in range(times):
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -191,11 +191,16 @@
     return len(host.sends()) - before
 
 
-COLD = {"cold_ns": 10 * SECOND, "fall_ns": 2 * SECOND, "fall_multiple": 2.0, "cold_from": 0.2}
+COLD = {
+    "slow_start_ns": 10 * SECOND,
+    "overload_window_ns": 2 * SECOND,
+    "overload_multiple": 2.0,
+    "slow_start_initial_fraction": 0.2,
+}
 
 
 def test_a_cold_node_gets_this_hosts_part_of_what_it_bears():
-    conf = settings(cold_units=20, hosts=4, max_attempts=1, **COLD)
+    conf = settings(slow_start_units=20, hosts=4, max_attempts=1, **COLD)
     host = Host(conf, at=100 * SECOND)
     host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
     assert flood(host, 1500) <= 20 / 4
@@ -205,7 +210,7 @@
 
 def test_many_hosts_take_turns_at_a_cold_node_within_what_it_bears():
     """Full size: a part of the budget is under one request, so for a whole warm-up nothing came at all."""
-    conf = settings(cold_units=20, max_attempts=1, **COLD)
+    conf = settings(slow_start_units=20, max_attempts=1, **COLD)
     sends: list[int] = []
     for number in range(150):
         host = Host(replace(conf, hosts=150, host_number=number), at=100 * SECOND)
@@ -228,7 +233,7 @@
 
 
 def test_a_refused_connection_is_a_guess_that_ends_early_and_restarts_no_dated_start():
-    host = Host(settings(cold_units=8, hosts=150, **COLD), at=100 * SECOND)
+    host = Host(settings(slow_start_units=8, hosts=150, **COLD), at=100 * SECOND)
     refuse_for_a_while(host)
     node = host.scheduler.nodes[10]
     assert host.scheduler._cold_since(node, host.now) == host.now
@@ -238,8 +243,8 @@
 
 
 def test_odd_figures_do_not_raise():
-    odd = settings(hosts=0, host_number=9, max_attempts=1, cold_ns=10 * SECOND, fall_ns=0)
-    for conf in (odd, replace(odd, fall_ns=SECOND), replace(odd, hosts=-1, tick_ns=0)):
+    odd = settings(hosts=0, host_number=9, max_attempts=1, slow_start_ns=10 * SECOND, overload_window_ns=0)
+    for conf in (odd, replace(odd, overload_window_ns=SECOND), replace(odd, hosts=-1, tick_ns=0)):
         host = Host(conf, at=100 * SECOND)
         host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
         flood(host, 100)
@@ -248,7 +253,7 @@
 
 
 def test_a_restarted_host_takes_a_cold_nodes_window_as_spent():
-    conf = settings(cold_units=20, hosts=4, **COLD)
+    conf = settings(slow_start_units=20, hosts=4, **COLD)
     host = Host(conf, nodes=(NodeEntry(10, 0, started_ns=99 * SECOND),), at=100 * SECOND)
     assert flood(host, 1500) == 0
     host.wait(1000)
@@ -259,7 +264,7 @@
     """A rack back at once: an even part of the always borne units left cold nodes idle for the warm-up."""
 
     def sends_while_cold(served: int) -> int:
-        host = Host(settings(cold_units=8, hosts=150, max_attempts=1, **COLD), at=100 * SECOND)
+        host = Host(settings(slow_start_units=8, hosts=150, max_attempts=1, **COLD), at=100 * SECOND)
         host.serve(served, latency=40)
         host.wait(1000)
         host.tell(NodeEntry(10, 0, started_ns=host.now))
@@ -276,14 +281,14 @@
 
 
 def test_a_node_that_refused_connections_is_taken_as_cold():
-    host = Host(settings(cold_units=8, hosts=4, max_attempts=1, **COLD), at=100 * SECOND)
+    host = Host(settings(slow_start_units=8, hosts=4, max_attempts=1, **COLD), at=100 * SECOND)
     refuse_for_a_while(host)
     assert flood(host, 1500) <= 2
 
 
 @pytest.mark.parametrize("between", [None, AttemptOutcome.OK])
 def test_a_connection_that_breaks_here_and_there_is_no_start(between):
-    host = Host(settings(cold_units=8, hosts=4, max_attempts=1, **COLD), at=100 * SECOND)
+    host = Host(settings(slow_start_units=8, hosts=4, max_attempts=1, **COLD), at=100 * SECOND)
     for _ in range(5):
         host.end(host.ask(), AttemptOutcome.CONNECT_FAILED)
         host.wait(300 if between else 90)
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -146,7 +146,10 @@
     host = Host(settings(plan=PlanSettings(rate=10.0, reserve=1000.0)))
     host.ask()
     host.wait(10)
-    node, fresh = host.scheduler.nodes[10], settings(plan=PlanSettings(reserve=5.0), cold_ns=7, fall_ns=9)
+    node, fresh = (
+        host.scheduler.nodes[10],
+        settings(plan=PlanSettings(reserve=5.0), slow_start_ns=7, overload_window_ns=9),
+    )
     host.see(NewSettings(fresh))
     store = host.scheduler.volumes[1]
     assert host.scheduler.nodes[10] is node and node.out
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -16,16 +16,16 @@
 
 def fleet_settings(hosts: int, number: int, one_class=(), **more):
     """Figures like those of a large fleet: a cold node's sure units are fewer than the hosts."""
-    facts = {"cold_units": 3.0, "mean_units": 2.0, "max_units": 6.0} | more
+    facts = {"slow_start_units": 3.0, "mean_units": 2.0, "max_units": 6.0} | more
     facts = {"within_quota_factor": 0.3, "beyond_quota_factor": 0.08} | facts
     made = settings(
         request_class(**{"aim": 1000, "deadline": 6000, "late_priority_weight": 0.1} | dict(one_class)),
         hosts=hosts,
         host_number=number,
-        cold_from=COLD_FROM,
-        cold_ns=COLD_NS,
-        fall_ns=FALL_NS,
-        fall_multiple=MULTIPLE,
+        slow_start_initial_fraction=COLD_FROM,
+        slow_start_ns=COLD_NS,
+        overload_window_ns=FALL_NS,
+        overload_multiple=MULTIPLE,
         connect_timeout_ns=CONNECT,
         **facts,
     )
