--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -101,10 +101,10 @@
     slow_start_ns: int = 0
     overload_multiple: float = 1.0
     overload_window_ns: int = 0
-    settle_ns: int = 0
-    budget_free: float = 0.0
-    budget_share: float = 0.0
-    budget_window_ns: int = 0
+    ambiguity_wait_ns: int = 0
+    retry_budget_base: float = 0.0
+    retry_budget_ratio: float = 0.0
+    retry_budget_window_ns: int = 0
     max_attempts: int = 1
     connect_timeout_ns: int = 0
     max_retry_after_ns: int = 0
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -262,7 +262,10 @@
         self.most_left: dict[int, int] = {}  # by class: the longest wait that a try brought
         self.mean_price, self.pool = Price(SECOND), ServiceRate(SECOND)
         self._settle(settings)
-        self.taken, self.extra = SlidingSum(settings.budget_window_ns), SlidingSum(settings.budget_window_ns)
+        self.taken, self.extra = (
+            SlidingSum(settings.retry_budget_window_ns),
+            SlidingSum(settings.retry_budget_window_ns),
+        )
         self.lines: dict[int, list[Ticket]] = {}  # by key: requests in order of arrival
         self.rests: dict[int, tuple[int, Ticket]] = {}  # by key: until when, after whose attempt
         self.actions: list[Action] = [Subscribe()] if settings.list_is_asked_for else []
@@ -502,7 +505,7 @@
         if ticket not in line:
             return
         if outcome in UNSETTLED:
-            self.rests[key] = (now + self.settings.settle_ns, ticket)
+            self.rests[key] = (now + self.settings.ambiguity_wait_ns, ticket)
         if ticket.done and not ticket.out:
             line.remove(ticket)
         if not line:
@@ -511,8 +514,10 @@
 
     def _in_budget(self, now: int) -> bool:
         """Whether one more further attempt fits, counted at its strictest at the window's edges."""
-        room = self.settings.budget_free + self.settings.budget_share * self.taken.total(now, edge=1)
-        return not self.settings.budget_window_ns or self.extra.total(now) + 1 <= room
+        room = self.settings.retry_budget_base + self.settings.retry_budget_ratio * self.taken.total(
+            now, edge=1
+        )
+        return not self.settings.retry_budget_window_ns or self.extra.total(now) + 1 <= room
 
     def _may_repeat(self, ticket: Ticket, node: Node | None, now: int) -> bool:
         """Guards effects and budget: a further attempt goes out only as class, budget and cap allow."""
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -193,7 +193,7 @@
         if outcome in DOUBTFUL and asker.doubt_at is None:
             asker.doubt_at = at
         if outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET):
-            self.rest[asker.ask.key] = (self.now + self.settings.settle_ns, asker)
+            self.rest[asker.ask.key] = (self.now + self.settings.ambiguity_wait_ns, asker)
 
     def dispatched(self, order):
         attempt = self.core.attempts[order.attempt]
@@ -217,10 +217,10 @@
                 assert self.now >= until
         if asker.sends:
             self.extra_at.append(self.now)
-            if window := conf.budget_window_ns:
+            if window := conf.retry_budget_window_ns:
                 both = (self.extra_at, self.taken_at)
                 extra, taken = (sum(t > self.now - window for t in at) for at in both)
-                assert extra <= conf.budget_free + conf.budget_share * taken
+                assert extra <= conf.retry_budget_base + conf.retry_budget_ratio * taken
         elif (plan := conf.plans[asker.ask.plan]).limit:
             level, at = self.stores.get(asker.ask.plan, (plan.limit_burst, self.now))
             level = min(plan.limit_burst, level + plan.limit * (self.now - at) / SECOND) - asker.ask.units
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -314,7 +314,7 @@
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED])
 def test_a_key_rests_after_an_open_end(outcome):
-    host = Host(settings(ORDERED, settle_ns=100 * MS, may_cancel=True))
+    host = Host(settings(ORDERED, ambiguity_wait_ns=100 * MS, may_cancel=True))
     first, second = host.ask(key=7), host.ask(key=7)
     host.see(ClientGone(first))
     assert not host.sends(second)  # its attempt has no outcome yet
@@ -325,7 +325,7 @@
 
 
 def test_the_request_that_has_the_turn_is_tried_again_at_once():
-    host = Host(settings(ORDERED, settle_ns=500 * MS))
+    host = Host(settings(ORDERED, ambiguity_wait_ns=500 * MS))
     first = host.ask(key=7)
     host.end(first, AttemptOutcome.RESET)
     host.wait(30)
@@ -336,7 +336,7 @@
 
 
 def test_further_attempts_stay_within_floor_and_share_of_the_window():
-    conf = settings(budget_free=2, budget_share=0.1, budget_window_ns=SECOND)
+    conf = settings(retry_budget_base=2, retry_budget_ratio=0.1, retry_budget_window_ns=SECOND)
     host = Host(conf)
     for n in range(30):
         host.end(host.ask(), AttemptOutcome.ERROR)
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -90,7 +90,7 @@
         and got.classes[0].idempotency_scope is IdempotencyScope.SHARD
     )
     assert got.plans[0].rate == 4.5 and got.report_fields == ("inflight", "queue")
-    assert got.budget_window_ns == 0 and got.max_attempts == 4
+    assert got.retry_budget_window_ns == 0 and got.max_attempts == 4
 
 
 def run(stdin: bytes) -> subprocess.CompletedProcess[bytes]:
