--- a/runloft/core/guard.py
+++ b/runloft/core/guard.py
@@ -130,7 +130,7 @@
         return SendRefusal.NO_ATTEMPTS_LEFT
     if request.ask.shard not in (None, node.shard):
         return SendRefusal.OTHER_SHARD
-    if request.out and not settings.may_duplicate:
+    if request.out and not settings.may_hedge:
         return SendRefusal.ANOTHER_IS_OUT
     if node.state is NodeState.GONE:
         return SendRefusal.NODE_GONE
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -414,7 +414,7 @@
                     self.start_times.forget(news.uid)
                     if self.observer is not None:
                         self.observer.forget(node)
-            case contract.Probe() | contract.Subscribe():
+            case contract.HealthCheck() | contract.Subscribe():
                 pass  # nodes may not be probed here, and the watch is always open
 
     def _withdraw(self, id_: int, now: int, effects: list[Effect]) -> bool:
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -109,12 +109,12 @@
     connect_timeout_ns: int = 0
     max_retry_after_ns: int = 0
     may_cancel: bool = False
-    may_probe: bool = False
-    may_duplicate: bool = False
-    list_is_asked_for: bool = False
-    ask_every_ns: int = 0
-    meter_ns: int = 0
-    tells_elsewhere: bool = False
+    may_health_check: bool = False
+    may_hedge: bool = False
+    list_is_polled: bool = False
+    poll_interval_ns: int = 0
+    load_report_interval_ns: int = 0
+    reports_load_elsewhere: bool = False
     report_fields: tuple[str, ...] = ()
 
 
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult:
+class HealthCheckResult:
     """A probe ended."""
 
     node: int
@@ -225,7 +225,7 @@
     | StreamStarted
     | ClientGone
     | NodeList
-    | ProbeResult
+    | HealthCheckResult
     | TimerFired
     | NewSettings
     | ShutdownStarted
@@ -268,7 +268,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class HealthCheck:
     """Ask a node for its load, at a cost to it."""
 
     node: int
@@ -294,4 +294,4 @@
     node: int
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Timer | Subscribe | Forget
+Action = Send | Refuse | Fail | Cancel | HealthCheck | Timer | Subscribe | Forget
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -268,7 +268,7 @@
         )
         self.lines: dict[int, list[Ticket]] = {}  # by key: requests in order of arrival
         self.rests: dict[int, tuple[int, Ticket]] = {}  # by key: until when, after whose attempt
-        self.actions: list[Action] = [Subscribe()] if settings.list_is_asked_for else []
+        self.actions: list[Action] = [Subscribe()] if settings.list_is_polled else []
 
     def _settle(self, settings: Settings) -> None:
         """Go by these settings from now on; what is open and what was learned stay."""
@@ -654,7 +654,7 @@
     def _list(self, news: NodeList, now: int) -> None:
         if news.kind is ListKind.FAILED:
             # Guards drains where lists are asked for: ask again well before news counts as heard.
-            self.actions.append(Timer(now + max(SECOND, self.settings.ask_every_ns // 10), SUBSCRIBE))
+            self.actions.append(Timer(now + max(SECOND, self.settings.poll_interval_ns // 10), SUBSCRIBE))
             return
         named = {entry.node for entry in news.entries}
         for number in self.nodes.keys() - named if news.kind is not ListKind.DELTA else ():
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -243,7 +243,7 @@
             runner.post,
             deadlines,
             clock,
-            asked=config.settings.list_is_asked_for,
+            asked=config.settings.list_is_polled,
         )
         stopped = anyio.Event()
         group.start_soon(runner.run)
--- a/runloft/simulator/adapter.py
+++ b/runloft/simulator/adapter.py
@@ -73,7 +73,7 @@
     if record.code == wire.PROBED:
         node, outcome, latency, count, *load = f
         verdict = ENDINGS.get(outcome, contract.AttemptOutcome.ERROR)
-        return contract.ProbeResult(node, verdict, latency, tuple(load[:count]))
+        return contract.HealthCheckResult(node, verdict, latency, tuple(load[:count]))
     if record.code == wire.MEMBERS:
         if f[1] >= len(LIST_KINDS):
             raise wire.WireError(f"unknown kind of node list {f[1]}")
@@ -105,7 +105,7 @@
             return wire.encode_action(wire.CANCEL, instance, id_, attempt)
         case contract.Timer(at_ns, token):
             return wire.encode_action(wire.WAKE_AT, instance, at_ns, token)
-        case contract.Probe(node):
+        case contract.HealthCheck(node):
             return wire.encode_action(wire.PROBE, instance, node)
         case contract.Subscribe():
             return wire.encode_action(wire.WATCH, instance, 1)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -171,7 +171,7 @@
 
 
 def test_a_failed_call_keeps_the_list_and_is_made_again():
-    host = Host(settings(list_is_asked_for=True, ask_every_ns=10 * SECOND))
+    host = Host(settings(list_is_polled=True, poll_interval_ns=10 * SECOND))
     host.tell(kind=ListKind.FAILED)
     assert host.sends(host.ask())
     assert Subscribe() in host.wait(5000)
