--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -384,15 +384,15 @@
 
     def _act(self, action: contract.Action, now: int, effects: list[Effect]) -> None:
         match action:
-            case contract.Send(id_, node, timeout_ns):
+            case contract.SendAttempt(id_, node, timeout_ns):
                 self._send(id_, node, timeout_ns, now, effects)
-            case contract.Refuse(id_, retry_after_ns):
+            case contract.ShedRequest(id_, retry_after_ns):
                 self._final(id_, Refused(retry_after_ns, self._cause(id_, now)), effects)
-            case contract.Fail(id_):
+            case contract.FailRequest(id_):
                 cause = self._cause(id_, now)
                 harmless = self._withdraw(id_, now, effects)
                 self._final(id_, Refused(0, cause) if harmless else Failed(cause), effects)
-            case contract.Cancel(id_, index):
+            case contract.CancelAttempt(id_, index):
                 request = self.requests.get(id_)
                 number = request.out.get(index) if request else None
                 if request and number is not None and not request.streaming:
@@ -407,14 +407,14 @@
                     self._tidy(request)
             case contract.Timer(at_ns, token):
                 self.deadlines.add(max(at_ns, now + 1), contract.TimerFired(token))
-            case contract.Forget(node):
+            case contract.ForgetNode(node):
                 news = self.nodes.pop(node, None)
                 if news is not None:
                     del self.node_numbers[news.uid]
                     self.start_times.forget(news.uid)
                     if self.observer is not None:
                         self.observer.forget(node)
-            case contract.HealthCheck() | contract.Subscribe():
+            case contract.HealthCheck() | contract.WatchNodeList():
                 pass  # nodes may not be probed here, and the watch is always open
 
     def _withdraw(self, id_: int, now: int, effects: list[Effect]) -> bool:
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -236,7 +236,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendAttempt:
     """Send the request's next attempt to a node; ``timeout_ns`` 0: until the client gives up."""
 
     id: int
@@ -245,7 +245,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class ShedRequest:
     """Final answer: the client may safely try again, after a while."""
 
     id: int
@@ -253,14 +253,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed, with no word on whether it ran."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for one attempt."""
 
     id: int
@@ -283,15 +283,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
+class WatchNodeList:
     """Ask to be told of changes to the node list from now on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class ForgetNode:
     """A node that is gone is needed no more: should it come back, it comes as a new one."""
 
     node: int
 
 
-Action = Send | Refuse | Fail | Cancel | HealthCheck | Timer | Subscribe | Forget
+Action = (
+    SendAttempt | ShedRequest | FailRequest | CancelAttempt | HealthCheck | Timer | WatchNodeList | ForgetNode
+)
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -11,14 +11,14 @@
 
 from runloft.decisions.contract import (
     Action,
-    Cancel,
+    CancelAttempt,
     ClientGone,
     ShutdownStarted,
     Idempotency,
     AttemptOutcome,
     Event,
-    Fail,
-    Forget,
+    FailRequest,
+    ForgetNode,
     IdempotencyScope,
     ListKind,
     NewSettings,
@@ -27,12 +27,12 @@
     NodeState,
     AttemptResult,
     PlanSettings,
-    Refuse,
+    ShedRequest,
     Request,
-    Send,
+    SendAttempt,
     Settings,
     StreamStarted,
-    Subscribe,
+    WatchNodeList,
     Timer,
     TimerFired,
 )
@@ -268,7 +268,7 @@
         )
         self.lines: dict[int, list[Ticket]] = {}  # by key: requests in order of arrival
         self.rests: dict[int, tuple[int, Ticket]] = {}  # by key: until when, after whose attempt
-        self.actions: list[Action] = [Subscribe()] if settings.list_is_polled else []
+        self.actions: list[Action] = [WatchNodeList()] if settings.list_is_polled else []
 
     def _settle(self, settings: Settings) -> None:
         """Go by these settings from now on; what is open and what was learned stay."""
@@ -589,7 +589,7 @@
         node.sent(now, (ticket.id, ticket.attempts), ticket.units)
         ticket.out[ticket.attempts] = node.entry.node
         ticket.attempts, ticket.sent_at = ticket.attempts + 1, now
-        self.actions.append(Send(ticket.id, node.entry.node, timeout))
+        self.actions.append(SendAttempt(ticket.id, node.entry.node, timeout))
 
     def _outcome(self, result: AttemptResult, now: int) -> None:
         ticket = self.tickets.get(result.id)
@@ -623,7 +623,7 @@
         """Refuse, to come back after the excess; fail where a refusal, 'a repeat is harmless', may lie."""
         harmless = ticket.refusable or (ticket.doubt_at is None and not ticket.out)
         after = int(min((excess or self._come_back(ticket, now)) * SECOND, self.settings.max_retry_after_ns))
-        self.actions.append(Refuse(ticket.id, after) if harmless else Fail(ticket.id))
+        self.actions.append(ShedRequest(ticket.id, after) if harmless else FailRequest(ticket.id))
         self._finish(ticket, now)
 
     def _finish(self, ticket: Ticket, now: int) -> None:
@@ -638,13 +638,13 @@
         ticket = self.tickets.get(id_)
         if ticket and not ticket.done:
             if self.settings.may_cancel and not ticket.streaming:
-                self.actions.extend(Cancel(id_, attempt) for attempt in ticket.out)
+                self.actions.extend(CancelAttempt(id_, attempt) for attempt in ticket.out)
             self._finish(ticket, now)
 
     def _timer(self, token: int, now: int) -> None:
         ticket = self.tickets.get(token)
         if token == SUBSCRIBE:
-            self.actions.append(Subscribe())
+            self.actions.append(WatchNodeList())
         elif ticket and not ticket.done and not ticket.streaming:
             # Guards the client's time: half of it gone and nothing sent, it had better ask again.
             unsent = not ticket.out and not ticket.reached
@@ -677,7 +677,7 @@
             # Guards memory: most go for good; one whose process restarts comes back, cold, within that time.
             if node.gone_at and now >= node.gone_at + KEEP and not node.out and number not in needed:
                 del self.nodes[number]
-                self.actions.append(Forget(number))
+                self.actions.append(ForgetNode(number))
         rank = sorted(self.nodes.values(), key=lambda n: (n.usable(), n.entry.started_ns))
         self.wake_at = now
         self.shards = {node.entry.shard: node for node in rank}  # of several, the newest fit one
--- a/runloft/simulator/adapter.py
+++ b/runloft/simulator/adapter.py
@@ -95,21 +95,21 @@
 def action_to_wire(instance: int, action: contract.Action) -> bytes:
     """Translate one action to its record; the simulator is not told what an instance forgets."""
     match action:
-        case contract.Send(id_, node, timeout_ns):
+        case contract.SendAttempt(id_, node, timeout_ns):
             return wire.encode_action(wire.SEND, instance, id_, node, timeout_ns)
-        case contract.Refuse(id_, retry_after_ns):
+        case contract.ShedRequest(id_, retry_after_ns):
             return wire.encode_action(wire.REFUSE, instance, id_, retry_after_ns)
-        case contract.Fail(id_):
+        case contract.FailRequest(id_):
             return wire.encode_action(wire.FAIL, instance, id_)
-        case contract.Cancel(id_, attempt):
+        case contract.CancelAttempt(id_, attempt):
             return wire.encode_action(wire.CANCEL, instance, id_, attempt)
         case contract.Timer(at_ns, token):
             return wire.encode_action(wire.WAKE_AT, instance, at_ns, token)
         case contract.HealthCheck(node):
             return wire.encode_action(wire.PROBE, instance, node)
-        case contract.Subscribe():
+        case contract.WatchNodeList():
             return wire.encode_action(wire.WATCH, instance, 1)
-        case contract.Forget():
+        case contract.ForgetNode():
             return b""
 
 
@@ -148,7 +148,7 @@
         for instance, events in todo.items():
             try:
                 actions = self._schedulers[instance].handle(clock, events)
-                told = (action for action in actions if not isinstance(action, contract.Forget))
+                told = (action for action in actions if not isinstance(action, contract.ForgetNode))
                 out.extend(action_to_wire(instance, action) for action in told)
             except Exception as error:
                 faults[instance] = f"{type(error).__name__}: {error}"
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -76,7 +76,7 @@
             table(
                 {},
                 AttemptsCap=st.integers(1, 4),
-                Cancel=st.booleans(),
+                CancelAttempt=st.booleans(),
                 MaxRetryAfter=st.sampled_from([0, 2 * SECOND]),
                 ConnectTimeout=TIMES.map(lambda t: t * MS),
             )
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -28,13 +28,13 @@
 from runloft.decisions.contract import (
     AttemptOutcome,
     AttemptResult,
-    Cancel,
-    Fail,
-    Forget,
+    CancelAttempt,
+    FailRequest,
+    ForgetNode,
     ListKind,
     NodeState,
-    Refuse,
-    Send,
+    SendAttempt,
+    ShedRequest,
     Timer,
 )
 from runloft.service.runner import Clock, Runner
@@ -96,13 +96,13 @@
 
 def test_the_first_ok_is_the_answer_and_what_comes_after_it_is_passed_over():
     turns = Turns()
-    asker, (sent,) = turns.take([Send(1, 1)])
+    asker, (sent,) = turns.take([SendAttempt(1, 1)])
     assert isinstance(sent, Dispatch) and sent.wait_ns == 600 * MS
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=5) == [
         Answer(asker, Served(b"v", "s-1", 0))
     ]
     assert (
-        turns.step(AttemptFinished(1, AttemptOutcome.RESET), ClientDisconnected(asker), plan=[Refuse(1)])
+        turns.step(AttemptFinished(1, AttemptOutcome.RESET), ClientDisconnected(asker), plan=[ShedRequest(1)])
         == []
     )
     assert turns.script.outcomes() == [(1, 0, AttemptOutcome.OK, True)]
@@ -111,29 +111,31 @@
 
 def test_a_timed_out_attempt_is_closed_before_the_resend_and_has_one_outcome():
     turns = Turns()
-    turns.take([Send(1, 1, 100 * MS)])
-    effects = turns.step(after=100, plan=[Send(1, 1)])
+    turns.take([SendAttempt(1, 1, 100 * MS)])
+    effects = turns.step(after=100, plan=[SendAttempt(1, 1)])
     assert [type(e) for e in effects] == [AbortAttempt, Dispatch] and effects[0].attempt == 1
     turns.step(AttemptFinished(1, AttemptOutcome.OK, b"late"))
     assert turns.script.outcomes() == [(1, 0, AttemptOutcome.TIMEOUT, False)]
 
 
-@pytest.mark.parametrize("twice", [Send(1, 1), Send(1, 9), Send(1, 2)])
+@pytest.mark.parametrize("twice", [SendAttempt(1, 1), SendAttempt(1, 9), SendAttempt(1, 2)])
 def test_a_moot_send_never_leaves_and_its_outcome_comes_in_the_next_turn(twice):
     turns = Turns()
     turns.step(NodeListUpdate(ListKind.DELTA, (NodeUpdate("s-2", "127.0.0.1:2", 1),)))
-    _, effects = turns.take([Send(1, 1), twice])  # a second copy, an unknown node, another shard
+    _, effects = turns.take([SendAttempt(1, 1), twice])  # a second copy, an unknown node, another shard
     assert len(effects) == 1
     assert turns.core.next_at(turns.now) == turns.now
     turns.step()
     assert [o[2] for o in turns.script.outcomes()] == [AttemptOutcome.NOT_SENT]
 
 
-@pytest.mark.parametrize("finish", [Refuse(1, 7), Fail(1)])
+@pytest.mark.parametrize("finish", [ShedRequest(1, 7), FailRequest(1)])
 def test_a_final_answer_is_given_once_and_the_attempt_still_has_its_outcome(finish):
     turns = Turns()
-    asker, effects = turns.take([Send(1, 1), finish, Refuse(1), Fail(1), Send(1, 1)])
-    reply = Refused(7) if isinstance(finish, Refuse) else Failed()
+    asker, effects = turns.take(
+        [SendAttempt(1, 1), finish, ShedRequest(1), FailRequest(1), SendAttempt(1, 1)]
+    )
+    reply = Refused(7) if isinstance(finish, ShedRequest) else Failed()
     assert effects[1:] == [Answer(asker, reply)]
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=1) == []
     assert sorted(o[2].name for o in turns.script.outcomes()) == ["NOT_SENT", "OK"]
@@ -141,15 +143,15 @@
 
 def test_a_cancel_closes_and_is_reported_once():
     turns = Turns()
-    asker, _ = turns.take([Send(1, 1)])
-    assert turns.step(ClientDisconnected(asker), plan=[Cancel(1, 0)]) == [AbortAttempt(1)]
+    asker, _ = turns.take([SendAttempt(1, 1)])
+    assert turns.step(ClientDisconnected(asker), plan=[CancelAttempt(1, 0)]) == [AbortAttempt(1)]
     turns.step(AttemptFinished(1, AttemptOutcome.RESET))
     assert turns.script.outcomes() == [(1, 0, AttemptOutcome.CANCELLED, True)]
 
 
 def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it_as_failed():
     turns = Turns()
-    asker, _ = turns.take([Send(1, 1)])
+    asker, _ = turns.take([SendAttempt(1, 1)])
     assert turns.step(StreamStarted(1, "head"), after=10) == [Begin(asker, "head", "s-1", 0)]
     assert turns.step(after=5000) == []
     assert turns.step(AttemptFinished(1, AttemptOutcome.RESET)) == [
@@ -159,7 +161,7 @@
 
 def test_a_client_that_reads_slowly_does_not_make_its_node_look_slow():
     turns = Turns()
-    asker, _ = turns.take([Send(1, 1)])
+    asker, _ = turns.take([SendAttempt(1, 1)])
     turns.step(StreamStarted(1, "head"), ResponseBuffered(1), after=10)
     turns.step(ResponseBuffered(1), after=3000)
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK), after=1) == [
@@ -187,7 +189,7 @@
 
 def test_a_client_that_leaves_mid_stream_frees_the_attempt():
     turns = Turns()
-    asker, _ = turns.take([Send(1, 1)])
+    asker, _ = turns.take([SendAttempt(1, 1)])
     turns.step(StreamStarted(1, "head"))
     assert turns.step(ClientDisconnected(asker)) == [AbortAttempt(1)]
     turns.step()
@@ -251,23 +253,23 @@
     host.ask()
     for _ in range(3):
         host.wait(61_000)
-        assert Forget(10) not in host.tell(gone(10))
+        assert ForgetNode(10) not in host.tell(gone(10))
     host.end(1)
     host.wait(61_000)
-    assert Forget(10) in host.tell(gone(10))
+    assert ForgetNode(10) in host.tell(gone(10))
 
 
 def test_what_could_not_connect_until_half_its_time_is_given_up_at_once():
     host = Host(settings(request_class(deadline=1000)))
     id_ = host.ask()
     host.wait(480)
-    assert any(isinstance(a, Refuse) for a in host.end(id_, AttemptOutcome.CONNECT_FAILED))
+    assert any(isinstance(a, ShedRequest) for a in host.end(id_, AttemptOutcome.CONNECT_FAILED))
 
 
 @pytest.mark.parametrize("after, taken", [(0, False), (1000, False), (2100, True)])
 def test_an_id_is_taken_until_its_request_is_over_and_a_while_longer(after, taken):
     turns = Turns()
-    turns.take([Send(1, 1)], id=b"same")
+    turns.take([SendAttempt(1, 1)], id=b"same")
     rejected = Rejected("this id is another request's")
     assert turns.take(id=b"same")[1][0].reply == rejected
     turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -9,13 +9,13 @@
     AttemptOutcome,
     AttemptResult,
     ClientGone,
-    Fail,
+    FailRequest,
     Idempotency,
     NodeEntry,
     NodeState,
     PlanSettings,
-    Refuse,
-    Send,
+    SendAttempt,
+    ShedRequest,
     TimerFired,
 )
 from runloft.decisions.policy import MOST_VOLUMES
@@ -42,7 +42,7 @@
     host.serve(40, latency=50)  # about 20 units a second
     ids = [host.ask() for _ in range(30)]
     refused = [a for i in ids for t, a in host.answers(i) if t == host.now]
-    assert refused and all(isinstance(a, Refuse) for a in refused)
+    assert refused and all(isinstance(a, ShedRequest) for a in refused)
     assert 0 < refused[0].retry_after_ns < 200 * MS
     assert refused[0].retry_after_ns <= refused[-1].retry_after_ns <= SECOND
     assert len(ids) - len(refused) >= 5  # what can leave in its time is taken
@@ -100,7 +100,7 @@
     for _ in range(5):
         host.ask()
     assert len(host.sends()) - before <= 2
-    trial = host.log[-1][1] if isinstance(host.log[-1][1], Send) else host.sends()[-1][1]
+    trial = host.log[-1][1] if isinstance(host.log[-1][1], SendAttempt) else host.sends()[-1][1]
     assert 0 < trial.timeout_ns < 2000 * MS
     host.end_all()  # it answers again
     assert len({a.id for _, a in host.sends()}) >= 36
@@ -270,7 +270,7 @@
     host.wait(1150)  # before its hold time
     ((at, answer),) = host.answers(held)
     assert at < asked + 2600 * MS - 1400 * MS  # well before its deadline
-    assert isinstance(answer, Refuse) and answer.retry_after_ns > 0 and out in host.open
+    assert isinstance(answer, ShedRequest) and answer.retry_after_ns > 0 and out in host.open
 
 
 def test_what_has_not_left_by_its_hold_time_is_given_up_then_and_what_a_node_has_seen_is_not():
@@ -280,7 +280,7 @@
     assert not host.answers(unsent)
     host.wait(1)
     ((_, answer),) = host.answers(unsent)
-    assert isinstance(answer, Refuse) and answer.retry_after_ns > 0
+    assert isinstance(answer, ShedRequest) and answer.retry_after_ns > 0
     host.tell(NODE)
     seen = host.ask()
     host.tell(gone(10, state=NodeState.DRAINING))
@@ -297,7 +297,7 @@
     id_ = host.ask()
     host.end(id_, AttemptOutcome.ERROR)
     ((at, answer),) = host.answers(id_)
-    assert at == host.now and isinstance(answer, Refuse) and 0 < answer.retry_after_ns <= SECOND
+    assert at == host.now and isinstance(answer, ShedRequest) and 0 < answer.retry_after_ns <= SECOND
 
 
 def test_a_request_for_an_unknown_shard_is_told_when_to_come_back():
@@ -318,7 +318,7 @@
     host.end(keyed, AttemptOutcome.RESET)
     host.wait(400)
     ((at, answer),) = host.answers(keyed)
-    assert len(host.sends(keyed)) == 1 and isinstance(answer, Fail) and at <= asked + 300 * MS
+    assert len(host.sends(keyed)) == 1 and isinstance(answer, FailRequest) and at <= asked + 300 * MS
 
 
 # Many hosts: a price where others crowd a node.
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -6,18 +6,18 @@
 
 from runloft.decisions.contract import (
     AttemptOutcome,
-    Cancel,
+    CancelAttempt,
     ClientGone,
-    Fail,
+    FailRequest,
     Idempotency,
     IdempotencyScope,
     ListKind,
     NodeEntry,
     NodeState,
     PlanSettings,
-    Refuse,
+    ShedRequest,
     StreamStarted,
-    Subscribe,
+    WatchNodeList,
 )
 from tests.support.driver import MS, SECOND, Host, gone, request_class, settings
 
@@ -29,7 +29,7 @@
     id_ = host.ask()
     host.wait(2000)
     ((at, answer),) = host.answers(id_)
-    assert isinstance(answer, Refuse) and at <= 600 * MS
+    assert isinstance(answer, ShedRequest) and at <= 600 * MS
 
 
 def test_a_timeout_at_the_deadline_still_owes_an_answer_and_gets_one():
@@ -38,7 +38,7 @@
     host.now = 600 * MS
     host.end(id_, AttemptOutcome.TIMEOUT)
     host.wait(1000)
-    assert [type(a) for _, a in host.answers(id_)] == [Fail]
+    assert [type(a) for _, a in host.answers(id_)] == [FailRequest]
 
 
 def test_an_answer_by_timer_comes_even_if_no_outcome_does():
@@ -55,7 +55,7 @@
     host = Host(settings(may_cancel=True))
     out, held = host.ask(), host.ask(shard=5)
     actions = host.see(ClientGone(out), ClientGone(held))
-    assert Cancel(out, 0) in actions
+    assert CancelAttempt(out, 0) in actions
     host.end(out, AttemptOutcome.CANCELLED)
     host.tell(NodeEntry(11, 5))
     host.wait(1000)
@@ -82,7 +82,7 @@
     host.end(id_, outcome)
     host.wait(1000)
     assert len(host.sends(id_)) == 1
-    assert [type(a) for _, a in host.answers(id_)] == [Fail]
+    assert [type(a) for _, a in host.answers(id_)] == [FailRequest]
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
     host.end(id_, AttemptOutcome.ERROR)
     host.wait(3000)
     assert len(host.sends(id_)) == 2
-    assert [type(a) for _, a in host.answers(id_)] == [Fail]
+    assert [type(a) for _, a in host.answers(id_)] == [FailRequest]
 
 
 @pytest.mark.parametrize(
@@ -136,7 +136,7 @@
 
 
 def test_only_a_group_of_all_lets_a_keyed_request_be_refused_after_doubt():
-    for group, kind in ((IdempotencyScope.ALL, Refuse), (IdempotencyScope.SHARD, Fail)):
+    for group, kind in ((IdempotencyScope.ALL, ShedRequest), (IdempotencyScope.SHARD, FailRequest)):
         host = Host(
             settings(
                 request_class(
@@ -174,7 +174,7 @@
     host = Host(settings(list_is_polled=True, poll_interval_ns=10 * SECOND))
     host.tell(kind=ListKind.FAILED)
     assert host.sends(host.ask())
-    assert Subscribe() in host.wait(5000)
+    assert WatchNodeList() in host.wait(5000)
 
 
 # 4. A cold node is not pushed over.
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -13,7 +13,7 @@
 from runloft.config.settings import config_from_json
 from runloft.core.model import AttemptFinished, Dispatch, NodeUpdate, Reconfigured, Refused
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import AttemptOutcome, ListKind, NewSettings, PlanSettings, Send
+from runloft.decisions.contract import AttemptOutcome, ListKind, NewSettings, PlanSettings, SendAttempt
 from runloft.discovery.watch import Watch
 from runloft.service.reload import Reload, changeable
 from runloft.upstream.links import NodeLink
@@ -134,7 +134,7 @@
 
 def test_new_settings_reach_the_module_and_what_is_open_goes_on():
     turns = Turns()
-    asker, _ = turns.take([Send(1, 1)])
+    asker, _ = turns.take([SendAttempt(1, 1)])
     fresh, bounds = settings(max_attempts=1), replace(turns.core.bounds, requests=2)
     assert turns.step(Reconfigured(fresh, bounds)) == []
     assert isinstance(turns.script.told[-1], NewSettings) and turns.core.settings is fresh
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -10,7 +10,7 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
-from runloft.decisions.contract import AttemptOutcome, Fail, Idempotency, ListKind, Refuse
+from runloft.decisions.contract import AttemptOutcome, FailRequest, Idempotency, ListKind, ShedRequest
 from runloft.service.runner import FINISH_NS, Runner, wind_down
 from tests.core.test_core import Turns
 from tests.support.driver import MS, SECOND, Host, request_class, settings
@@ -132,7 +132,7 @@
 def test_closing_is_told_to_the_module_and_its_answers_go_out():
     turns = Turns()
     asker, _ = turns.take([])
-    effects = turns.step(ShutdownStarted(), plan=[Refuse(1, SECOND)])
+    effects = turns.step(ShutdownStarted(), plan=[ShedRequest(1, SECOND)])
     assert turns.script.told[-1] == contract.ShutdownStarted()
     assert effects == [Answer(asker, Refused(SECOND))]
 
@@ -140,9 +140,9 @@
 @pytest.mark.parametrize(
     "effect, answer",
     [
-        (Idempotency.IDEMPOTENT, Refuse),
-        (Idempotency.NOT_IDEMPOTENT, Fail),
-        (Idempotency.IDEMPOTENT_WITH_KEY, Fail),
+        (Idempotency.IDEMPOTENT, ShedRequest),
+        (Idempotency.NOT_IDEMPOTENT, FailRequest),
+        (Idempotency.IDEMPOTENT_WITH_KEY, FailRequest),
     ],
 )
 def test_what_is_open_at_the_end_has_one_answer_that_fits_what_may_have_run(effect, answer):
@@ -154,7 +154,7 @@
     host.see(contract.ShutdownStarted())
     host.see(contract.ShutdownStarted())
     assert [type(a) for _, a in host.answers(sent)] == [answer]
-    assert [type(a) for _, a in host.answers(held)] == [Refuse]
+    assert [type(a) for _, a in host.answers(held)] == [ShedRequest]
     assert host.answers(held)[0][1].retry_after_ns > 0 and not host.answers(done)
     host.end(sent, AttemptOutcome.RESET)
     host.wait(20_000)
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -8,17 +8,17 @@
     AttemptResult,
     ClassSettings,
     Event,
-    Fail,
+    FailRequest,
     Idempotency,
     ListKind,
     NodeEntry,
     NodeList,
     NodeState,
     PlanSettings,
-    Refuse,
     Request,
-    Send,
+    SendAttempt,
     Settings,
+    ShedRequest,
     Timer,
     TimerFired,
 )
@@ -68,7 +68,7 @@
             self.log.append((self.now, action))
             if isinstance(action, Timer):
                 heapq.heappush(self.timers, (action.at_ns, action.token))
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
                 self.nodes[action.id] = action.node
                 self.open.add(action.id)
@@ -120,12 +120,12 @@
     def tell(self, *entries: NodeEntry, kind=ListKind.DELTA) -> list[Action]:
         return self.see(NodeList(kind, entries))
 
-    def sends(self, id_: int | None = None, seen: int = 0) -> list[tuple[int, Send]]:
+    def sends(self, id_: int | None = None, seen: int = 0) -> list[tuple[int, SendAttempt]]:
         """Give the sends of one request or all, behind the log's first so many entries."""
-        return [(t, a) for t, a in self.log[seen:] if isinstance(a, Send) and id_ in (None, a.id)]
+        return [(t, a) for t, a in self.log[seen:] if isinstance(a, SendAttempt) and id_ in (None, a.id)]
 
     def answers(self, id_: int) -> list[tuple[int, Action]]:
-        return [(t, a) for t, a in self.log if isinstance(a, Refuse | Fail) and a.id == id_]
+        return [(t, a) for t, a in self.log if isinstance(a, ShedRequest | FailRequest) and a.id == id_]
 
 
 def gone(node: int, shard: int = 0, state=NodeState.GONE) -> NodeEntry:
