--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Shed:
     """Not served, and trying again is harmless; 0: no time named.
 
     ``cause``: how the last attempt ended, TIMEOUT also where the request's time has run out.
@@ -107,13 +107,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rejected:
+class InvalidRequest:
     """Not a request that can be taken: it is an error and nothing of it has run."""
 
     reason: str
 
 
-Reply = Served | Refused | Failed | Rejected
+Reply = Served | Shed | Failed | InvalidRequest
 
 
 class ResponseSink(Protocol):
@@ -279,7 +279,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class SendResponse:
     """Give a request its final answer."""
 
     asker: ResponseSink
@@ -287,7 +287,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class StartResponse:
     """Give a request the start of its streamed answer."""
 
     asker: ResponseSink
@@ -296,4 +296,4 @@
     shard: int
 
 
-Effect = Dispatch | AbortAttempt | Answer | Begin
+Effect = Dispatch | AbortAttempt | SendResponse | StartResponse
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -18,29 +18,29 @@
 from runloft.core.model import (
     HELD_NS,
     AbortAttempt,
-    Answer,
     AttemptFinished,
     AttemptWithdrawn,
-    Begin,
     Bounds,
     ClientDisconnected,
     Dispatch,
     Effect,
     Event,
     Failed,
+    InvalidRequest,
     NodeListUpdate,
     NodeUpdate,
     Observer,
     Reconfigured,
-    Refused,
-    Rejected,
     RequestReceived,
     RequestSpec,
     RequestWritten,
     ResponseBuffered,
     ResponseSink,
+    SendResponse,
     Served,
+    Shed,
     ShutdownStarted,
+    StartResponse,
     StreamStarted,
     SuspendedVolumes,
 )
@@ -187,7 +187,7 @@
         )
         if refusal is not None:
             COUNTERS.add(Counted.NOT_STARTED, refusal)
-            effects.append(Answer(asker, self._not_started(refusal)))
+            effects.append(SendResponse(asker, self._not_started(refusal)))
             return
         COUNTERS.requests_started += 1
         self.ids.add(name)
@@ -215,13 +215,13 @@
             )
         )
 
-    def _not_started(self, refusal: StartRefusal) -> Refused | Rejected:
+    def _not_started(self, refusal: StartRefusal) -> Shed | InvalidRequest:
         match refusal:
             case StartRefusal.ID_IN_USE:  # a node would take the second request for a copy of the first
-                return Rejected("this id is another request's")
+                return InvalidRequest("this id is another request's")
             case StartRefusal.SUSPENDED:
-                return Refused(min(HELD_NS, self.settings.max_retry_after_ns or HELD_NS))
-        return Refused()
+                return Shed(min(HELD_NS, self.settings.max_retry_after_ns or HELD_NS))
+        return Shed()
 
     def _why(self, shard: int | None, now: int) -> tuple[int | None, str]:
         """Say which node a request waits for, and why it may not leave at once."""
@@ -261,7 +261,7 @@
         self.deadlines.discard(attempt.due)
         request.streaming, attempt.due = True, None
         told.append(contract.StreamStarted(request.id, self._index(attempt), attempt.node))
-        effects.append(Begin(request.asker, value, news.uid, news.shard))
+        effects.append(StartResponse(request.asker, value, news.uid, news.shard))
 
     def _held(self, number: int, now: int, told: list[contract.Event]) -> None:
         """Tell the module that the node has served.
@@ -297,10 +297,10 @@
             self._over(request)
             if trace.enabled:
                 trace("request served", request=request.id, id=request.ask.id, node=news.uid)
-            effects.append(Answer(request.asker, Served(event.value, news.uid, news.shard)))
+            effects.append(SendResponse(request.asker, Served(event.value, news.uid, news.shard)))
         elif not request.over and request.streaming:  # the client has part of it: this is the end
             self._over(request)
-            effects.append(Answer(request.asker, Failed(event.outcome)))
+            effects.append(SendResponse(request.asker, Failed(event.outcome)))
         if not attempt.told:
             told.append(
                 self._outcome(
@@ -387,11 +387,11 @@
             case contract.SendAttempt(id_, node, timeout_ns):
                 self._send(id_, node, timeout_ns, now, effects)
             case contract.ShedRequest(id_, retry_after_ns):
-                self._final(id_, Refused(retry_after_ns, self._cause(id_, now)), effects)
+                self._final(id_, Shed(retry_after_ns, self._cause(id_, now)), effects)
             case contract.FailRequest(id_):
                 cause = self._cause(id_, now)
                 harmless = self._withdraw(id_, now, effects)
-                self._final(id_, Refused(0, cause) if harmless else Failed(cause), effects)
+                self._final(id_, Shed(0, cause) if harmless else Failed(cause), effects)
             case contract.CancelAttempt(id_, index):
                 request = self.requests.get(id_)
                 number = request.out.get(index) if request else None
@@ -468,14 +468,14 @@
         expired = now + 2 * self.settings.tick_ns >= request.deadline
         return AttemptOutcome.TIMEOUT if expired and request.sends else request.last
 
-    def _final(self, id_: int, reply: Refused | Failed, effects: list[Effect]) -> None:
+    def _final(self, id_: int, reply: Shed | Failed, effects: list[Effect]) -> None:
         request = self.requests.get(id_)
         if request is None or request.over:
             return
         self._over(request)
-        what = Counted.REFUSED if isinstance(reply, Refused) else Counted.FAILED
+        what = Counted.REFUSED if isinstance(reply, Shed) else Counted.FAILED
         COUNTERS.add(what, reply.cause.value if reply.cause else "not tried")
         if trace.enabled:
             trace("request over", request=request.id, id=request.ask.id, reply=type(reply).__name__)
-        effects.append(Answer(request.asker, reply))
+        effects.append(SendResponse(request.asker, reply))
         self._tidy(request)
--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -28,12 +28,12 @@
     ClientDisconnected,
     Event,
     Failed,
-    Refused,
-    Rejected,
+    InvalidRequest,
     Reply,
     RequestReceived,
     RequestSpec,
     Served,
+    Shed,
 )
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome
@@ -172,9 +172,9 @@
 
 def problem_of(reply: Reply) -> Problem:
     """Translate a final answer that serves nothing."""
-    if isinstance(reply, Rejected):
+    if isinstance(reply, InvalidRequest):
         return Problem(400, "InvalidRequest", reply.reason)
-    if isinstance(reply, Refused):
+    if isinstance(reply, Shed):
         wait, cause = reply.retry_after_ns, reply.cause
     else:
         wait, cause = 0, reply.cause if isinstance(reply, Failed) else None
@@ -182,7 +182,7 @@
         return Problem(504, "GatewayTimeout", "no storage node answered in time", wait)
     if cause in (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED):
         return Problem(502, "BadGateway", "the storage node failed", wait)
-    if isinstance(reply, Refused):
+    if isinstance(reply, Shed):
         return Problem(503, "SlowDown", "come again later", wait or 1)
     return Problem(502, "BadGateway", "the storage node failed")
 
--- a/runloft/listeners/resp.py
+++ b/runloft/listeners/resp.py
@@ -17,7 +17,7 @@
 from runloft.core.counters import COUNTERS, Counted
 from runloft.core.guard import CloseReason
 from runloft.core.invariants import INVARIANTS, Violation
-from runloft.core.model import ClientDisconnected, Refused, Rejected, Reply, RequestReceived, Served
+from runloft.core.model import ClientDisconnected, InvalidRequest, Reply, RequestReceived, Served, Shed
 from runloft.core.timers import TimerHandle
 from runloft.core.trace import trace
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
@@ -74,11 +74,11 @@
         match reply:
             case Served(value) if isinstance(value, bytes):
                 self.put(*resp2.bulk(value))
-            case Refused(0, _):
+            case Shed(0, _):
                 self.put(b"-BUSY\r\n")
-            case Refused(retry_after_ns, _):
+            case Shed(retry_after_ns, _):
                 self.put(b"-BUSY %d\r\n" % math.ceil(retry_after_ns / 1_000_000))
-            case Rejected(reason):
+            case InvalidRequest(reason):
                 self.client.errors += 1
                 self.put(b"-ERR %s\r\n" % reason.encode())
             case _:
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -15,14 +15,14 @@
 from runloft.core.invariants import INVARIANTS
 from runloft.core.model import (
     AbortAttempt,
-    Answer,
-    Begin,
     Dispatch,
     Effect,
     Event,
     NodeListUpdate,
     NodeUpdate,
+    SendResponse,
     ShutdownStarted,
+    StartResponse,
 )
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
@@ -156,9 +156,9 @@
                 case AbortAttempt(attempt):
                     for link in self.links.values():
                         link.abandon(attempt)
-                case Answer(asker, reply):
+                case SendResponse(asker, reply):
                     asker.answer(reply)
-                case Begin(asker, value, node, shard):
+                case StartResponse(asker, value, node, shard):
                     asker.begin(value, node, shard)
 
 
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -11,17 +11,17 @@
 from runloft.config.settings import config_from_json
 from runloft.core.model import (
     AbortAttempt,
-    Answer,
     AttemptFinished,
     ClientDisconnected,
     Dispatch,
     Failed,
+    InvalidRequest,
     NodeListUpdate,
     NodeUpdate,
-    Refused,
-    Rejected,
     RequestReceived,
+    SendResponse,
     Served,
+    Shed,
 )  # fmt: skip
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
@@ -169,21 +169,21 @@
                 self.dispatched(effect)
             elif isinstance(effect, AbortAttempt):
                 self.ended(effect.attempt, AttemptOutcome.TIMEOUT)
-            elif isinstance(effect, Answer):
+            elif isinstance(effect, SendResponse):
                 self.answered(effect.asker, effect.reply)
 
     def answered(self, asker, reply):
         assert self.now <= self.open.pop(asker) + self.settings.tick_ns
-        assert not isinstance(reply, Rejected)
+        assert not isinstance(reply, InvalidRequest)
         asker.over = True
         keyed = (
             asker.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             and asker.request_class.idempotency_scope is IdempotencyScope.ALL
         )
-        if isinstance(reply, Refused):
+        if isinstance(reply, Shed):
             harmless = asker.request_class.idempotency is Idempotency.IDEMPOTENT or keyed
             assert harmless or (asker.doubt_at is None and not asker.out)
-        assert isinstance(reply, Served | Failed | Refused)
+        assert isinstance(reply, Served | Failed | Shed)
 
     def ended(self, number, outcome):
         if number not in self.attempts:
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -7,20 +7,20 @@
 
 from runloft.core.model import (
     AbortAttempt,
-    Answer,
     AttemptFinished,
-    Begin,
     ClientDisconnected,
     Dispatch,
     Failed,
+    InvalidRequest,
     NodeListUpdate,
     NodeUpdate,
-    Refused,
-    Rejected,
     RequestReceived,
     RequestSpec,
     ResponseBuffered,
+    SendResponse,
     Served,
+    Shed,
+    StartResponse,
     StreamStarted,
 )
 from runloft.core.reducer import Core
@@ -99,7 +99,7 @@
     asker, (sent,) = turns.take([SendAttempt(1, 1)])
     assert isinstance(sent, Dispatch) and sent.wait_ns == 600 * MS
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=5) == [
-        Answer(asker, Served(b"v", "s-1", 0))
+        SendResponse(asker, Served(b"v", "s-1", 0))
     ]
     assert (
         turns.step(AttemptFinished(1, AttemptOutcome.RESET), ClientDisconnected(asker), plan=[ShedRequest(1)])
@@ -135,8 +135,8 @@
     asker, effects = turns.take(
         [SendAttempt(1, 1), finish, ShedRequest(1), FailRequest(1), SendAttempt(1, 1)]
     )
-    reply = Refused(7) if isinstance(finish, ShedRequest) else Failed()
-    assert effects[1:] == [Answer(asker, reply)]
+    reply = Shed(7) if isinstance(finish, ShedRequest) else Failed()
+    assert effects[1:] == [SendResponse(asker, reply)]
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=1) == []
     assert sorted(o[2].name for o in turns.script.outcomes()) == ["NOT_SENT", "OK"]
 
@@ -152,10 +152,10 @@
 def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it_as_failed():
     turns = Turns()
     asker, _ = turns.take([SendAttempt(1, 1)])
-    assert turns.step(StreamStarted(1, "head"), after=10) == [Begin(asker, "head", "s-1", 0)]
+    assert turns.step(StreamStarted(1, "head"), after=10) == [StartResponse(asker, "head", "s-1", 0)]
     assert turns.step(after=5000) == []
     assert turns.step(AttemptFinished(1, AttemptOutcome.RESET)) == [
-        Answer(asker, Failed(AttemptOutcome.RESET))
+        SendResponse(asker, Failed(AttemptOutcome.RESET))
     ]
 
 
@@ -165,7 +165,7 @@
     turns.step(StreamStarted(1, "head"), ResponseBuffered(1), after=10)
     turns.step(ResponseBuffered(1), after=3000)
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK), after=1) == [
-        Answer(asker, Served(None, "s-1", 0))
+        SendResponse(asker, Served(None, "s-1", 0))
     ]
     (outcome,) = [e for e in turns.script.told if isinstance(e, AttemptResult)]
     assert outcome.outcome is AttemptOutcome.OK and outcome.complete and outcome.latency_ns == 10 * MS
@@ -209,7 +209,7 @@
     turns = Turns()
     big = Payload("http", 8 << 20)
     answers = [turns.take(payload=big)[1] for _ in range(4)]
-    assert answers[:3] == [[], [], []] and answers[3][0].reply == Refused()
+    assert answers[:3] == [[], [], []] and answers[3][0].reply == Shed()
     assert turns.take(wire="resp")[1] == []
 
 
@@ -218,7 +218,7 @@
     askers, answered = [turns.take()[0] for _ in range(40)], []
     turns.step(NodeListUpdate(ListKind.DELTA, (NodeUpdate("s-1", "", 0, NodeState.DRAINING),)))
     for _ in range(700):
-        answered += [e.asker for e in turns.step(after=1) if isinstance(e, Answer)]
+        answered += [e.asker for e in turns.step(after=1) if isinstance(e, SendResponse)]
     assert len(answered) == len(set(answered)) and set(answered) <= set(askers)
     assert not turns.core.requests and not turns.core.attempts
 
@@ -270,7 +270,7 @@
 def test_an_id_is_taken_until_its_request_is_over_and_a_while_longer(after, taken):
     turns = Turns()
     turns.take([SendAttempt(1, 1)], id=b"same")
-    rejected = Rejected("this id is another request's")
+    rejected = InvalidRequest("this id is another request's")
     assert turns.take(id=b"same")[1][0].reply == rejected
     turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))
     turns.step(after=after)
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -11,7 +11,7 @@
 import pytest
 
 from runloft.config.settings import config_from_json
-from runloft.core.model import AttemptFinished, Dispatch, NodeUpdate, Reconfigured, Refused
+from runloft.core.model import AttemptFinished, Dispatch, NodeUpdate, Reconfigured, Shed
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome, ListKind, NewSettings, PlanSettings, SendAttempt
 from runloft.discovery.watch import Watch
@@ -138,7 +138,7 @@
     fresh, bounds = settings(max_attempts=1), replace(turns.core.bounds, requests=2)
     assert turns.step(Reconfigured(fresh, bounds)) == []
     assert isinstance(turns.script.told[-1], NewSettings) and turns.core.settings is fresh
-    assert turns.take()[1][0].reply == Refused()  # by the new bound
+    assert turns.take()[1][0].reply == Shed()  # by the new bound
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].asker is asker
 
 
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -6,7 +6,14 @@
 import anyio
 import pytest
 
-from runloft.core.model import Answer, NodeListUpdate, NodeUpdate, Refused, RequestReceived, ShutdownStarted
+from runloft.core.model import (
+    NodeListUpdate,
+    NodeUpdate,
+    RequestReceived,
+    SendResponse,
+    Shed,
+    ShutdownStarted,
+)
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
@@ -134,7 +141,7 @@
     asker, _ = turns.take([])
     effects = turns.step(ShutdownStarted(), plan=[ShedRequest(1, SECOND)])
     assert turns.script.told[-1] == contract.ShutdownStarted()
-    assert effects == [Answer(asker, Refused(SECOND))]
+    assert effects == [SendResponse(asker, Shed(SECOND))]
 
 
 @pytest.mark.parametrize(
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -14,9 +14,9 @@
     Failed,
     NodeListUpdate,
     NodeUpdate,
-    Refused,
     RequestReceived,
     RequestSpec,
+    Shed,
 )
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
@@ -558,7 +558,7 @@
         assert scene.core.attempts  # its connection is not up
         scene.turn(198)
         scene.turn(5)
-        assert [type(reply) for reply in asker.replies] == [Refused]
+        assert [type(reply) for reply in asker.replies] == [Shed]
 
     rows = settings()["Classes"]
     classes = [rows[0] | {"Effect": "fragile"}, rows[1]]
