--- a/runloft/core/guard.py
+++ b/runloft/core/guard.py
@@ -94,11 +94,11 @@
 
 
 def permit_start(
-    open_requests: int, held_bytes: int, size: int, bounds: Bounds, id_known: bool, suspended: bool
+    open_requests: int, buffered_bytes: int, size: int, bounds: Bounds, id_known: bool, suspended: bool
 ) -> StartRefusal | None:
-    """Say why a request that was read may not be taken on; ``size`` and ``held_bytes`` are bytes."""
+    """Say why a request that was read may not be taken on; ``size`` and ``buffered_bytes`` are bytes."""
     full = open_requests >= WIRE_PART * bounds.requests
-    if full or held_bytes + size > WIRE_PART * bounds.held_bytes:
+    if full or buffered_bytes + size > WIRE_PART * bounds.buffered_bytes:
         return StartRefusal.NO_ROOM  # memory, whatever the clients do
     if suspended:
         return StartRefusal.SUSPENDED
@@ -155,7 +155,7 @@
         return SendPermit(refusal=SendRefusal.TIME_IS_UP)
     request = attempt.request
     seen_now = now - request.received_at <= VERIFY_AFTER_NS
-    return SendPermit(wait_ns, verify=None if seen_now else request.asker)
+    return SendPermit(wait_ns, verify=None if seen_now else request.sink)
 
 
 def _node_refusal(then: NodeUpdate, now: NodeUpdate | None) -> SendRefusal | None:
--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -14,10 +14,10 @@
     """What may be held at once; it follows the limits that the scheduler is given."""
 
     requests: int = 2048
-    held_bytes: int = 48 << 20  # of bodies together
+    buffered_bytes: int = 48 << 20  # of bodies together
 
 
-HELD_NS = 1_000_000_000  # when to come back to what is held
+SUSPENDED_RETRY_AFTER_NS = 1_000_000_000  # when to come back to what is held
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
         """The name of the link that can write it."""
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """How much memory it holds while its request is open."""
 
 
@@ -136,7 +136,7 @@
 class RequestReceived:
     """A request was read whole."""
 
-    asker: ResponseSink
+    sink: ResponseSink
     ask: RequestSpec
 
 
@@ -144,7 +144,7 @@
 class ClientDisconnected:
     """The client of a request went away."""
 
-    asker: ResponseSink
+    sink: ResponseSink
 
 
 @dataclass(frozen=True, slots=True)
@@ -282,7 +282,7 @@
 class SendResponse:
     """Give a request its final answer."""
 
-    asker: ResponseSink
+    sink: ResponseSink
     reply: Reply
 
 
@@ -290,7 +290,7 @@
 class StartResponse:
     """Give a request the start of its streamed answer."""
 
-    asker: ResponseSink
+    sink: ResponseSink
     value: object
     node: str
     shard: int
--- a/runloft/core/records.py
+++ b/runloft/core/records.py
@@ -12,7 +12,7 @@
     """A request until it is answered and none of its attempts is out."""
 
     id: int
-    asker: ResponseSink
+    sink: ResponseSink
     ask: RequestSpec
     deadline: int
     received_at: int = 0
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -16,7 +16,7 @@
 from runloft.core.guard import SendPermit, SendRefusal, StartRefusal
 from runloft.core.invariants import INVARIANTS
 from runloft.core.model import (
-    HELD_NS,
+    SUSPENDED_RETRY_AFTER_NS,
     AbortAttempt,
     AttemptFinished,
     AttemptWithdrawn,
@@ -80,7 +80,7 @@
         self.now = now
         self.scheduler = Scheduler(settings, seed, now)
         self.requests: dict[int, PendingRequest] = {}
-        self.by_asker: dict[ResponseSink, PendingRequest] = {}
+        self.by_sink: dict[ResponseSink, PendingRequest] = {}
         self.attempts: dict[int, Attempt] = {}
         self.nodes: dict[int, NodeUpdate] = {}
         self.start_times = StartTimes()
@@ -119,10 +119,10 @@
         told, self._next_turn = self._next_turn, []
         for event in events:
             match event:
-                case RequestReceived(asker, ask):
-                    self._take(asker, ask, now, told, effects)
-                case ClientDisconnected(asker):
-                    self._leave(asker, told, effects)
+                case RequestReceived(sink, ask):
+                    self._take(sink, ask, now, told, effects)
+                case ClientDisconnected(sink):
+                    self._leave(sink, told, effects)
                 case StreamStarted(attempt, value):
                     self._began(attempt, value, told, effects)
                 case ResponseBuffered(attempt):
@@ -169,13 +169,13 @@
 
     def _take(
         self,
-        asker: ResponseSink,
+        sink: ResponseSink,
         ask: RequestSpec,
         now: int,
         told: list[contract.Event],
         effects: list[Effect],
     ) -> None:
-        size, use = ask.payload.held_bytes, self.use.setdefault(ask.payload.wire, [0, 0])
+        size, use = ask.payload.buffered_bytes, self.use.setdefault(ask.payload.wire, [0, 0])
         name = (ask.payload.wire, ask.id)
         refusal = guard.permit_start(
             use[0],
@@ -187,13 +187,13 @@
         )
         if refusal is not None:
             COUNTERS.add(Counted.NOT_STARTED, refusal)
-            effects.append(SendResponse(asker, self._not_started(refusal)))
+            effects.append(SendResponse(sink, self._not_started(refusal)))
             return
         COUNTERS.requests_started += 1
         self.ids.add(name)
         use[0], use[1] = use[0] + 1, use[1] + size
-        request = PendingRequest(next(self._request_ids), asker, ask, now + ask.time_left_ns, now)
-        self.requests[request.id] = self.by_asker[asker] = request
+        request = PendingRequest(next(self._request_ids), sink, ask, now + ask.time_left_ns, now)
+        self.requests[request.id] = self.by_sink[sink] = request
         if self.observer is not None:
             self.observer.taken(request.id, now, ask.volume, ask.request_class, ask.plan, ask.units)
             self.observer.held(request.id, now, *self._why(ask.shard, now))
@@ -220,7 +220,11 @@
             case StartRefusal.ID_IN_USE:  # a node would take the second request for a copy of the first
                 return InvalidRequest("this id is another request's")
             case StartRefusal.SUSPENDED:
-                return Shed(min(HELD_NS, self.settings.max_retry_after_ns or HELD_NS))
+                return Shed(
+                    min(
+                        SUSPENDED_RETRY_AFTER_NS, self.settings.max_retry_after_ns or SUSPENDED_RETRY_AFTER_NS
+                    )
+                )
         return Shed()
 
     def _why(self, shard: int | None, now: int) -> tuple[int | None, str]:
@@ -234,8 +238,8 @@
         started_ns = self.start_times.own_ns(news.uid)
         return node, "cold" if now - started_ns < self.settings.slow_start_ns else "bound"
 
-    def _leave(self, asker: ResponseSink, told: list[contract.Event], effects: list[Effect]) -> None:
-        request = self.by_asker.get(asker)
+    def _leave(self, sink: ResponseSink, told: list[contract.Event], effects: list[Effect]) -> None:
+        request = self.by_sink.get(sink)
         if request is None or request.over:
             return
         COUNTERS.add(Counted.CANCELLED, SendRefusal.CLIENT_LEFT)
@@ -261,7 +265,7 @@
         self.deadlines.discard(attempt.due)
         request.streaming, attempt.due = True, None
         told.append(contract.StreamStarted(request.id, self._index(attempt), attempt.node))
-        effects.append(StartResponse(request.asker, value, news.uid, news.shard))
+        effects.append(StartResponse(request.sink, value, news.uid, news.shard))
 
     def _held(self, number: int, now: int, told: list[contract.Event]) -> None:
         """Tell the module that the node has served.
@@ -297,10 +301,10 @@
             self._over(request)
             if trace.enabled:
                 trace("request served", request=request.id, id=request.ask.id, node=news.uid)
-            effects.append(SendResponse(request.asker, Served(event.value, news.uid, news.shard)))
+            effects.append(SendResponse(request.sink, Served(event.value, news.uid, news.shard)))
         elif not request.over and request.streaming:  # the client has part of it: this is the end
             self._over(request)
-            effects.append(SendResponse(request.asker, Failed(event.outcome)))
+            effects.append(SendResponse(request.sink, Failed(event.outcome)))
         if not attempt.told:
             told.append(
                 self._outcome(
@@ -339,14 +343,14 @@
         request.over = True
         if self.observer is not None:
             self.observer.over(request.id, self.now, request.last is AttemptOutcome.OK)
-        del self.by_asker[request.asker]
+        del self.by_sink[request.sink]
 
     def _tidy(self, request: PendingRequest) -> None:
         if request.over and not request.out and request.id in self.requests:
             del self.requests[request.id]
             use, payload = self.use[request.ask.payload.wire], request.ask.payload
             self._used.append((self.now, (payload.wire, request.ask.id)))
-            use[0], use[1] = use[0] - 1, use[1] - payload.held_bytes
+            use[0], use[1] = use[0] - 1, use[1] - payload.buffered_bytes
 
     def _listed(self, event: NodeListUpdate, now: int) -> contract.NodeList:
         kind, changed = event.kind, {}
@@ -477,5 +481,5 @@
         COUNTERS.add(what, reply.cause.value if reply.cause else "not tried")
         if trace.enabled:
             trace("request over", request=request.id, id=request.ask.id, reply=type(reply).__name__)
-        effects.append(SendResponse(request.asker, reply))
+        effects.append(SendResponse(request.sink, reply))
         self._tidy(request)
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -156,10 +156,10 @@
                 case AbortAttempt(attempt):
                     for link in self.links.values():
                         link.abandon(attempt)
-                case SendResponse(asker, reply):
-                    asker.answer(reply)
-                case StartResponse(asker, value, node, shard):
-                    asker.begin(value, node, shard)
+                case SendResponse(sink, reply):
+                    sink.answer(reply)
+                case StartResponse(sink, value, node, shard):
+                    sink.begin(value, node, shard)
 
 
 async def serve(config: Config, path: str | None = None) -> None:
@@ -309,7 +309,7 @@
         while not front.accept_waiting(listener) and clock() < ends:
             await pause(deadlines, clock, POLL_S)
         close(listener)
-    while core.by_asker or any(front.clients for front in fronts):
+    while core.by_sink or any(front.clients for front in fronts):
         if clock() >= ends:
             for front in fronts:
                 front.stop(last=clock() >= ends + FINISH_NS)
--- a/runloft/upstream/http_link.py
+++ b/runloft/upstream/http_link.py
@@ -28,7 +28,7 @@
     wire: str = "http"
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """Its body and something for the head."""
         return len(self.body) + 1024
 
--- a/runloft/upstream/links.py
+++ b/runloft/upstream/links.py
@@ -59,7 +59,7 @@
     wire: str = "resp"
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """Its words, bodies above all."""
         return sum(map(len, self.words)) + 256
 
--- a/tests/accounts/test_accounts.py
+++ b/tests/accounts/test_accounts.py
@@ -217,8 +217,8 @@
 
 def test_an_attempt_that_outlives_its_client_is_still_the_nodes_work():
     turns, ledger = kept()
-    asker, _ = turns.take([SendAttempt(1, 1)], volume=7)
-    turns.step(ClientDisconnected(asker), after=5)
+    sink, _ = turns.take([SendAttempt(1, 1)], volume=7)
+    turns.step(ClientDisconnected(sink), after=5)
     turns.take([SendAttempt(2, 1)], volume=1)
     turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=20)
     turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=10)
@@ -228,9 +228,9 @@
 
 def test_a_client_that_leaves_its_stream_leaves_nothing_open():
     turns, ledger = kept()
-    asker, _ = turns.take([SendAttempt(1, 1)])
+    sink, _ = turns.take([SendAttempt(1, 1)])
     turns.step(StreamStarted(1, "head"), after=10)
-    turns.step(ClientDisconnected(asker), after=10)
+    turns.step(ClientDisconnected(sink), after=10)
     assert not ledger.open and not ledger._attempts and not ledger._waits
     assert ledger.nodes[1].out == 0
 
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -135,22 +135,22 @@
         attributes = f"c={name},t={plan},d={time},volume={self.plans.index(plan):016x}"
         attributes += f",units={self.random.randint(1, 8)},shard={self.random.randint(-1, 3)},hosts=1"
         words = [b"IO.IN", b"%016x" % piece, b"%016x" % next(self.serial), attributes.encode()]
-        asker = ResponseSink()
+        sink = ResponseSink()
         ask = self.translator.ask(words)
-        self.open[asker] = self.now + ask.time_left_ns
-        asker.ask, asker.request_class = ask, facts
+        self.open[sink] = self.now + ask.time_left_ns
+        sink.ask, sink.request_class = ask, facts
         self.taken_at.append(self.now)
         if facts.in_order and ask.key:
-            self.lines[ask.key].append(asker)
+            self.lines[ask.key].append(sink)
         if self.random.random() < 0.2:
-            self.at(self.now + int(self.random.random() * ask.time_left_ns), lambda: self.leave(asker))
-        return RequestReceived(asker, ask)
+            self.at(self.now + int(self.random.random() * ask.time_left_ns), lambda: self.leave(sink))
+        return RequestReceived(sink, ask)
 
-    def leave(self, asker):
-        if self.open.pop(asker, None) is None:
+    def leave(self, sink):
+        if self.open.pop(sink, None) is None:
             return None
-        asker.over = True
-        return ClientDisconnected(asker)
+        sink.over = True
+        return ClientDisconnected(sink)
 
     def news(self):
         uid = self.random.choice(list(self.nodes))
@@ -170,67 +170,67 @@
             elif isinstance(effect, AbortAttempt):
                 self.ended(effect.attempt, AttemptOutcome.TIMEOUT)
             elif isinstance(effect, SendResponse):
-                self.answered(effect.asker, effect.reply)
+                self.answered(effect.sink, effect.reply)
 
-    def answered(self, asker, reply):
-        assert self.now <= self.open.pop(asker) + self.settings.tick_ns
+    def answered(self, sink, reply):
+        assert self.now <= self.open.pop(sink) + self.settings.tick_ns
         assert not isinstance(reply, InvalidRequest)
-        asker.over = True
+        sink.over = True
         keyed = (
-            asker.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-            and asker.request_class.idempotency_scope is IdempotencyScope.ALL
+            sink.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and sink.request_class.idempotency_scope is IdempotencyScope.ALL
         )
         if isinstance(reply, Shed):
-            harmless = asker.request_class.idempotency is Idempotency.IDEMPOTENT or keyed
-            assert harmless or (asker.doubt_at is None and not asker.out)
+            harmless = sink.request_class.idempotency is Idempotency.IDEMPOTENT or keyed
+            assert harmless or (sink.doubt_at is None and not sink.out)
         assert isinstance(reply, Served | Failed | Shed)
 
     def ended(self, number, outcome):
         if number not in self.attempts:
             return
-        asker, at = self.attempts.pop(number)
-        asker.out.discard(number)
-        if outcome in DOUBTFUL and asker.doubt_at is None:
-            asker.doubt_at = at
+        sink, at = self.attempts.pop(number)
+        sink.out.discard(number)
+        if outcome in DOUBTFUL and sink.doubt_at is None:
+            sink.doubt_at = at
         if outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET):
-            self.rest[asker.ask.key] = (self.now + self.settings.ambiguity_wait_ns, asker)
+            self.rest[sink.ask.key] = (self.now + self.settings.ambiguity_wait_ns, sink)
 
     def dispatched(self, order):
         attempt = self.core.attempts[order.attempt]
-        asker, request_class, conf = attempt.request.asker, attempt.request.asker.request_class, self.settings
-        assert not asker.over and not asker.out and asker.sends < conf.max_attempts
+        sink, request_class, conf = attempt.request.sink, attempt.request.sink.request_class, self.settings
+        assert not sink.over and not sink.out and sink.sends < conf.max_attempts
         assert self.nodes[order.node.uid].state is NodeState.READY
-        assert asker.ask.shard in (None, order.node.shard)
-        assert 0 < order.wait_ns <= self.open[asker] - self.now
-        if asker.doubt_at is not None:
+        assert sink.ask.shard in (None, order.node.shard)
+        assert 0 < order.wait_ns <= self.open[sink] - self.now
+        if sink.doubt_at is not None:
             assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
             if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-                assert self.now < asker.doubt_at + request_class.idempotency_window_ns
-                first = self.nodes[asker.first]
+                assert self.now < sink.doubt_at + request_class.idempotency_window_ns
+                first = self.nodes[sink.first]
                 same = {IdempotencyScope.ALL: True, IdempotencyScope.ZONE: first.zone == order.node.zone}
                 assert same.get(request_class.idempotency_scope, first.shard == order.node.shard)
-        if request_class.in_order and asker.ask.key:
-            ahead = self.lines[asker.ask.key][: self.lines[asker.ask.key].index(asker)]
+        if request_class.in_order and sink.ask.key:
+            ahead = self.lines[sink.ask.key][: self.lines[sink.ask.key].index(sink)]
             assert all(other.over and not other.out for other in ahead)
-            until, owner = self.rest.get(asker.ask.key, (0, asker))
-            if owner.request_class.in_order and owner is not asker:
+            until, owner = self.rest.get(sink.ask.key, (0, sink))
+            if owner.request_class.in_order and owner is not sink:
                 assert self.now >= until
-        if asker.sends:
+        if sink.sends:
             self.extra_at.append(self.now)
             if window := conf.retry_budget_window_ns:
                 both = (self.extra_at, self.taken_at)
                 extra, taken = (sum(t > self.now - window for t in at) for at in both)
                 assert extra <= conf.retry_budget_base + conf.retry_budget_ratio * taken
-        elif (plan := conf.plans[asker.ask.plan]).limit:
-            level, at = self.stores.get(asker.ask.plan, (plan.limit_burst, self.now))
-            level = min(plan.limit_burst, level + plan.limit * (self.now - at) / SECOND) - asker.ask.units
+        elif (plan := conf.plans[sink.ask.plan]).limit:
+            level, at = self.stores.get(sink.ask.plan, (plan.limit_burst, self.now))
+            level = min(plan.limit_burst, level + plan.limit * (self.now - at) / SECOND) - sink.ask.units
             assert level >= -plan.limit_slack
-            self.stores[asker.ask.plan] = (level, self.now)
-        if not asker.sends:
-            asker.first = order.node.uid
-        asker.sends += 1
-        asker.out.add(order.attempt)
-        self.attempts[order.attempt] = (asker, self.now)
+            self.stores[sink.ask.plan] = (level, self.now)
+        if not sink.sends:
+            sink.first = order.node.uid
+        sink.sends += 1
+        sink.out.add(order.attempt)
+        self.attempts[order.attempt] = (sink, self.now)
         self.core.begin_attempt(order.attempt, order.wait_ns, self.now)
         outcomes = [
             AttemptOutcome.OK,
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -46,7 +46,7 @@
 @dataclass(eq=False)
 class Payload:
     wire: str = "resp"
-    held_bytes: int = 100
+    buffered_bytes: int = 100
 
 
 class Script:
@@ -86,23 +86,23 @@
         return effects
 
     def take(self, plan=(), wire="resp", **more):
-        asker = object()
+        sink = object()
         facts = {"shard": 0, "payload": Payload(wire)} | more
         volume = facts.pop("volume", 1)
-        return asker, self.step(
-            RequestReceived(asker, RequestSpec(0, 0, volume, 1.0, 600 * MS, **facts)), plan=plan
+        return sink, self.step(
+            RequestReceived(sink, RequestSpec(0, 0, volume, 1.0, 600 * MS, **facts)), plan=plan
         )
 
 
 def test_the_first_ok_is_the_answer_and_what_comes_after_it_is_passed_over():
     turns = Turns()
-    asker, (sent,) = turns.take([SendAttempt(1, 1)])
+    sink, (sent,) = turns.take([SendAttempt(1, 1)])
     assert isinstance(sent, Dispatch) and sent.wait_ns == 600 * MS
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=5) == [
-        SendResponse(asker, Served(b"v", "s-1", 0))
+        SendResponse(sink, Served(b"v", "s-1", 0))
     ]
     assert (
-        turns.step(AttemptFinished(1, AttemptOutcome.RESET), ClientDisconnected(asker), plan=[ShedRequest(1)])
+        turns.step(AttemptFinished(1, AttemptOutcome.RESET), ClientDisconnected(sink), plan=[ShedRequest(1)])
         == []
     )
     assert turns.script.outcomes() == [(1, 0, AttemptOutcome.OK, True)]
@@ -132,40 +132,38 @@
 @pytest.mark.parametrize("finish", [ShedRequest(1, 7), FailRequest(1)])
 def test_a_final_answer_is_given_once_and_the_attempt_still_has_its_outcome(finish):
     turns = Turns()
-    asker, effects = turns.take(
-        [SendAttempt(1, 1), finish, ShedRequest(1), FailRequest(1), SendAttempt(1, 1)]
-    )
+    sink, effects = turns.take([SendAttempt(1, 1), finish, ShedRequest(1), FailRequest(1), SendAttempt(1, 1)])
     reply = Shed(7) if isinstance(finish, ShedRequest) else Failed()
-    assert effects[1:] == [SendResponse(asker, reply)]
+    assert effects[1:] == [SendResponse(sink, reply)]
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=1) == []
     assert sorted(o[2].name for o in turns.script.outcomes()) == ["NOT_SENT", "OK"]
 
 
 def test_a_cancel_closes_and_is_reported_once():
     turns = Turns()
-    asker, _ = turns.take([SendAttempt(1, 1)])
-    assert turns.step(ClientDisconnected(asker), plan=[CancelAttempt(1, 0)]) == [AbortAttempt(1)]
+    sink, _ = turns.take([SendAttempt(1, 1)])
+    assert turns.step(ClientDisconnected(sink), plan=[CancelAttempt(1, 0)]) == [AbortAttempt(1)]
     turns.step(AttemptFinished(1, AttemptOutcome.RESET))
     assert turns.script.outcomes() == [(1, 0, AttemptOutcome.CANCELLED, True)]
 
 
 def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it_as_failed():
     turns = Turns()
-    asker, _ = turns.take([SendAttempt(1, 1)])
-    assert turns.step(StreamStarted(1, "head"), after=10) == [StartResponse(asker, "head", "s-1", 0)]
+    sink, _ = turns.take([SendAttempt(1, 1)])
+    assert turns.step(StreamStarted(1, "head"), after=10) == [StartResponse(sink, "head", "s-1", 0)]
     assert turns.step(after=5000) == []
     assert turns.step(AttemptFinished(1, AttemptOutcome.RESET)) == [
-        SendResponse(asker, Failed(AttemptOutcome.RESET))
+        SendResponse(sink, Failed(AttemptOutcome.RESET))
     ]
 
 
 def test_a_client_that_reads_slowly_does_not_make_its_node_look_slow():
     turns = Turns()
-    asker, _ = turns.take([SendAttempt(1, 1)])
+    sink, _ = turns.take([SendAttempt(1, 1)])
     turns.step(StreamStarted(1, "head"), ResponseBuffered(1), after=10)
     turns.step(ResponseBuffered(1), after=3000)
     assert turns.step(AttemptFinished(1, AttemptOutcome.OK), after=1) == [
-        SendResponse(asker, Served(None, "s-1", 0))
+        SendResponse(sink, Served(None, "s-1", 0))
     ]
     (outcome,) = [e for e in turns.script.told if isinstance(e, AttemptResult)]
     assert outcome.outcome is AttemptOutcome.OK and outcome.complete and outcome.latency_ns == 10 * MS
@@ -189,9 +187,9 @@
 
 def test_a_client_that_leaves_mid_stream_frees_the_attempt():
     turns = Turns()
-    asker, _ = turns.take([SendAttempt(1, 1)])
+    sink, _ = turns.take([SendAttempt(1, 1)])
     turns.step(StreamStarted(1, "head"))
-    assert turns.step(ClientDisconnected(asker)) == [AbortAttempt(1)]
+    assert turns.step(ClientDisconnected(sink)) == [AbortAttempt(1)]
     turns.step()
     assert turns.script.outcomes() == [(1, 0, AttemptOutcome.CANCELLED, True)] and not turns.core.requests
 
@@ -218,7 +216,7 @@
     askers, answered = [turns.take()[0] for _ in range(40)], []
     turns.step(NodeListUpdate(ListKind.DELTA, (NodeUpdate("s-1", "", 0, NodeState.DRAINING),)))
     for _ in range(700):
-        answered += [e.asker for e in turns.step(after=1) if isinstance(e, SendResponse)]
+        answered += [e.sink for e in turns.step(after=1) if isinstance(e, SendResponse)]
     assert len(answered) == len(set(answered)) and set(answered) <= set(askers)
     assert not turns.core.requests and not turns.core.attempts
 
@@ -244,7 +242,7 @@
     turns.step(news(0, NodeState.GONE), after=70_000)
     turns.step(after=5000)
     assert len(core.nodes) == len(core.node_numbers) == len(module.nodes) == 1  # the one of Turns
-    assert not any((core.requests, core.attempts, core.by_asker, core.ids))
+    assert not any((core.requests, core.attempts, core.by_sink, core.ids))
     assert not any((module.tickets, module.held, module.lines)) and not len(turns.deadlines)
 
 
--- a/tests/core/test_guard.py
+++ b/tests/core/test_guard.py
@@ -83,7 +83,7 @@
 
 @given(st.integers(0, 200), st.integers(0, 200), st.integers(0, 200), st.booleans(), st.booleans())
 def test_a_request_is_started_within_its_bounds_or_told_why_not(open_, held, size, known, suspended):
-    bounds = Bounds(requests=100, held_bytes=200)
+    bounds = Bounds(requests=100, buffered_bytes=200)
     refusal = guard.permit_start(open_, held, size, bounds, known, suspended)
     room = open_ < 50 and held + size <= 100
     wanted = StartRefusal.NO_ROOM if not room else None
--- a/tests/listeners/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -54,7 +54,7 @@
         return sock, client
 
     def asked(self):
-        return [event.asker for event in self.posted if isinstance(event, RequestReceived)]
+        return [event.sink for event in self.posted if isinstance(event, RequestReceived)]
 
     async def answer(self, client, exchange):
         """Answer it; all of the answer is the system's then, and the most of it not the client's yet."""
--- a/tests/listeners/test_told_wait.py
+++ b/tests/listeners/test_told_wait.py
@@ -37,8 +37,8 @@
 
 async def answered(scene, count):
     """Answer the first request, and go on until so many have been taken."""
-    for asker in scene.taken():
-        asker.answer(Served(b"ok"))
+    for sink in scene.taken():
+        sink.answer(Served(b"ok"))
     await scene.until(lambda: scene.wait(0.01) or len(scene.taken()) >= count)
 
 
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -134,12 +134,12 @@
 
 def test_new_settings_reach_the_module_and_what_is_open_goes_on():
     turns = Turns()
-    asker, _ = turns.take([SendAttempt(1, 1)])
+    sink, _ = turns.take([SendAttempt(1, 1)])
     fresh, bounds = settings(max_attempts=1), replace(turns.core.bounds, requests=2)
     assert turns.step(Reconfigured(fresh, bounds)) == []
     assert isinstance(turns.script.told[-1], NewSettings) and turns.core.settings is fresh
     assert turns.take()[1][0].reply == Shed()  # by the new bound
-    assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].asker is asker
+    assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].sink is sink
 
 
 def test_the_module_keeps_what_it_learned_and_goes_by_the_new_figures():
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -43,13 +43,13 @@
         self.close_if_idle()
 
     def close_if_idle(self):
-        if self.stopped_at and not self.scene.core.by_asker and not self.stays:
+        if self.stopped_at and not self.scene.core.by_sink and not self.stays:
             self.clients.clear()
 
     def turn(self):
         if self.clients and self.scene.now >= self.next_at:
             self.next_at = self.scene.now + self.every
-            payload = SimpleNamespace(wire="resp", held_bytes=1)
+            payload = SimpleNamespace(wire="resp", buffered_bytes=1)
             ask = SimpleNamespace(payload=payload, time_left_ns=self.busy, **ASK)
             self.scene.runner.post(RequestReceived(ResponseSink(self), ask))
 
@@ -111,7 +111,7 @@
     assert scene.closed_at == pytest.approx(SECOND + 500 * MS, abs=30 * MS)
     asked = [at for at, _, _ in scene.front.answers]
     assert max(asked) >= SECOND + serves * MS - 100 * MS
-    assert not scene.core.by_asker and len(asked) == len(set(asked))
+    assert not scene.core.by_sink and len(asked) == len(set(asked))
 
 
 def test_what_the_kernel_accepted_waits_for_room_before_the_listener_closes():
@@ -127,7 +127,7 @@
     scene = Scene(2500, every=70 * MS)
     scene.front.stays = True
     assert anyio.run(scene.end) < 2500 * MS + KILL_NS
-    assert not scene.core.by_asker
+    assert not scene.core.by_sink
 
 
 def test_a_client_that_leaves_lets_the_program_end_at_once():
@@ -138,10 +138,10 @@
 
 def test_closing_is_told_to_the_module_and_its_answers_go_out():
     turns = Turns()
-    asker, _ = turns.take([])
+    sink, _ = turns.take([])
     effects = turns.step(ShutdownStarted(), plan=[ShedRequest(1, SECOND)])
     assert turns.script.told[-1] == contract.ShutdownStarted()
-    assert effects == [SendResponse(asker, Shed(SECOND))]
+    assert effects == [SendResponse(sink, Shed(SECOND))]
 
 
 @pytest.mark.parametrize(
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -14,7 +14,7 @@
 SETUP = b"""Classes.count=1
 Classes.0.Target=100000000
 Classes.0.HardLimit=600000000
-Classes.0.Idempotency=dedup
+Classes.0.Effect=dedup
 Classes.0.Group=cell
 ServiceLevels.count=1
 ServiceLevels.0.BaseRate=4.5
