--- /dev/null
+++ b/runloft/decisions/settings.py
@@ -0,0 +1,87 @@
+"""The settings of a scheduler: request classes, service plans and the rules' figures.
+
+Times are integer nanoseconds; their names end in ``_ns``.
+"""
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class Idempotency(Enum):
+    """Whether a request may be executed more than once."""
+
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
+
+
+class IdempotencyScope(Enum):
+    """The nodes that recognise the repeated idempotency key of a request."""
+
+    ALL = "all"
+    ZONE = "zone"
+    SHARD = "shard"
+
+
+@dataclass(frozen=True, slots=True)
+class ClassSettings:
+    """The settings of one class of requests."""
+
+    latency_objective_ns: int
+    deadline_ns: int
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
+    idempotency_scope: IdempotencyScope = IdempotencyScope.SHARD
+    idempotency_window_ns: int = 0
+    in_order: bool = False
+    streamed: bool = False
+    writes: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class PlanSettings:
+    """One service plan; its figures hold for each volume, over all hosts and nodes."""
+
+    rate: float = 0.0
+    reserve: float = 0.0
+    weight: float = 1.0
+    price: float = 1.0
+    limit: float = 0.0
+    limit_burst: float = 0.0
+    limit_slack: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Settings:
+    """All settings of one scheduler; a rule whose figures are zero is switched off."""
+
+    classes: tuple[ClassSettings, ...]
+    plans: tuple[PlanSettings, ...]
+    hosts: int = 1
+    host_number: int = 0
+    tick_ns: int = 1_000_000
+    mean_units: float = 1.0
+    max_units: float = 1.0
+    within_quota_factor: float = 1.0
+    beyond_quota_factor: float = 1.0
+    slow_start_units: float = 0.0
+    slow_start_initial_fraction: float = 1.0
+    slow_start_ns: int = 0
+    overload_multiple: float = 1.0
+    overload_window_ns: int = 0
+    ambiguity_wait_ns: int = 0
+    retry_budget_base: float = 0.0
+    retry_budget_ratio: float = 0.0
+    retry_budget_window_ns: int = 0
+    max_attempts: int = 1
+    connect_timeout_ns: int = 0
+    max_retry_after_ns: int = 0
+    may_cancel: bool = False
+    may_health_check: bool = False
+    may_hedge: bool = False
+    list_is_polled: bool = False
+    poll_interval_ns: int = 0
+    load_report_interval_ns: int = 0
+    reports_load_elsewhere: bool = False
+    report_fields: tuple[str, ...] = ()
