--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -50,7 +50,8 @@
 from runloft.core.trace import trace
 from runloft.decisions import contract
 from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState, Settings
-from runloft.decisions.policy import NEVER_RAN, Scheduler
+from runloft.decisions.outcomes import NEVER_EXECUTED
+from runloft.decisions.scheduler import Scheduler
 
 log = structlog.get_logger()
 UNANSWERED = (
@@ -291,7 +292,7 @@
         request, news = attempt.request, attempt.news
         request.last = event.outcome
         never_started = event.outcome in UNANSWERED and not attempt.begun
-        if event.outcome not in NEVER_RAN and not never_started and request.doubt_at is None:
+        if event.outcome not in NEVER_EXECUTED and not never_started and request.doubt_at is None:
             request.doubt_at = attempt.sent_at
         if trace.enabled:
             trace("attempt over", request=request.id, attempt=attempt.number, outcome=event.outcome.value)
--- /dev/null
+++ b/runloft/decisions/completion.py
@@ -0,0 +1,43 @@
+"""The end of a request: its final response, shed or failed, and its removal."""
+
+from runloft.decisions.actions import FailRequest, ShedRequest
+from runloft.decisions.admission import Admission
+from runloft.decisions.key_order import KeyOrder
+from runloft.decisions.state import SchedulerState
+from runloft.decisions.tracked_request import TrackedRequest
+from runloft.decisions.units import NS_PER_SECOND
+
+
+class Completion:
+    """Gives requests up and removes those that are finished."""
+
+    __slots__ = ("_admission", "_key_order", "_state")
+
+    def __init__(self, state: SchedulerState, admission: Admission, key_order: KeyOrder) -> None:
+        self._state = state
+        self._admission = admission
+        self._key_order = key_order
+
+    def give_up(self, request: TrackedRequest, now: int, overload_s: float = 0.0) -> None:
+        """Shed a request, or fail it if a retry by the client might be executed a second time.
+
+        The client may retry after ``overload_s`` seconds; 0 means after the forecast wait.
+        """
+        was_never_executed = request.ambiguous_since is None and not request.in_flight
+        retry_after_ns = (overload_s or self._admission.retry_after_s(request, now)) * NS_PER_SECOND
+        if request.is_safe_to_shed or was_never_executed:
+            capped_ns = int(min(retry_after_ns, self._state.settings.max_retry_after_ns))
+            self._state.actions.append(ShedRequest(request.id, capped_ns))
+        else:
+            self._state.actions.append(FailRequest(request.id))
+        self.finish(request, now)
+
+    def finish(self, request: TrackedRequest, now: int) -> None:
+        """Remove a request that has its response or needs none, once no attempt is in flight."""
+        request.is_finished = True
+        queue = self._state.queues.get(request.shard, ())
+        if request in queue:
+            self._state.queues[request.shard].remove(request)
+        self._key_order.update(request, now)
+        if not request.in_flight:
+            self._state.requests.pop(request.id, None)
--- /dev/null
+++ b/runloft/decisions/service_rate.py
@@ -0,0 +1,46 @@
+"""The smoothed rate at which a node serves this scheduler's work."""
+
+from runloft.decisions.units import NS_PER_SECOND
+
+NEWEST_SAMPLE_WEIGHT = 0.1  # one sample covers a tightest latency objective of busy time
+
+
+class ServiceRate:
+    """Units served per second of the time in which this scheduler had attempts in flight.
+
+    ``pool`` is the rate over all nodes: with little traffic it is known long before each node's.
+    """
+
+    __slots__ = ("_busy_ns", "_counted_until", "_units", "pool", "units_per_second", "window_ns")
+
+    def __init__(self, window_ns: int, pool: "ServiceRate | None" = None) -> None:
+        self.window_ns = window_ns
+        self.units_per_second = 0.0  # 0: not known yet
+        self.pool = pool
+        self._units = 0.0
+        self._busy_ns = 0
+        self._counted_until = 0
+
+    def record_served(self, units: float, sent_at: int, now: int) -> None:
+        """Count served units and the time since they were sent, no time twice.
+
+        Time spent on attempts that were never answered is not counted as time of service.
+        """
+        self._add_sample(units, now - max(sent_at, self._counted_until))
+        self._counted_until = now
+
+    def _add_sample(self, units: float, busy_ns: int) -> None:
+        """Smooth exponentially, once for each window that the sample covers."""
+        self._units += units
+        self._busy_ns += busy_ns
+        if self.pool is not None:
+            self.pool._add_sample(units, busy_ns)
+        if self._busy_ns < self.window_ns:
+            return
+        sample = self._units * NS_PER_SECOND / self._busy_ns
+        if self.units_per_second:
+            previous_weight = (1 - NEWEST_SAMPLE_WEIGHT) ** (self._busy_ns / self.window_ns)
+            sample = (1 - previous_weight) * sample + previous_weight * self.units_per_second
+        self.units_per_second = sample
+        self._units = 0.0
+        self._busy_ns = 0
--- a/runloft/decisions/state.py
+++ b/runloft/decisions/state.py
@@ -1,52 +1,60 @@
-"""Plain records that ``policy.py`` keeps; they hold figures and decide nothing."""
-
-from collections import deque
-
-from runloft.decisions.contract import ClassSettings, Idempotency, IdempotencyScope, Request
-
-
-class Ticket:
-    """A request that this host took, until it is answered and none of its attempts is out."""
-
-    def __init__(self, request: Request, request_class: ClassSettings, now: int) -> None:
-        self.request, self.request_class = request, request_class
-        self.id, self.units, self.shard = request.id, request.units, request.shard
-        self.objective_at = now + min(request_class.latency_objective_ns, request.time_left_ns)
-        self.deadline = now + request.time_left_ns
-        # A repeat is harmless though an attempt may have run, so that a refusal may say so.
-        keyed = (
-            request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-            and request_class.idempotency_scope is IdempotencyScope.ALL
-        )
-        self.refusable = request_class.idempotency is Idempotency.IDEMPOTENT or keyed
-        self.taken_at = now
-        self.hold_until = self.deadline  # when it is given up if nothing of it has left
-        self.attempts = 0
-        self.reached = False  # whether a node took notice of an attempt
-        self.out: dict[int, int] = {}  # attempt -> node
-        self.sent_at = now  # when the last attempt left
-        self.doubt_at: int | None = None  # when the first attempt left that may have run
-        self.doubt_node: int | None = None  # where that one went
-        self.done = self.streaming = False
-        self.luck = 1.0  # factor on the price that it meets
-
-
-class SlidingSum:
-    """The sum of what was added within the last ``window`` nanoseconds, its far edge included."""
-
-    def __init__(self, window: int) -> None:
-        self.window = window
-        self._items: deque[tuple[int, float]] = deque()
-        self._total = 0.0
-
-    def add(self, now: int, amount: float) -> None:
-        """Add an amount at an instant not before the last one."""
-        self._items.append((now, amount))
-        self._total += amount
-        self.total(now)
-
-    def total(self, now: int, edge: int = 0) -> float:
-        """Give the sum; what is older than the window less ``edge`` is dropped for good."""
-        while self._items and self._items[0][0] < now - self.window + edge:
-            self._total -= self._items.popleft()[1]
-        return self._total if self._items else 0.0
+"""The state that the parts of a scheduler share: settings, nodes, open requests and queues."""
+
+import random
+
+from runloft.decisions.actions import Action
+from runloft.decisions.node import Node
+from runloft.decisions.service_rate import ServiceRate
+from runloft.decisions.settings import Settings
+from runloft.decisions.tracked_request import TrackedRequest
+from runloft.decisions.units import NS_PER_SECOND
+
+MAX_SMALL_FLEET = 16  # up to so many schedulers their minima together stay within the latency objective
+
+
+class SchedulerState:
+    """Settings, what follows from them, and the tables that more than one module uses."""
+
+    __slots__ = (
+        "actions",
+        "has_volume_limits",
+        "is_large_fleet",
+        "max_priority",
+        "nodes",
+        "nodes_by_shard",
+        "objective_ns",
+        "pool_rate",
+        "queues",
+        "random",
+        "requests",
+        "settings",
+        "started_at",
+        "touched_shards",
+        "wake_at",
+    )
+
+    def __init__(self, settings: Settings, seed: int, now: int) -> None:
+        self.random = random.Random(seed)
+        self.started_at = now
+        self.wake_at = 0  # when all queues are looked at next
+        self.nodes: dict[int, Node] = {}
+        self.nodes_by_shard: dict[int | None, Node] = {}
+        self.requests: dict[int, TrackedRequest] = {}
+        self.queues: dict[int | None, list[TrackedRequest]] = {}  # by shard; None: no node to place it on
+        self.touched_shards: dict[int | None, bool] = {}  # in order, those with events in this call
+        self.pool_rate = ServiceRate(NS_PER_SECOND)
+        self.actions: list[Action] = []
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Use other settings from now on; what is open and what was learned stay."""
+        self.settings = settings
+        self.is_large_fleet = settings.hosts > MAX_SMALL_FLEET
+        self.has_volume_limits = any(plan.limit for plan in settings.plans)
+        objectives = (each.latency_objective_ns for each in settings.classes)
+        self.objective_ns = min(objectives, default=NS_PER_SECOND)
+        self.max_priority = max((each.priority_weight for each in settings.classes), default=1.0)
+        self.max_priority *= max((plan.price for plan in settings.plans), default=1.0)
+        self.pool_rate.window_ns = self.objective_ns
+        for node in self.nodes.values():
+            node.apply_settings(settings, self.objective_ns)
--- a/runloft/lab/scale/roles.py
+++ b/runloft/lab/scale/roles.py
@@ -149,7 +149,7 @@
         "what clients ask for"),
     Row("clients", "answered", ("work.client.answered_share",), "datapath", None, FRONT, "refusals"),
     Row("clients", "refused", ("work.client.refused_share",), "datapath", None,
-        "decisions/policy.py: admission control", "more refusals"),
+        "decisions/admission.py: admission control", "more refusals"),
     Row("clients", "99th percentile", ("work.client.p99_ms",), "datapath", None, LOOP, "late turns"),
     Row("tool", "processor", ("tool.cpu_s",), "full", None, TOOL, "the time a change may take"),
     Row("tool", "bytes in", ("tool.in_bytes",), "full", None, TOOL, "the time a change may take"),
--- a/runloft/simulator/adapter.py
+++ b/runloft/simulator/adapter.py
@@ -10,7 +10,7 @@
 
 from runloft.config.settings import settings_from_wire
 from runloft.decisions import contract
-from runloft.decisions.policy import Scheduler
+from runloft.decisions.scheduler import Scheduler
 from runloft.simulator import wire as wire
 
 ENDINGS = {
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -243,7 +243,9 @@
     turns.step(after=5000)
     assert len(core.nodes) == len(core.node_numbers) == len(module.nodes) == 1  # the one of Turns
     assert not any((core.requests, core.attempts, core.by_sink, core.ids))
-    assert not any((module.tickets, module.held, module.lines)) and not len(turns.deadlines)
+    assert not any((module.requests, module.state.queues, module.key_order.waiting)) and not len(
+        turns.deadlines
+    )
 
 
 def test_a_node_that_an_open_attempt_is_at_is_not_forgotten():
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -18,7 +18,7 @@
     ShedRequest,
     TimerFired,
 )
-from runloft.decisions.policy import MOST_VOLUMES
+from runloft.decisions.volume_quota import MAX_VOLUMES
 from tests.support.driver import MS, NODE, SECOND, Host, gone, request_class, settings
 
 ROOT = Path(__file__).parents[2]
@@ -122,9 +122,9 @@
     node = host.scheduler.nodes[10]
     host.ask()
     host.wait(400)
-    assert not node.suspect(host.now)
+    assert not node.is_unresponsive(host.now)
     host.ask()
-    assert node.suspect(host.now)
+    assert node.is_unresponsive(host.now)
 
 
 def test_a_time_out_of_a_client_with_little_time_is_no_silence():
@@ -135,7 +135,7 @@
         host.wait(60)
         host.end(id_, AttemptOutcome.TIMEOUT, latency=60)
     host.wait(400)
-    assert not host.scheduler.nodes[10].suspect(host.now)
+    assert not host.scheduler.nodes[10].is_unresponsive(host.now)
 
 
 def test_trials_of_many_hosts_at_a_suspect_node_are_spaced_by_their_number():
@@ -168,12 +168,12 @@
 def test_quick_errors_raise_no_rate():
     host = Host(settings(request_class(aim=100, deadline=600), max_attempts=1))
     host.serve(30, latency=20)
-    before = host.scheduler.nodes[10].rate.z
+    before = host.scheduler.nodes[10].rate.units_per_second
     for _ in range(200):
         host.ask()
         host.wait(1)
         host.end_all(AttemptOutcome.ERROR)
-    assert host.scheduler.nodes[10].rate.z <= before
+    assert host.scheduler.nodes[10].rate.units_per_second <= before
 
 
 def test_many_hosts_floors_give_way_where_answers_are_slow():
@@ -358,10 +358,10 @@
 
 def test_what_other_nodes_show_holds_at_a_node_not_heard():
     host = crowded(200)
-    before = host.scheduler.mean_price.value
+    before = host.scheduler.pricing.mean.value
     assert before > 0
     node = host.scheduler.nodes[11]
-    assert host.scheduler._price(node, host.now) > 0
+    assert host.scheduler.pricing.price_of(node.congestion_price, host.now) > 0
 
 
 def test_a_node_that_started_anew_has_no_price_and_no_silence():
@@ -386,11 +386,11 @@
 
 def test_volumes_that_were_quiet_longest_are_forgotten():
     host = Host(settings(request_class()))
-    for volume in range(MOST_VOLUMES + 5):
+    for volume in range(MAX_VOLUMES + 5):
         host.ask(volume=volume)
         host.wait(1)
         host.end_all()
-    assert len(host.scheduler.volumes) == MOST_VOLUMES and 0 not in host.scheduler.volumes
+    assert len(host.scheduler.volumes) == MAX_VOLUMES and 0 not in host.scheduler.volumes
 
 
 def test_a_later_try_counts_its_aim_from_the_first():
@@ -421,5 +421,5 @@
         host.end(id_)
         host.wait(5)
     assert set(placed) == {11}
-    assert host.scheduler.nodes[10].failing(host.now)
-    assert not host.scheduler.nodes[10].failing(host.now + 5 * SECOND)
+    assert host.scheduler.nodes[10].outlier.is_ejected(host.now)
+    assert not host.scheduler.nodes[10].outlier.is_ejected(host.now + 5 * SECOND)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -7,6 +7,11 @@
 from tests.support.fleet import CONNECT, Fleet, fleet_settings
 
 
+def congestion_price(host: Host) -> float:
+    node = host.scheduler.nodes[10]
+    return host.scheduler.pricing.price_of(node.congestion_price, host.now)
+
+
 @pytest.mark.parametrize("load", [15.0, 27.0])
 @pytest.mark.parametrize("hosts", [1, 4, 40])
 def test_a_replaced_node_is_used_by_what_its_shard_was_used_and_not_pushed_over(hosts, load):
@@ -37,8 +42,8 @@
     for n in range(30):
         host.serve(1, latency=100, shard=n)
     scheduler = host.scheduler
-    assert not any(node.rate.z for node in scheduler.nodes.values())
-    assert 5 < scheduler._rate(scheduler.nodes[0], host.now) < 20
+    assert not any(node.rate.units_per_second for node in scheduler.nodes.values())
+    assert 5 < scheduler.nodes[0].estimated_rate(host.now) < 20
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
@@ -66,9 +71,9 @@
     for _ in range(6):
         host.end(host.ask(request_class=1), latency=300)
         host.wait(100)
-    assert host.scheduler._price(host.scheduler.nodes[10], host.now) == 0
+    assert congestion_price(host) == 0
     host.end(host.ask(request_class=0), latency=300)
-    assert host.scheduler._price(host.scheduler.nodes[10], host.now) > 0
+    assert congestion_price(host) > 0
 
 
 def test_a_crowd_that_is_over_is_forgotten_after_a_few_timely_answers():
@@ -77,12 +82,12 @@
     node = host.scheduler.nodes[10]
     for _ in range(2):
         host.end(host.ask(), latency=1000)
-    dear = host.scheduler._price(node, host.now)
+    dear = host.scheduler.pricing.price_of(node.congestion_price, host.now)
     host.ask()
     for _ in range(3):
         host.end(host.next_id - 1, latency=50)
         host.ask()
-    assert dear > 0 and host.scheduler._price(node, host.now) < dear / 4
+    assert dear > 0 and host.scheduler.pricing.price_of(node.congestion_price, host.now) < dear / 4
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
@@ -100,7 +105,7 @@
     gaps.append(host.sends(id_)[2][0] - host.sends(id_)[1][0])
     assert gaps[0] >= 5 * MS and len(host.sends(id_)) == 3
     host.end(id_)
-    assert host.scheduler.nodes[10].shut == 0
+    assert host.scheduler.nodes[10].backoff.length_objectives == 0
 
 
 def test_few_hosts_try_again_at_once_where_a_node_turned_one_away():
--- a/tests/decisions/test_golden_sequence.py
+++ b/tests/decisions/test_golden_sequence.py
@@ -9,7 +9,7 @@
 import pytest
 
 from runloft.decisions import contract
-from runloft.decisions.policy import Scheduler
+from runloft.decisions.scheduler import Scheduler
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -236,10 +236,10 @@
     host = Host(settings(slow_start_units=8, hosts=150, **COLD), at=100 * SECOND)
     refuse_for_a_while(host)
     node = host.scheduler.nodes[10]
-    assert host.scheduler._cold_since(node, host.now) == host.now
-    assert host.scheduler._cold_since(node, host.now + 6 * SECOND) is None
+    assert host.scheduler.slow_start.started_at(node, host.now) == host.now
+    assert host.scheduler.slow_start.started_at(node, host.now + 6 * SECOND) is None
     host.tell(NodeEntry(10, 0, started_ns=98 * SECOND))
-    assert host.scheduler._cold_since(node, host.now) == 98 * SECOND
+    assert host.scheduler.slow_start.started_at(node, host.now) == 98 * SECOND
 
 
 def test_odd_figures_do_not_raise():
@@ -294,7 +294,7 @@
         host.wait(300 if between else 90)
         if between:
             host.end(host.ask(), between)
-    assert host.scheduler._cold_since(host.scheduler.nodes[10], host.now) is None
+    assert host.scheduler.slow_start.started_at(host.scheduler.nodes[10], host.now) is None
 
 
 # 5. Order is kept where a class asks for it.
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -152,9 +152,9 @@
     )
     host.see(NewSettings(fresh))
     store = host.scheduler.volumes[1]
-    assert host.scheduler.nodes[10] is node and node.out
-    assert (node.served.window, node.recent.window) == (7, 9)
-    assert store.plan.reserve == 5.0 and store.reserve_most < 1000
+    assert host.scheduler.nodes[10] is node and node.in_flight
+    assert (node.slow_start.served.window_ns, node.slow_start.sent.window_ns) == (7, 9)
+    assert store.plan.reserve == 5.0 and store.max_reserve_tokens < 1000
 
 
 @pytest.mark.parametrize("rev, told", [(9, [ListKind.FULL]), (4, []), (None, [])])
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -165,4 +165,4 @@
     assert host.answers(held)[0][1].retry_after_ns > 0 and not host.answers(done)
     host.end(sent, AttemptOutcome.RESET)
     host.wait(20_000)
-    assert len(host.answers(sent)) == 1 and not host.scheduler.tickets
+    assert len(host.answers(sent)) == 1 and not host.scheduler.requests
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -22,7 +22,7 @@
     Timer,
     TimerFired,
 )
-from runloft.decisions.policy import Scheduler
+from runloft.decisions.scheduler import Scheduler
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -175,7 +175,10 @@
             return
         attempt.over = True
         host, name = self.hosts[attempt.host], (attempt.host, attempt.id)
-        in_time = outcome is AttemptOutcome.OK and self.now - self.asked_at[name] <= host.scheduler.aim
+        in_time = (
+            outcome is AttemptOutcome.OK
+            and self.now - self.asked_at[name] <= host.scheduler.state.objective_ns
+        )
         self.served += in_time and name not in self.floods
         host.now = self.now
         host.end(attempt.id, outcome, latency=(self.now - attempt.sent_at) / MS)
@@ -184,9 +187,9 @@
     def _collect(self, number: int) -> None:
         host = self.hosts[number]
         for at, send in host.sends(seen=self.seen[number]):
-            ticket = host.scheduler.tickets[send.id]
-            attempt = Attempt(number, send.id, send.node, ticket.units, at)
-            due = min(at + (send.timeout_ns or ticket.deadline), ticket.deadline)
+            request = host.scheduler.requests[send.id]
+            attempt = Attempt(number, send.id, send.node, request.units, at)
+            due = min(at + (send.timeout_ns or request.deadline), request.deadline)
             self._push(due, attempt, AttemptOutcome.TIMEOUT)
             if not self.unreached(number, send.node):
                 if self.together:
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -151,7 +151,7 @@
         assert 1 not in scene.core.attempts and 1 not in scene.link.out
         # Nothing of it says anything of the node, and what is still wanted is asked again or waits.
         node = next(iter(scene.core.scheduler.nodes.values()))
-        assert node.failed == 0 and not node.down_since
+        assert node.outlier.error_rate == 0 and not node.slow_start.connect_failing_since
         assert ("leaves" in crossing) == (not scene.core.requests) and not sink.replies
 
     play(monkeypatch, story, **LIMITS)
@@ -450,7 +450,7 @@
             scene.turn(8000)
         assert not (scene.core.requests or scene.core.attempts or scene.core.by_sink or scene.runner.events)
         assert not (scene.link.open or scene.link.out or scene.link.idle or scene.link.waiting)
-        assert not scene.core.scheduler.tickets and not len(scene.runner.deadlines)
+        assert not scene.core.scheduler.requests and not len(scene.runner.deadlines)
         for conn in connections:
             conn.close()
 
@@ -480,7 +480,8 @@
         conn = await scene.node()
         assert await scene.read(conn)
         node = scene.core.scheduler.nodes[1]
-        assert not (node.refused_at or node.down_since or node.failed or node.shut_until)
+        assert not (node.slow_start.unreachable_at or node.slow_start.connect_failing_since)
+        assert not (node.outlier.error_rate or node.backoff.until)
         conn.sendall(BUSY)
         await until(lambda: scene.runner.events)
         scene.turn()
