--- /dev/null
+++ b/runloft/lab/errors.py
@@ -0,0 +1,7 @@
+"""The base of the laboratory's exceptions."""
+
+from runloft.errors import RunloftError
+
+
+class LaboratoryError(RunloftError):
+    """Base class of the laboratory's exceptions."""
--- /dev/null
+++ b/runloft/lab/scale/datapath/client_load.py
@@ -0,0 +1,321 @@
+"""All client connections of one scheduler, served by one epoll: they cost less than what is measured."""
+
+import math
+import select
+import time
+from collections import deque
+from dataclasses import dataclass
+from random import Random
+
+from runloft.lab.load import GRACE_S
+from runloft.lab.scale.datapath.client_connection import (
+    PING,
+    ClientConnection,
+    Response,
+    ResponseKind,
+    Statement,
+)
+from runloft.lab.scale.datapath.messages import (
+    STANDARD_INPUT,
+    ClientCounts,
+    ClientsConnected,
+    ConnectClients,
+    Count,
+    Done,
+    FinishLoad,
+    LoadResult,
+    Order,
+    OrderReader,
+    StartCounting,
+    StartLoad,
+    send_answer,
+)
+from runloft.lab.scale.datapath.scheduler_files import CLASS_NAME, DEADLINE_S
+from runloft.net import resp2
+
+CONNECTING_AT_ONCE = 64
+MS_PER_S = 1000
+P99 = 0.99
+# Spreads consecutive numbers over 64 bits: trace ids that look random and never repeat.
+TRACE_MULTIPLIER = 2654435761
+TRACE_MODULUS = 1 << 64
+
+
+@dataclass(slots=True)
+class Counters:
+    """What happened since counting began."""
+
+    sent: int = 0
+    served: int = 0
+    refused: int = 0
+    closes: int = 0
+    connects: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class Period:
+    """What had happened when the load ended; answers to what was sent by then are still awaited."""
+
+    sent: int
+    closes: int
+    connects: int
+    open: int
+    seconds: float
+    answers_due_at_s: float
+
+
+class ClientLoad:
+    """The clients' stand-in: connects, sends statements as a Poisson process, counts what became of them."""
+
+    def __init__(self) -> None:
+        self.poll = select.epoll()
+        self.orders = OrderReader()
+        self.connections: list[ClientConnection] = []
+        self.by_descriptor: dict[int, ClientConnection] = {}
+        self.counters = Counters()
+        self.counting_since_s: float | None = None
+        self.latencies_s: list[float] = []
+        self.unanswered = 0  # statements that are counted
+        self.period: Period | None = None  # while the last answers are awaited
+        self.rate = 0.0
+        self.next_statement_at_s = math.inf
+        self.next_connection = 0
+        self.statement_number = 0
+        self.to_connect: deque[ClientConnection] = deque()
+        self.connecting_since_s: float | None = None  # until all have been answered once
+        self.never_answered = 0
+
+    def run(self) -> None:
+        """Serve the connections until standard input ends."""
+        self.poll.register(STANDARD_INPUT, select.EPOLLIN)
+        while self._run_once():
+            pass
+
+    def _run_once(self) -> bool:
+        """Send what is due, then wait for the next event; return False at the end of standard input."""
+        now = time.monotonic()
+        if now >= self.next_statement_at_s:
+            self._send_due_statements(now)
+        if self.period and (not self.unanswered or now >= self.period.answers_due_at_s):
+            self._report(self.period)
+        for descriptor, events in self.poll.poll(self._timeout_s(now)):
+            if descriptor != STANDARD_INPUT:
+                self._handle_event(descriptor, events)
+                continue
+            orders = self.orders.read()
+            if orders is None:
+                return False
+            for order in orders:
+                self._carry_out(order)
+        return True
+
+    def _timeout_s(self, now: float) -> float | None:
+        answers_due_at_s = self.period.answers_due_at_s if self.period else math.inf
+        due_at_s = min(self.next_statement_at_s, answers_due_at_s)
+        return None if due_at_s == math.inf else max(0.0, due_at_s - now)
+
+    def _carry_out(self, order: Order) -> None:
+        match order:
+            case ConnectClients():
+                self._connect_all(order)
+            case StartLoad(rate=rate):
+                self.rate = rate
+                self.next_statement_at_s = time.monotonic() + self.random.expovariate(rate)
+                send_answer(Done())
+            case Count():
+                self._report_counts()
+            case StartCounting():
+                self.counters = Counters()
+                self.counting_since_s = time.monotonic()
+                send_answer(Done())
+            case FinishLoad():
+                self._finish()
+            case _:
+                raise ValueError(f"no order for clients: {order}")
+
+    # Connecting
+
+    def _connect_all(self, order: ConnectClients) -> None:
+        """Connect and send a PING, some at a time; answered when all have been answered."""
+        host, _, port = order.address.rpartition(":")
+        self.host = host
+        self.port = int(port)
+        self.shape = order
+        self.random = Random(f"{order.seed}/clients")
+        self.connections = [ClientConnection() for _ in range(order.connections)]
+        self.to_connect = deque(self.connections)
+        self.connecting_since_s = time.monotonic()
+        self.never_answered = order.connections
+        for _ in range(CONNECTING_AT_ONCE):
+            self._connect_next()
+        self._report_when_all_connected()
+
+    def _connect_next(self) -> None:
+        if self.to_connect:
+            connection = self.to_connect.popleft()
+            connection.awaited.append(None)
+            connection.output += PING
+            self._open(connection)
+
+    def _first_answer(self, connection: ClientConnection) -> None:
+        if not connection.has_been_answered:
+            connection.has_been_answered = True
+            self.never_answered -= 1
+            self._connect_next()
+            self._report_when_all_connected()
+
+    def _report_when_all_connected(self) -> None:
+        if self.connecting_since_s is not None and not self.never_answered:
+            elapsed_s = time.monotonic() - self.connecting_since_s
+            self.connecting_since_s = None
+            send_answer(ClientsConnected(elapsed_s, len(self.by_descriptor)))
+
+    # Statements
+
+    def _send_due_statements(self, now: float) -> None:
+        while self.next_statement_at_s <= now:
+            connection = self._choose_connection()
+            counted = self.counting_since_s is not None
+            self.counters.sent += counted
+            self.unanswered += counted
+            self._send(connection, Statement(self.next_statement_at_s, counted))
+            self.next_statement_at_s += self.random.expovariate(self.rate)
+
+    def _choose_connection(self) -> ClientConnection:
+        if not self.shape.round_robin:
+            return self.random.choice(self.connections)
+        connection = self.connections[self.next_connection]
+        self.next_connection = (self.next_connection + 1) % len(self.connections)
+        return connection
+
+    def _send(self, connection: ClientConnection, statement: Statement) -> None:
+        connection.awaited.append(statement)
+        connection.output += self._next_command()
+        if connection.socket is None:
+            self.counters.connects += 1
+            self._open(connection)
+        elif connection.is_connected:
+            self._send_output(connection)
+
+    def _next_command(self) -> bytes:
+        self.statement_number += 1
+        volume = self.random.randrange(self.shape.volumes)
+        shard = self.random.randrange(self.shape.shards)
+        attributes = (
+            f"c={CLASS_NAME},t=plan-{volume},d={int(DEADLINE_S * MS_PER_S)},volume={volume:016x},"
+            f"units=1,shard={shard},hosts={self.shape.hosts}"
+        )
+        trace = self.statement_number * TRACE_MULTIPLIER % TRACE_MODULUS
+        words = (b"IO.IN", b"%016x" % trace, b"%016x" % self.statement_number, attributes.encode())
+        return b"".join(resp2.command(*words))
+
+    # Events of connections
+
+    def _open(self, connection: ClientConnection) -> None:
+        opened = connection.open(self.host, self.port)
+        self.by_descriptor[opened.fileno()] = connection
+        self.poll.register(opened, select.EPOLLIN | select.EPOLLOUT)
+
+    def _handle_event(self, descriptor: int, events: int) -> None:
+        connection = self.by_descriptor.get(descriptor)
+        if connection is None or connection.socket is None:
+            return
+        if events & (select.EPOLLIN | select.EPOLLHUP | select.EPOLLERR):
+            if not connection.receive():
+                self._closed(connection)
+                return
+            for response in connection.responses():
+                self._answered(connection, response)
+        if events & select.EPOLLOUT and connection.socket is not None:
+            connection.is_connected = True
+            self._send_output(connection)
+
+    def _send_output(self, connection: ClientConnection) -> None:
+        assert connection.socket is not None
+        try:
+            connection.send_output()
+        except OSError:
+            return  # reading it closes it
+        events = select.EPOLLIN | (select.EPOLLOUT if connection.output else 0)
+        self.poll.modify(connection.socket, events)
+
+    def _answered(self, connection: ClientConnection, response: Response) -> None:
+        statement = response.statement
+        if statement is None:
+            self._first_answer(connection)
+            return
+        if not statement.counted:
+            return
+        self.unanswered -= 1
+        match response.kind:
+            case ResponseKind.SERVED:
+                self.counters.served += 1
+                self.latencies_s.append(time.monotonic() - statement.due_at_s)
+            case ResponseKind.REFUSED:
+                self.counters.refused += 1
+
+    def _closed(self, connection: ClientConnection) -> None:
+        """Count a close; resend once, on a new connection, what was not answered on this one."""
+        assert connection.socket is not None
+        self.poll.unregister(connection.socket)
+        del self.by_descriptor[connection.socket.fileno()]
+        self.counters.closes += 1
+        for statement in connection.close():
+            if statement is None:
+                self._first_answer(connection)
+            elif statement.is_resent:
+                self.unanswered -= statement.counted  # lost
+            else:
+                statement.is_resent = True
+                self._send(connection, statement)
+
+    # Reports
+
+    def _report_counts(self) -> None:
+        counters = self.counters
+        send_answer(
+            ClientCounts(
+                sent=counters.sent,
+                served=counters.served,
+                refused=counters.refused,
+                closes=counters.closes,
+                connects=counters.connects,
+                open=len(self.by_descriptor),
+            )
+        )
+
+    def _finish(self) -> None:
+        now = time.monotonic()
+        counters = self.counters
+        self.next_statement_at_s = math.inf
+        self.period = Period(
+            sent=counters.sent,
+            closes=counters.closes,
+            connects=counters.connects,
+            open=len(self.by_descriptor),
+            seconds=now - (self.counting_since_s or 0.0),
+            answers_due_at_s=now + DEADLINE_S + GRACE_S,
+        )
+
+    def _report(self, period: Period) -> None:
+        self.period = None
+        send_answer(
+            LoadResult(
+                sent=period.sent,
+                served=self.counters.served,
+                refused=self.counters.refused,
+                closes=period.closes,
+                connects=period.connects,
+                open=period.open,
+                seconds=period.seconds,
+                p99_ms=_p99(self.latencies_s) * MS_PER_S,
+            )
+        )
+
+
+def _p99(values: list[float]) -> float:
+    """Return the 99th percentile, 0.0 where there are no values."""
+    if not values:
+        return 0.0
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(P99 * len(ordered)))]
--- a/runloft/lab/scale/engine.py
+++ b/runloft/lab/scale/engine.py
@@ -129,9 +129,9 @@
         setup = self.order.setup
         if vary in DATA_PATH:
             # Loaded here: only what needs a real scheduler starts one.
-            from runloft.lab.scale import datapath
+            from runloft.lab.scale.datapath.load_measurement import measure_load
 
-            return setup.seconds, await datapath.points(sizes, setup.seconds, setup.seed, setup.progress)
+            return setup.seconds, await measure_load(sizes, setup.seconds, setup.seed, setup.progress)
         with tempfile.TemporaryDirectory(prefix="runloft-scale-") as folder:
             return await measure(sizes, setup, Path(folder))
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -15,9 +15,10 @@
 from runloft.lab.discovery import Instances
 from runloft.lab.keyspace import Keyspace
 from runloft.lab.redis import RedisStandIn
-from runloft.lab.scale import datapath
 from runloft.lab.scale.bounds import Machine, lacking
 from runloft.lab.scale.commands import told
+from runloft.lab.scale.datapath import load_measurement
+from runloft.lab.scale.datapath.sizing import SizeError
 from runloft.lab.scale.engine import Order, Run
 from runloft.lab.scale.events import EVENTS, timed
 from runloft.lab.scale.fitting import quantile, slopes
@@ -221,12 +222,12 @@
 
 
 def test_the_data_path_is_measured_at_a_real_scheduler_and_what_it_cannot_bear_is_marked(monkeypatch):
-    async def points(sizes, seconds, seed, progress):
+    async def measure_load(sizes, seconds, seed, progress):
         if sizes.clients > 7:
-            raise datapath.SizeError("8 clients are too many")
+            raise SizeError("8 clients are too many")
         return {"scheduler.resident_mb": float(sizes.clients)}
 
-    monkeypatch.setattr(datapath, "points", points)
+    monkeypatch.setattr(load_measurement, "measure_load", measure_load)
     result = anyio.run(Run(Order(SETUP, SMALL, (("clients", (7, 8)),))).run)
     assert [one.figures for one in result.points] == [{"scheduler.resident_mb": 7.0}]
     assert result.missing == ("clients=8, repeat 0: SizeError: 8 clients are too many",)
--- a/tests/lab/test_scale_datapath.py
+++ b/tests/lab/test_scale_datapath.py
@@ -11,8 +11,12 @@
 import anyio
 import pytest
 
-from runloft.lab.scale import datapath
-from runloft.lab.scale.datapath import ChildError, Limits, SizeError, check, crew, points, resting
+from runloft.lab.scale.datapath import idle_measurement, load_measurement, sizing
+from runloft.lab.scale.datapath.idle_measurement import measure_idle_clients
+from runloft.lab.scale.datapath.launching import SERVING
+from runloft.lab.scale.datapath.load_measurement import measure_load, warm_up_s
+from runloft.lab.scale.datapath.processes import ChildError, process_group
+from runloft.lab.scale.datapath.sizing import Limits, SizeError, check_size
 from runloft.lab.scale.records import Sizes
 from tests.support.standins import Listener, words_of
 
@@ -32,16 +36,16 @@
 
 @pytest.fixture(autouse=True)
 def none_left(monkeypatch):
-    monkeypatch.setattr(datapath, "SETTLE_S", 0.1)
-    monkeypatch.setattr(datapath, "LISTED_S", 0.1)
-    monkeypatch.setattr(datapath, "SCRAPES", 3)
+    monkeypatch.setattr(load_measurement, "WARM_UP_S", 0.1)
+    monkeypatch.setattr(idle_measurement, "LISTED_S", 0.1)
+    monkeypatch.setattr(load_measurement, "SCRAPES", 3)
     before = children()
     yield
     assert children() <= before
 
 
 def test_a_size_gives_every_figure():
-    found = anyio.run(points, SMALL, 0.5, 1, lambda _: None)
+    found = anyio.run(measure_load, SMALL, 0.5, 1, lambda _: None)
     assert found.keys() == ALWAYS | WITH_STATEMENTS
     assert found["scheduler.clients_open_count"] == 6
     assert found["scheduler.client_closes_per_s"] == found["scheduler.client_connects_per_s"] == 0
@@ -51,7 +55,7 @@
 
 
 def test_clients_that_rest_are_counted_as_they_are_left_open():
-    found = anyio.run(resting, Sizes(nodes=1, clients=5), (0.0,), 1, lambda _: None)
+    found = anyio.run(measure_idle_clients, Sizes(nodes=1, clients=5), (0.0,), 1, lambda _: None)
     names = ("scheduler.come.clients_open_count", "scheduler.after_0_s.clients_open_count")
     assert [found[name] for name in names] == [5, 5]
 
@@ -89,7 +93,7 @@
 
 
 def test_closed_connections_are_counted_and_opened_again_for_their_statement():
-    order = {"seed": 1, "in_turn": True, "shards": 1, "hosts": 1, "volumes": 1}
+    order = {"seed": 1, "round_robin": True, "shards": 1, "hosts": 1, "volumes": 1}
     server = Closing()
     with stand_in("clients") as ask:
         ask(do="come", address=server.address, connections=5, **order)
@@ -108,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sizes", "in_turn", "longer"),
+    ("sizes", "round_robin", "longer"),
     [
         (Sizes(statements=100.0), True, False),
         (Sizes(clients=3000, statements=300.0), True, False),
@@ -117,8 +121,8 @@
         (Sizes(clients=3000, statements=200.0), True, True),  # 15 s between a client's statements
     ],
 )
-def test_load_goes_on_for_longer_than_a_rest_where_rests_are_ended(sizes, in_turn, longer):
-    assert (datapath.settling_s(sizes, Limits(), in_turn) > 15.0) is longer
+def test_load_goes_on_for_longer_than_a_rest_where_rests_are_ended(sizes, round_robin, longer):
+    assert (warm_up_s(sizes, Limits(), round_robin) > 15.0) is longer
 
 
 @pytest.mark.parametrize(
@@ -133,21 +137,22 @@
 )
 def test_what_cant_be_borne_is_refused_by_limit_and_size(sizes, limits, says, monkeypatch):
     if "available" in says:
-        monkeypatch.setattr(datapath, "SCHEDULER_MB", 1 << 40)
+        monkeypatch.setattr(sizing, "SCHEDULER_MB", 1 << 40)
     with pytest.raises(SizeError, match=says):
-        check(sizes, limits)
+        check_size(sizes, limits)
 
 
 def test_a_process_that_dies_is_named_with_its_log(tmp_path):
     async def killed():
-        async with crew() as made:
-            child = await made.stand_in("store")
+        async with process_group() as group:
+            child = await group.start_stand_in("store")
             os.kill(child.process.pid, signal.SIGKILL)
-            await made.wait(30.0)
+            await group.wait(30.0)
 
     async def faulty():
-        async with crew() as made:
-            await made.logged(await made.serve("scheduler", tmp_path / "none.toml"), datapath.SERVING)
+        async with process_group() as group:
+            scheduler = await group.start_scheduler("scheduler", tmp_path / "none.toml")
+            await group.wait_for_log(scheduler, SERVING)
 
     with pytest.raises(ChildError, match=r"store \(process \d+\) ended with -9"):
         anyio.run(killed)
@@ -158,7 +163,7 @@
 def test_nothing_is_left_of_a_measurement_that_is_called_off():
     async def called_off():
         with anyio.CancelScope() as scope:
-            await points(SMALL, 30.0, 1, lambda text: scope.cancel() if "serves" in text else None)
+            await measure_load(SMALL, 30.0, 1, lambda text: scope.cancel() if "serves" in text else None)
         return scope.cancelled_caught
 
     assert anyio.run(called_off)
