--- /dev/null
+++ b/runloft/lab/scale/capacity_page/__init__.py
@@ -0,0 +1,1 @@
+"""The tables of docs/CAPACITY.md, worked out from committed documents and the operators' size."""
--- /dev/null
+++ b/runloft/lab/scale/capacity_page/event_kinds.py
@@ -0,0 +1,116 @@
+"""The events that are played at the ordinary day's size, and what they may take."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from runloft.lab.scale.capacity_page import mechanisms
+from runloft.lab.scale.capacity_page.budgets import BudgetName
+from runloft.lab.scale.capacity_page.load_cases import CHANGES_PER_DAY
+
+# The figure of an event that reached all: the time until the last scheduler served by what is committed.
+ALL_COMMITTED = "all_in_force_s"
+
+
+@dataclass(frozen=True, slots=True)
+class EventKind:
+    """Something that happens to a fleet of that size."""
+
+    title: str
+    frequency: str
+    mechanism: str
+    breaks_beyond: str
+    budgets: Mapping[str, BudgetName]  # by figure
+
+
+NETWORK_BUDGETS = {
+    "store.worst_second_bytes": BudgetName.MACHINE_NETWORK,
+    "discovery.worst_second_bytes": BudgetName.MACHINE_NETWORK,
+}
+CHANGE_BUDGETS = {ALL_COMMITTED: BudgetName.COMMITTED} | NETWORK_BUDGETS
+PRIMARY_BUDGETS = {ALL_COMMITTED: BudgetName.PRIMARY} | NETWORK_BUDGETS
+EVENTS: Mapping[str, EventKind] = {
+    "change": EventKind(
+        title="a change of configuration",
+        frequency=f"{CHANGES_PER_DAY} a day",
+        mechanism=mechanisms.ROLLOUT,
+        breaks_beyond="the store",
+        budgets=CHANGE_BUDGETS,
+    ),
+    "change-one-dead": EventKind(
+        title="a change, one scheduler dead",
+        frequency="2 machines fail a day",
+        mechanism=mechanisms.ROLLOUT,
+        breaks_beyond="the dead one's fence",
+        budgets=CHANGE_BUDGETS,
+    ),
+    "change-rack-dead": EventKind(
+        title="a change, a rack of 40 dead",
+        frequency="every month or two",
+        mechanism=mechanisms.ROLLOUT,
+        breaks_beyond="the dead one's fence",
+        budgets=CHANGE_BUDGETS,
+    ),
+    "change-of-primary": EventKind(
+        title="a change of primary",
+        frequency="2 a day",
+        mechanism=mechanisms.WATCH,
+        breaks_beyond="discovery",
+        budgets=PRIMARY_BUDGETS,
+    ),
+    "restarts-wave": EventKind(
+        title="a wave of restarts",
+        frequency="200 restarts a day",
+        mechanism=mechanisms.HEARTBEAT,
+        breaks_beyond="the store",
+        budgets=NETWORK_BUDGETS,
+    ),
+    "restarts-day": EventKind(
+        title="a day's restarts",
+        frequency="200 restarts a day",
+        mechanism=mechanisms.HEARTBEAT,
+        breaks_beyond="the store",
+        budgets=NETWORK_BUDGETS,
+    ),
+    "scheduler-dies": EventKind(
+        title="a scheduler dies",
+        frequency="2 machines fail a day",
+        mechanism=mechanisms.HEARTBEAT,
+        breaks_beyond="-",
+        budgets=NETWORK_BUDGETS,
+    ),
+    "rack-dies": EventKind(
+        title="a rack of 40 dies",
+        frequency="every month or two",
+        mechanism=mechanisms.HEARTBEAT,
+        breaks_beyond="-",
+        budgets=NETWORK_BUDGETS,
+    ),
+    "zone-dies": EventKind(
+        title="a zone dies",
+        frequency="every other month",
+        mechanism=mechanisms.HEARTBEAT,
+        breaks_beyond="the data path",
+        budgets=NETWORK_BUDGETS,
+    ),
+    "regions-part": EventKind(
+        title="regions lose each other",
+        frequency="several times a year, for minutes",
+        mechanism=mechanisms.HEARTBEAT,
+        breaks_beyond="changes wait",
+        budgets=NETWORK_BUDGETS,
+    ),
+    "discovery-restarts-empty": EventKind(
+        title="discovery restarts empty",
+        frequency="not told",
+        mechanism=mechanisms.WATCH,
+        breaks_beyond="discovery: all watch anew at once",
+        budgets=NETWORK_BUDGETS,
+    ),
+    "store-restarts-empty": EventKind(
+        title="the store restarts empty",
+        frequency="not told",
+        mechanism=mechanisms.HEARTBEAT,
+        breaks_beyond="the store: all put back at once",
+        budgets=NETWORK_BUDGETS,
+    ),
+}
--- /dev/null
+++ b/runloft/lab/scale/capacity_page/measured_tables.py
@@ -0,0 +1,56 @@
+"""The tables of what one scheduler was measured at as a whole: which events and figures they show."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class MeasuredTable:
+    """A table of events; what stands behind an event's colon is added to its title."""
+
+    event_titles: Mapping[str, str]
+    dimensions: tuple[str, ...]
+    figures: Mapping[str, str]  # column head -> figure
+
+
+COUNTED_AFTER_S = (0, 2, 5, 10, 14, 15, 17, 20)
+MEASURED_TABLES: Mapping[str, MeasuredTable] = {
+    "path-together": MeasuredTable(
+        {
+            "clients-ask-in-turn": "in turn",
+            "clients-ask-by-lot": "by lot",
+            "clients-ask-in-turn-uncrowded": "in turn, 60,000 sockets",
+        },
+        ("clients", "statements"),
+        {
+            "open": "scheduler.clients_open_count",
+            "closed": "scheduler.client_closes_per_s",
+            "connecting": "scheduler.client_connects_per_s",
+            "processor": "scheduler.cpu",
+            "memory": "scheduler.resident_mb",
+            "descriptors": "scheduler.descriptors_count",
+            "answered": "client.answered_share",
+            "refused": "client.refused_share",
+            "99th percentile": "client.p99_ms",
+        },
+    ),
+    "path-rest": MeasuredTable(
+        {"clients-rest": "as set", "clients-rest-uncrowded": "60,000 sockets"},
+        ("clients",),
+        {"memory before": "scheduler.before.resident_mb", "memory at most": "scheduler.resident_mb"}
+        | {
+            f"open after {after_s} s": f"scheduler.after_{after_s}_s.clients_open_count"
+            for after_s in COUNTED_AFTER_S
+        },
+    ),
+    "path-starts": MeasuredTable(
+        {"starts": ""},
+        (),
+        {
+            "until it serves": "scheduler.start_s",
+            "processor until then": "scheduler.start_cpu_s",
+            "processor in the next 2 s": "scheduler.first_2_s.cpu_s",
+            "memory then": "scheduler.resident_mb",
+        },
+    ),
+}
--- a/runloft/lab/scale/records.py
+++ b/runloft/lab/scale/records.py
@@ -27,6 +27,10 @@
     volumes: int = 10  # in the configuration, which grows by them
     changes: float = 0.0  # of configuration, an hour
 
+    def along(self, dimension: str) -> float:
+        """Return the size along one dimension, a field's name."""
+        return float(getattr(self, dimension))
+
 
 @dataclass(frozen=True, slots=True)
 class Point:
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -8,17 +8,15 @@
 import pytest
 
 from runloft.cli import main
-from runloft.lab.scale.capacity import (
-    MISSING,
-    TABLE,
-    CapacityError,
-    Page,
-    documents_of,
-    filled,
-)
+from runloft.lab.scale.capacity_page import mechanisms
+from runloft.lab.scale.capacity_page.budgets import BUDGETS, Budget
+from runloft.lab.scale.capacity_page.documents import CapacityError, read_documents
+from runloft.lab.scale.capacity_page.event_kinds import EVENTS
+from runloft.lab.scale.capacity_page.load_cases import DAY
+from runloft.lab.scale.capacity_page.page import TABLE, Page, fill_tables
+from runloft.lab.scale.capacity_page.sources import MISSING, Source
 from runloft.lab.scale.fitting import slopes
 from runloft.lab.scale.records import Event, Point, Result, Sizes, Slope
-from runloft.lab.scale.roles import BUDGETS, DAY, EVENTS, Budget
 
 PAGE = Path(__file__).parents[2] / "docs" / "CAPACITY.md"
 CPU, BYTES = "scheduler.control.cpu", "scheduler.watch.in_bytes_per_s"
@@ -66,11 +64,11 @@
 
 def test_the_committed_page_is_what_its_documents_say():
     text = PAGE.read_text()
-    assert filled(text, Page(documents_of(PAGE.parent / "capacity")).tables()) == text
+    assert fill_tables(text, Page(read_documents(PAGE.parent / "capacity")).tables()) == text
 
 
 def test_the_committed_slopes_are_those_of_their_points():
-    for name, document in documents_of(PAGE.parent / "capacity").items():
+    for name, document in read_documents(PAGE.parent / "capacity").items():
         if not document.slopes:  # the page fits them itself, by the same lines
             continue
         again = {(s.vary, s.figure): s for s in slopes(document.points)}
@@ -162,10 +160,10 @@
 
 @pytest.mark.parametrize("figure", [CPU, "all_in_force_s"])
 def test_what_is_over_its_budget_is_listed(figure):
-    always = Page({}).over()  # what no document has a part in
+    always = Page({}).over_budget()  # what no document has a part in
     assert [one[:2] for one in always] == [
         ("a region away", "limits.memory_mb: the program and its clients")
-    ] and Page({"full": FULL}).over() == always
+    ] and Page({"full": FULL}).over_budget() == always
     if figure == CPU:
         slopes = tuple(replace(s, slope=2e-5) if s.vary == "schedulers" else s for s in FULL.slopes)
         full, wants = replace(FULL, slopes=slopes), ("the ordinary day", "128% OVER w", "0.015 cores given")
@@ -173,15 +171,15 @@
         full = replace(FULL, events=(*FULL.events, event("change", 10.4)))
         wants = "a change of configuration, 450 schedulers", "104% OVER m", "10 s given"
     page = Page({"full": full})
-    new = [one for one in page.over() if one not in always]
+    new = [one for one in page.over_budget() if one not in always]
     assert [(when, used, budget) for when, _, used, budget in new] == [wants]
     assert " | ".join(wants[1:]) in page.tables()["over-budget"]
 
 
 def test_clients_that_are_not_there_are_short_of_what_there_has_to_be():
     path = document(events=at_work("scheduler.clients_open_count", 0.9))
-    told = {used for _, what, used, _ in Page({"datapath": path}).over() if what == "path: clients open"}
-    assert told == {"90% SHORT w"}
+    over_budget = Page({"datapath": path}).over_budget()
+    assert {one.used for one in over_budget if one.what == "path: clients open"} == {"90% SHORT w"}
 
 
 def test_an_event_is_told_with_its_worst_play_and_its_size():
@@ -197,7 +195,7 @@
     page = Page({"full": replace(FULL, events=(*FULL.events, failed))})
     tables, wants = page.tables(), "NOT reached in 1 of 3 plays m"
     assert wants in row(tables, "events", "a change of configuration")[2]
-    assert wants in [used for _, _, used, _ in page.over()] and wants in tables["over-budget"]
+    assert wants in [used for _, _, used, _ in page.over_budget()] and wants in tables["over-budget"]
     assert row(tables, "event-change", "all_in_force_s")[2] == "2 of 3"
 
 
@@ -261,8 +259,8 @@
     elif where == "cell":
         (tmp_path / "CAPACITY.md").write_text(text.replace("0.0147 cores w", "0.0137 cores w"))
     else:
-        changed = BUDGETS | {"control cpu": Budget(0.02, "given")}
-        monkeypatch.setattr("runloft.lab.scale.capacity.BUDGETS", changed)
+        changed = BUDGETS | {"control cpu": Budget(0.02, Source.SPECIFIED)}
+        monkeypatch.setattr("runloft.lab.scale.capacity_page.page.BUDGETS", changed)
     path.write_text(json.dumps(raw))
     assert page("--check") == 1
     wants = "event-change:" if where == "event" else "day-control:"
@@ -289,7 +287,7 @@
 def test_a_document_that_is_none_is_named(tmp_path):
     (tmp_path / "full.json").write_text("{}")
     with pytest.raises(CapacityError, match=r"full\.json: no scale run's result"):
-        documents_of(tmp_path)
+        read_documents(tmp_path)
 
 
 def test_each_table_of_the_page_has_its_cells_marked():
@@ -306,3 +304,10 @@
 def test_the_size_is_the_operators_own():
     assert (DAY.schedulers, DAY.nodes, DAY.clients, DAY.statements) == (450, 820, 8222, 644.0)
     assert len(EVENTS) == 12 and TABLE.search("<!-- table: x -->\n<!-- end -->")
+
+
+def test_every_mechanism_names_files_that_exist():
+    texts = [text for name, text in vars(mechanisms).items() if name.isupper()]
+    files = {file for text in texts for file in re.findall(r"[a-z_/]+\.py", text)}
+    package = PAGE.parents[1] / "runloft"
+    assert len(files) > 10 and [file for file in files if not (package / file).is_file()] == []
