--- a/runloft/lab/scale/child.py
+++ b/runloft/lab/scale/child.py
@@ -1,77 +1,101 @@
 """One role of a scale run in a process of its own: commands on standard input, answers on standard output.
 
-Each is a line of JSON.  A child whose standard input closes ends itself, however its parent ended.
+A child whose standard input closes ends itself, however its parent ended.
 """
 
 import gc
-import json
+import logging
 import os
 import sys
 import traceback
-from collections.abc import Awaitable, Callable
-from typing import Any
 
 import anyio
 import anyio.abc
 import structlog
 
-Do = Callable[..., Awaitable[dict[str, Any]]]
+from runloft.lab.errors import LaboratoryError
+from runloft.lab.scale.messages import (
+    Answer,
+    CollectGarbage,
+    Command,
+    Done,
+    Request,
+    decode_command,
+    encode_answer,
+    encode_error,
+)
+
+STANDARD_INPUT = 0
+READ_BYTES = 65_536
+
+
+class UnknownCommandError(LaboratoryError, TypeError):
+    """A command that this role does not carry out."""
 
 
 class Role:
-    """What a child does: each command is a method whose name begins with ``do_``."""
+    """What a child does."""
 
     def __init__(self, group: anyio.abc.TaskGroup) -> None:
         self.group = group
 
-    async def do_collect(self) -> dict[str, Any]:
-        """Let go of what is no longer used, before memory is read."""
+    async def carry_out(self, command: Command) -> Answer:
+        """Carry out a command; subclasses handle their own and pass on the rest."""
+        if not isinstance(command, CollectGarbage):
+            raise UnknownCommandError(command.NAME)
         gc.collect()
-        return {}
+        return Done()
+
 
+def make_role(name: str, group: anyio.abc.TaskGroup) -> Role:
+    """Return a role by its name; each loads only its own modules, whose memory is measured."""
+    if name == "store":
+        from runloft.lab.scale.stand_ins import StoreRole
 
-def made(role: str, group: anyio.abc.TaskGroup) -> Role:
-    """Give a role by its name; each loads only its own modules, whose memory is read."""
-    if role in ("store", "discovery"):
-        from runloft.lab.scale import standins
+        return StoreRole(group)
+    if name == "discovery":
+        from runloft.lab.scale.stand_ins import DiscoveryRole
 
-        return standins.StoreRole(group) if role == "store" else standins.DiscoveryRole(group)
-    if role == "tool":
-        from runloft.lab.scale.tool import ToolRole
+        return DiscoveryRole(group)
+    if name == "tool":
+        from runloft.lab.scale.rollout_tool import RolloutToolRole
 
-        return ToolRole(group)
-    from runloft.lab.scale.hollow import HollowRole
+        return RolloutToolRole(group)
+    from runloft.lab.scale.hollow_role import HollowRole
 
     return HollowRole(group)
 
 
-async def main(role: str) -> None:
+async def main(role_name: str) -> None:
     """Carry commands out until standard input closes."""
-    os.set_blocking(0, False)
+    os.set_blocking(STANDARD_INPUT, False)
     async with anyio.create_task_group() as group:
-        acting, data = made(role, group), b""
+        role = make_role(role_name, group)
+        buffer = b""
         while True:
-            await anyio.wait_readable(0)
-            got = os.read(0, 65536)
-            if not got:
-                os._exit(0)  # the parent is gone: nothing here is worth a word to anyone
-            *lines, data = (data + got).split(b"\n")
+            await anyio.wait_readable(STANDARD_INPUT)
+            data = os.read(STANDARD_INPUT, READ_BYTES)
+            if not data:
+                os._exit(0)  # the parent is gone: nobody reads what an orderly end would report
+            *lines, buffer = (buffer + data).split(b"\n")
             for line in lines:
-                group.start_soon(_act, acting, json.loads(line))
+                group.start_soon(_answer, role, decode_command(line))
 
 
-async def _act(role: Role, command: dict[str, Any]) -> None:
-    number, name = command.pop("id"), command.pop("do")
+async def _answer(role: Role, request: Request) -> None:
     try:
-        answer = await getattr(role, f"do_{name}")(**command)
+        answer = encode_answer(request.number, await role.carry_out(request.command))
     except Exception as error:
         traceback.print_exc()
-        answer = {"error": f"{name}: {type(error).__name__}: {error}"}
-    sys.stdout.write(json.dumps({"id": number} | answer) + "\n")
+        reason = f"{request.command.NAME}: {type(error).__name__}: {error}"
+        answer = encode_error(request.number, reason)
+    sys.stdout.write(answer)
     sys.stdout.flush()
 
 
 if __name__ == "__main__":
-    level = structlog.make_filtering_bound_logger(40)  # errors
-    structlog.configure(wrapper_class=level, logger_factory=structlog.PrintLoggerFactory(sys.stderr))
+    structlog.configure(
+        wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR),
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+    )
     anyio.run(main, sys.argv[1])
--- a/runloft/lab/scale/datapath/idle_measurement.py
+++ b/runloft/lab/scale/datapath/idle_measurement.py
@@ -4,11 +4,11 @@
 from collections.abc import Sequence
 
 from runloft.lab.scale import procfs
-from runloft.lab.scale.datapath.launching import Figures, Progress, launch_with_platform_file
+from runloft.lab.scale.datapath.launching import Progress, launch_with_platform_file
 from runloft.lab.scale.datapath.messages import ClientCounts, ClientsConnected, ConnectClients, Count
 from runloft.lab.scale.datapath.processes import process_group
 from runloft.lab.scale.datapath.sizing import DEFAULT_LIMITS, Limits, check_size
-from runloft.lab.scale.records import Sizes
+from runloft.lab.scale.records import Figures, Sizes
 
 LISTED_S = 1.0  # endpoint lists arrive by watch
 
--- a/runloft/lab/scale/datapath/launching.py
+++ b/runloft/lab/scale/datapath/launching.py
@@ -14,10 +14,9 @@
 from runloft.lab.scale.datapath.processes import SCHEDULER, ChildProcess, ProcessGroup
 from runloft.lab.scale.datapath.scheduler_files import operator_file, platform_file
 from runloft.lab.scale.datapath.sizing import Limits
-from runloft.lab.scale.records import Sizes
+from runloft.lab.scale.records import Figures, Sizes
 
 Progress: TypeAlias = Callable[[str], None]
-Figures: TypeAlias = dict[str, float]  # by the names that ``records`` describes
 
 SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespFront")
 ADMIN_SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=admin")
--- a/runloft/lab/scale/datapath/load_measurement.py
+++ b/runloft/lab/scale/datapath/load_measurement.py
@@ -5,7 +5,7 @@
 import anyio
 
 from runloft.config.settings import address
-from runloft.lab.scale.datapath.launching import Figures, Launch, Progress, launch_with_operator_file
+from runloft.lab.scale.datapath.launching import Launch, Progress, launch_with_operator_file
 from runloft.lab.scale.datapath.messages import (
     ClientsConnected,
     ConnectClients,
@@ -20,7 +20,7 @@
 from runloft.lab.scale.datapath.processes import ChildProcess, ProcessGroup, process_group
 from runloft.lab.scale.datapath.scheduler_files import shard_of
 from runloft.lab.scale.datapath.sizing import DEFAULT_LIMITS, Limits, check_size, connection_count
-from runloft.lab.scale.records import Sizes
+from runloft.lab.scale.records import Figures, Sizes
 from runloft.listeners.accepting import CROWD_PART
 from runloft.listeners.resp import IDLE_NS
 
--- a/runloft/lab/scale/datapath/recording.py
+++ b/runloft/lab/scale/datapath/recording.py
@@ -9,11 +9,10 @@
 
 from runloft import __version__
 from runloft.lab.scale.datapath.idle_measurement import measure_idle_clients
-from runloft.lab.scale.datapath.launching import Figures
 from runloft.lab.scale.datapath.load_measurement import measure_load
 from runloft.lab.scale.datapath.sizing import DEFAULT_LIMITS, Limits
 from runloft.lab.scale.datapath.start_measurement import measure_starts
-from runloft.lab.scale.records import Event, Point, Result, Sizes, result_from
+from runloft.lab.scale.records import Event, Figures, Point, Result, Sizes, result_from
 
 FULL = Sizes(schedulers=450, nodes=820)
 STATEMENTS_PER_S_PER_CLIENT = 644 / 8222  # one every 12.8 s
--- a/runloft/lab/scale/datapath/start_measurement.py
+++ b/runloft/lab/scale/datapath/start_measurement.py
@@ -9,7 +9,6 @@
     ADMIN_SERVING,
     ADMIN_TABLE,
     SERVING,
-    Figures,
     Progress,
     start_nodes,
     write_operator_file,
@@ -18,7 +17,7 @@
 from runloft.lab.scale.datapath.messages import DiscoveryStarted, Listen, StoreAddress
 from runloft.lab.scale.datapath.processes import ProcessGroup, process_group
 from runloft.lab.scale.datapath.sizing import DEFAULT_LIMITS, Limits, check_size
-from runloft.lab.scale.records import Sizes
+from runloft.lab.scale.records import Figures, Sizes
 
 AFTER_START_S = 2.0  # by then lists have arrived and the store has answered
 
--- a/runloft/lab/scale/events.py
+++ b/runloft/lab/scale/events.py
@@ -1,225 +1,257 @@
-"""Events: something happens to a fleet that has come together, and what follows is timed to the last.
+"""Events: something happens to a fleet that has converged, and what follows is timed to the last scheduler.
 
 Figures: ``all_in_force_s`` until the last scheduler has what the event is about, ``p50_s`` and ``p99_s``
 over the schedulers, ``in_force_count`` those that have it, and each stand-in's worst second, both ways.
-A change's times run from the tool's start.  What dies is begun again at once: its times run from its end.
+A change's times run from the tool's start.  What dies is started again at once: its times run from its end.
 """
 
 import time
-from collections.abc import Awaitable, Callable, Sequence
-from typing import Any
+from collections.abc import Awaitable, Callable
+from typing import TypeAlias
 
 import anyio
 
-from runloft.lab.scale.fitting import quantile
-from runloft.lab.scale.fleet import LOOK_S, Fleet
-
-MOST_S = 60.0  # for all to have what an event is about
-ROLL_S = 30.0
-RACK, WAVE, FULL = 40, 200, 450  # dying and restarting schedulers, of a full fleet
-DAY_S = 30.0  # that a day is scaled to
-DOWN_S = 1.0  # a discovery's restart, until nodes are listed again
-Figures = dict[str, float]
-Notes = list[str]
-
-
-def share(fleet: Fleet, count: int) -> int:
-    """Give as large a part of this fleet as so many are of a full one."""
-    return max(1, round(count * fleet.sizes.schedulers / FULL))
-
-
-def timed(times: Sequence[float], began: float, wanted: int) -> Figures:
-    """Give the figures of when each came; those of all only where all did."""
-    took = [at - began for at in times]
-    figures: Figures = {"in_force_count": float(len(took))}
-    if took:
-        figures |= {"p50_s": quantile(took, 0.5), "p99_s": quantile(took, 0.99), "last_s": max(took)}
-    if took and len(took) >= wanted:
-        figures["all_in_force_s"] = max(took)
-    return figures
-
-
-async def rolled(fleet: Fleet, notes: Notes, wanted: int | None = None) -> Figures:
-    """Roll a change out and wait until those that are alive, or so many of them, go by it."""
-    wanted = fleet.alive if wanted is None else wanted
+from runloft.lab.scale.event_timing import ALL_COMMITTED, arrival_figures
+from runloft.lab.scale.fleet import POLL_INTERVAL_S, Fleet, Rollout
+from runloft.lab.scale.messages import Traffic
+from runloft.lab.scale.names import REGIONS, ZONES
+from runloft.lab.scale.records import Figures
+
+Notes: TypeAlias = list[str]  # what a reader of the figures has to know
+
+ARRIVAL_TIMEOUT_S = 60.0  # for all to have what an event is about
+ROLLOUT_TIMEOUT_S = 30.0
+REASON_LENGTH = 200
+# Of a full fleet, whose parts a smaller one takes.
+FULL_SCHEDULERS = 450
+RACK_SCHEDULERS = 40
+WAVE_SCHEDULERS = 200
+SECONDS_PER_DAY = 86_400
+SCALED_DAY_S = 30.0
+RESTART_INTERVAL_S = 0.5  # restarts of a day that come sooner after one another are made at once
+DISCOVERY_DOWN_S = 1.0  # until nodes are listed again
+CUT_BEFORE_CHANGE = 0.25  # of the cut's time
+MAX_CUT_BEFORE_CHANGE_S = 10.0
+RECORDS_BESIDE_LEASES = 2  # the members and the committed generation
+MS_PER_S = 1000
+
+
+def share_of(fleet: Fleet, count: int) -> int:
+    """Return as large a part of this fleet as so many are of a full one."""
+    return max(1, round(count * fleet.sizes.schedulers / FULL_SCHEDULERS))
+
+
+async def roll_out_change(fleet: Fleet, notes: Notes, expected: int | None = None) -> Figures:
+    """Roll a change out and wait until all that run, or so many of them, serve by it."""
+    expected = fleet.running_count if expected is None else expected
     above = await fleet.generation()
-    report = await fleet.roll(ROLL_S)
-    if not report["done"]:
-        notes.append(f"the roll-out stopped: {str(report['why'])[:200]}")
-    times = await fleet.changed(above)
-    with anyio.move_on_after(MOST_S):
-        # A roll-out that stopped may yet have begun something; what hasn't come by a lease later won't.
-        ends = time.monotonic() + (MOST_S if report["done"] else fleet.setup.lease_ms / 1000)
-        while len(times) < wanted and time.monotonic() < ends:
-            await anyio.sleep(LOOK_S)
-            times = await fleet.changed(above)
-    figures = timed(list(times.values()), report["began"], wanted)
-    figures |= {f"tool.{name}": float(report[name]) for name in ("cpu_s", "in_bytes", "out_bytes")}
-    figures["tool.left_out_count"] = float(report["left_out"])
-    figures["tool.took_s"] = report["ended"] - report["began"]
-    if len(times) < wanted:
-        notes.append(f"{len(times)} of {wanted} went by the change")
-    return figures
+    rollout = await fleet.roll_out(ROLLOUT_TIMEOUT_S)
+    report = rollout.report
+    if not report.done:
+        notes.append(f"the roll-out stopped: {report.reason[:REASON_LENGTH]}")
+    # A roll-out that stopped may yet have begun something; what hasn't arrived by a lease later won't.
+    timeout_s = ARRIVAL_TIMEOUT_S if report.done else fleet.setup.lease_ms / MS_PER_S
+    times = await fleet.generation_times(above)
+    with anyio.move_on_after(ARRIVAL_TIMEOUT_S):
+        ends_at = time.monotonic() + timeout_s
+        while len(times) < expected and time.monotonic() < ends_at:
+            await anyio.sleep(POLL_INTERVAL_S)
+            times = await fleet.generation_times(above)
+    if len(times) < expected:
+        notes.append(f"{len(times)} of {expected} went by the change")
+    return arrival_figures(times, report.started_at, expected) | _tool_figures(rollout)
+
+
+def _tool_figures(rollout: Rollout) -> Figures:
+    report = rollout.report
+    return {
+        "tool.cpu_s": report.cpu_s,
+        "tool.in_bytes": float(rollout.in_bytes),
+        "tool.out_bytes": float(rollout.out_bytes),
+        "tool.left_out_count": float(report.left_out),
+        "tool.took_s": report.ended_at - report.started_at,
+    }
 
 
 async def change(fleet: Fleet, notes: Notes) -> Figures:
-    """Roll a change out while all are there."""
-    return await rolled(fleet, notes)
+    """Roll a change out while all run."""
+    return await roll_out_change(fleet, notes)
 
 
 async def _change_without(fleet: Fleet, notes: Notes, names: list[str]) -> Figures:
-    await fleet.end(names)
-    figures = await rolled(fleet, notes)
-    began = time.monotonic()
-    await fleet.again(names)
-    figures["back_s"] = await fleet.together() - began
+    await fleet.stop_schedulers(names)
+    figures = await roll_out_change(fleet, notes)
+    started_at = time.monotonic()
+    await fleet.start_schedulers(names)
+    figures["back_s"] = await fleet.wait_converged() - started_at
     return figures
 
 
 async def change_one_dead(fleet: Fleet, notes: Notes) -> Figures:
-    """Roll a change out just after one was killed."""
+    """Roll a change out just after one scheduler was killed."""
     return await _change_without(fleet, notes, fleet.names[:1])
 
 
 async def change_rack_dead(fleet: Fleet, notes: Notes) -> Figures:
     """Roll a change out just after a rack of 40 was killed."""
-    return await _change_without(fleet, notes, fleet.names[: share(fleet, RACK)])
+    return await _change_without(fleet, notes, fleet.names[: share_of(fleet, RACK_SCHEDULERS)])
 
 
 async def change_of_primary(fleet: Fleet, notes: Notes) -> Figures:
-    """Let discovery tell that a shard has another node."""
-    return await _told(fleet, notes, fleet.chance.randrange(fleet.sizes.nodes), 0.0)
+    """Let discovery list another node for a shard."""
+    shard = fleet.random.randrange(fleet.sizes.nodes)
+    await fleet.await_next_node()
+    return await _replace_node(fleet, notes, shard, started_at=time.monotonic())
 
 
-async def _told(fleet: Fleet, notes: Notes, shard: int, began: float) -> Figures:
+async def _replace_node(fleet: Fleet, notes: Notes, shard: int, started_at: float) -> Figures:
     """Replace a shard's node and wait until each table has the new one."""
-    uid = f"storage-node-{fleet.nodes:06d}.zone-{fleet.nodes % 7:02d}.region-{fleet.nodes % 2:02d}"
-    for worker in fleet.workers:
-        await worker.do("await", uid=uid)
-    began = began or time.monotonic()
-    await fleet.discovery.do("replace", number=shard, by=fleet.nodes)
-    fleet.nodes += 1
+    await fleet.replace_node(shard)
     times: list[float] = []
-    with anyio.move_on_after(MOST_S):
-        while len(times) < fleet.alive:
-            await anyio.sleep(LOOK_S)
-            times = [at for one in fleet.workers for at in (await one.do("had"))["times"].values()]
-    if len(times) < fleet.alive:
-        notes.append(f"{len(times)} of {fleet.alive} tables have the node")
-    return timed(times, began, fleet.alive)
-
-
-async def _dies(fleet: Fleet, names: list[str], leave: bool = False, copies: bool = True) -> Figures:
-    began = time.monotonic()
-    await fleet.end(names, leave, copies)
-    ended = time.monotonic()
-    await fleet.again(names)
-    took = await fleet.together() - began
-    return {"all_in_force_s": took, "ended_s": ended - began, "restarted_count": float(len(names))}
+    with anyio.move_on_after(ARRIVAL_TIMEOUT_S):
+        while len(times) < fleet.running_count:
+            await anyio.sleep(POLL_INTERVAL_S)
+            times = await fleet.node_times()
+    if len(times) < fleet.running_count:
+        notes.append(f"{len(times)} of {fleet.running_count} tables have the node")
+    return arrival_figures(times, started_at, fleet.running_count)
+
+
+async def _restart(
+    fleet: Fleet, names: list[str], graceful: bool = False, keep_snapshots: bool = True
+) -> Figures:
+    stopping_at = time.monotonic()
+    await fleet.stop_schedulers(names, graceful, keep_snapshots)
+    stopped_at = time.monotonic()
+    await fleet.start_schedulers(names)
+    converged_at = await fleet.wait_converged()
+    return {
+        ALL_COMMITTED: converged_at - stopping_at,
+        "ended_s": stopped_at - stopping_at,
+        "restarted_count": float(len(names)),
+    }
 
 
 async def restarts_wave(fleet: Fleet, notes: Notes) -> Figures:
     """Restart 200 in order, as one wave."""
-    return await _dies(fleet, fleet.chance.sample(fleet.names, share(fleet, WAVE)), leave=True)
+    names = fleet.random.sample(fleet.names, share_of(fleet, WAVE_SCHEDULERS))
+    return await _restart(fleet, names, graceful=True)
 
 
 async def restarts_day(fleet: Fleet, notes: Notes) -> Figures:
-    """Restart each once, over a day that is scaled; ``all_in_force_s`` from the last's restart on."""
-    notes.append(f"a day in {DAY_S:g} s: scaled by {86400 / DAY_S:g}")
-    order, began = fleet.chance.sample(fleet.names, len(fleet.names)), time.monotonic()
-    last = began
-    # Several at once where they come sooner than one can be told to.
-    part = max(1, round(len(order) * 0.5 / DAY_S))
-    for number in range(0, len(order), part):
-        await anyio.sleep(max(0.0, began + number / len(order) * DAY_S - time.monotonic()))
-        some, last = order[number : number + part], time.monotonic()
-        await fleet.end(some, leave=True)
-        await fleet.again(some)
-    figures = {"spread_s": last - began, "restarted_count": float(len(order))}
-    return figures | {"all_in_force_s": await fleet.together() - last}
+    """Restart each once, over a scaled day; ``all_in_force_s`` from the last one's restart on."""
+    notes.append(f"a day in {SCALED_DAY_S:g} s: scaled by {SECONDS_PER_DAY / SCALED_DAY_S:g}")
+    order = fleet.random.sample(fleet.names, len(fleet.names))
+    started_at = time.monotonic()
+    last_at = started_at
+    batch = max(1, round(len(order) * RESTART_INTERVAL_S / SCALED_DAY_S))
+    for number in range(0, len(order), batch):
+        due_at = started_at + number / len(order) * SCALED_DAY_S
+        await anyio.sleep(max(0.0, due_at - time.monotonic()))
+        names = order[number : number + batch]
+        last_at = time.monotonic()
+        await fleet.stop_schedulers(names, graceful=True)
+        await fleet.start_schedulers(names)
+    return {
+        "spread_s": last_at - started_at,
+        "restarted_count": float(len(order)),
+        ALL_COMMITTED: await fleet.wait_converged() - last_at,
+    }
 
 
 async def scheduler_dies(fleet: Fleet, notes: Notes) -> Figures:
-    """Kill one, which is back with its copy."""
-    return await _dies(fleet, fleet.names[:1])
+    """Kill one, which starts again with its local snapshot."""
+    return await _restart(fleet, fleet.names[:1])
 
 
 async def rack_dies(fleet: Fleet, notes: Notes) -> Figures:
-    """Kill a rack of 40, which is back with its copies."""
-    return await _dies(fleet, fleet.names[: share(fleet, RACK)])
+    """Kill a rack of 40, which starts again with its local snapshots."""
+    return await _restart(fleet, fleet.names[: share_of(fleet, RACK_SCHEDULERS)])
 
 
 async def zone_dies(fleet: Fleet, notes: Notes) -> Figures:
-    """Kill a seventh, which is back cold, without its copies."""
-    return await _dies(fleet, fleet.names[: max(1, len(fleet.names) // 7)], copies=False)
+    """Kill a seventh, which starts again without its local snapshots."""
+    zone = fleet.names[: max(1, len(fleet.names) // ZONES)]
+    return await _restart(fleet, zone, keep_snapshots=False)
 
 
 async def regions_part(fleet: Fleet, notes: Notes) -> Figures:
-    """Cut half of the fleet off from the store, roll a change out, and let the cut heal.
+    """Cut half of the fleet off from the store, roll a change out, and end the cut.
 
-    ``all_in_force_s`` runs from the healing until the last has the change.
+    ``all_in_force_s`` runs from the end of the cut until the last has the change.
     """
     cut_s = fleet.setup.cut_s
-    theirs = sum(".region-00" in name for name in fleet.names)
-    above, began = await fleet.generation(), time.monotonic()
-    await fleet.store.do("cut", region=1, cut=True)
+    not_cut = sum(".region-00" in name for name in fleet.names)
+    above = await fleet.generation()
+    cut_at = time.monotonic()
+    await fleet.cut_region(cut=True)
     try:
-        await anyio.sleep(min(cut_s / 4, 10.0))
-        figures = await rolled(fleet, notes, wanted=theirs)
-        figures["while_cut_s"] = figures.pop("all_in_force_s", -1.0)
-        if figures["while_cut_s"] < 0:
-            del figures["while_cut_s"]
-        await anyio.sleep(max(0.0, began + cut_s - time.monotonic()))
-        figures["cut_connected_count"] = float((await fleet.standing())["connected"])
+        await anyio.sleep(min(cut_s * CUT_BEFORE_CHANGE, MAX_CUT_BEFORE_CHANGE_S))
+        figures = await roll_out_change(fleet, notes, expected=not_cut)
+        if ALL_COMMITTED in figures:
+            figures["while_cut_s"] = figures.pop(ALL_COMMITTED)
+        await anyio.sleep(max(0.0, cut_at + cut_s - time.monotonic()))
+        figures["cut_connected_count"] = float((await fleet.status()).connected)
     finally:
         # Not shielded: in a run that is broken off nobody reads the answer, and the fleet ends anyway.
-        await fleet.store.do("cut", region=1, cut=False)
-    healed = time.monotonic()
-    figures["cut_s"] = healed - began
-    figures["all_in_force_s"] = await fleet.together() - healed
+        await fleet.cut_region(cut=False)
+    healed_at = time.monotonic()
+    figures["cut_s"] = healed_at - cut_at
+    figures[ALL_COMMITTED] = await fleet.wait_converged() - healed_at
     if await fleet.generation() <= above:
-        again = await rolled(fleet, notes)
-        figures["all_in_force_s"] = time.monotonic() - healed
-        if "all_in_force_s" not in again:
-            del figures["all_in_force_s"]
+        second = await roll_out_change(fleet, notes)
+        figures[ALL_COMMITTED] = time.monotonic() - healed_at
+        if ALL_COMMITTED not in second:
+            del figures[ALL_COMMITTED]
         notes.append("the change came into force when it was rolled out again after the healing")
     return figures
 
 
 async def discovery_restarts_empty(fleet: Fleet, notes: Notes) -> Figures:
     """Let discovery forget all; a second later all nodes are listed again, one of them new."""
-    began = time.monotonic()
-    await fleet.discovery.do("empty")
-    await anyio.sleep(DOWN_S)
-    least = await fleet.least_nodes()
-    await fleet.discovery.do("list", nodes=fleet.sizes.nodes)
-    figures = await _told(fleet, notes, fleet.chance.randrange(fleet.sizes.nodes), began)
-    return figures | {"least_nodes_count": float(least), "down_s": DOWN_S}
+    started_at = time.monotonic()
+    await fleet.restart_discovery_empty()
+    await anyio.sleep(DISCOVERY_DOWN_S)
+    min_nodes = await fleet.min_nodes()
+    await fleet.list_nodes()
+    shard = fleet.random.randrange(fleet.sizes.nodes)
+    await fleet.await_next_node()
+    figures = await _replace_node(fleet, notes, shard, started_at)
+    return figures | {"least_nodes_count": float(min_nodes), "down_s": DISCOVERY_DOWN_S}
 
 
 async def store_restarts_empty(fleet: Fleet, notes: Notes) -> Figures:
-    """Let the store forget all; ``all_in_force_s`` until all are back and so are the records.
+    """Let the store forget all; ``all_in_force_s`` until all are connected and so are the records.
 
     Then a change is rolled out.
     """
-    held = int((await fleet.store.do("counted"))["keys"])
-    held = min(held, fleet.alive + 2)  # a lease of each, who is known, what is in force
-    began = time.monotonic()
-    await fleet.store.do("empty")
-    counted: dict[str, Any] = {}
-    with anyio.move_on_after(MOST_S) as waiting:
+    keys_before = (await fleet.store_traffic()).keys
+    records = min(keys_before, fleet.running_count + RECORDS_BESIDE_LEASES)
+    started_at = time.monotonic()
+    await fleet.restart_store_empty()
+    traffic: Traffic | None = None
+    with anyio.move_on_after(ARRIVAL_TIMEOUT_S) as waiting:
         while True:
-            counted = await fleet.store.do("counted")
-            if sum(counted["connections"][:2]) >= fleet.alive and counted["keys"] >= held:
+            traffic = await fleet.store_traffic()
+            if _scheduler_connections(traffic) >= fleet.running_count and traffic.keys >= records:
                 break
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(POLL_INTERVAL_S)
     if waiting.cancelled_caught:
-        back = sum(counted["connections"][:2])
-        notes.append(f"{back} of {fleet.alive} connections and {counted['keys']} of {held} records came back")
+        connections = _scheduler_connections(traffic) if traffic else 0
+        keys = traffic.keys if traffic else 0
+        notes.append(
+            f"{connections} of {fleet.running_count} connections and {keys} of {records} records came back"
+        )
         return {}
-    figures = {"all_in_force_s": await fleet.together() - began}
-    await anyio.sleep(2 * fleet.setup.lease_ms / 1000)  # until what was lost is put back
-    return figures | {f"change.{name}": value for name, value in (await rolled(fleet, notes)).items()}
+    figures = {ALL_COMMITTED: await fleet.wait_converged() - started_at}
+    await anyio.sleep(2 * fleet.setup.lease_ms / MS_PER_S)  # until what was lost is put back
+    changed = await roll_out_change(fleet, notes)
+    return figures | {f"change.{name}": value for name, value in changed.items()}
+
+
+def _scheduler_connections(traffic: Traffic) -> int:
+    """Return the connections to the store's listeners less the tool's."""
+    return sum(traffic.connections[:REGIONS])
 
 
 EVENTS: dict[str, Callable[[Fleet, Notes], Awaitable[Figures]]] = {
--- a/runloft/lab/scale/fitting.py
+++ b/runloft/lab/scale/fitting.py
@@ -1,7 +1,7 @@
 """Straight lines through points: each figure by the size that was varied."""
 
 from collections import defaultdict
-from collections.abc import Sequence
+from collections.abc import Iterator, Sequence
 
 import numpy as np
 
@@ -10,25 +10,46 @@
 
 def slopes(points: Sequence[Point]) -> tuple[Slope, ...]:
     """Fit by least squares each figure that every point of a dimension has, from two sizes on."""
-    out = []
-    for vary in dict.fromkeys(point.vary for point in points):
-        own = [point for point in points if point.vary == vary]
-        sizes = np.array([float(getattr(point.sizes, vary)) for point in own])
-        if len(set(sizes)) < 2:
-            continue
-        common = set.intersection(*(set(point.figures) for point in own))
-        for figure in sorted(common):
-            values = np.array([point.figures[figure] for point in own])
-            slope, intercept = np.polyfit(sizes, values, 1)
-            residual = float(np.sqrt(np.mean((values - slope * sizes - intercept) ** 2)))
-            by_size = defaultdict(list)
-            for size, value in zip(sizes, values, strict=True):
-                by_size[size].append(float(value))
-            spread = max(max(some) - min(some) for some in by_size.values())
-            out.append(Slope(vary, figure, float(slope), float(intercept), residual, spread, len(own)))
-    return tuple(out)
-
-
-def quantile(values: Sequence[float], part: float) -> float:
-    """Give a value that so large a part of all does not exceed."""
-    return float(np.quantile(np.array(values), part, method="higher"))
+    dimensions = dict.fromkeys(point.vary for point in points)
+    return tuple(
+        slope
+        for dimension in dimensions
+        for slope in _slopes_along(dimension, [point for point in points if point.vary == dimension])
+    )
+
+
+def _slopes_along(dimension: str, points: Sequence[Point]) -> Iterator[Slope]:
+    sizes = [point.sizes.along(dimension) for point in points]
+    if len(set(sizes)) < 2:
+        return
+    common_figures = set.intersection(*(set(point.figures) for point in points))
+    for figure in sorted(common_figures):
+        yield _fitted(dimension, figure, sizes, [point.figures[figure] for point in points])
+
+
+def _fitted(dimension: str, figure: str, sizes: Sequence[float], values: Sequence[float]) -> Slope:
+    x = np.array(sizes)
+    y = np.array(values)
+    slope, intercept = np.polyfit(x, y, 1)
+    return Slope(
+        vary=dimension,
+        figure=figure,
+        slope=float(slope),
+        intercept=float(intercept),
+        residual=float(np.sqrt(np.mean((y - slope * x - intercept) ** 2))),
+        spread=_spread(sizes, values),
+        points=len(values),
+    )
+
+
+def _spread(sizes: Sequence[float], values: Sequence[float]) -> float:
+    """Return the widest range between repeats of one size."""
+    by_size: dict[float, list[float]] = defaultdict(list)
+    for size, value in zip(sizes, values, strict=True):
+        by_size[size].append(float(value))
+    return max(max(some) - min(some) for some in by_size.values())
+
+
+def quantile(values: Sequence[float], probability: float) -> float:
+    """Return the smallest value that so large a share of all does not exceed."""
+    return float(np.quantile(np.array(values), probability, method="higher"))
--- a/runloft/lab/scale/fleet.py
+++ b/runloft/lab/scale/fleet.py
@@ -6,17 +6,52 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
-from typing import Any
 
 import anyio
 
-from runloft.lab.scale.hollow import raw_of, volumes_of
-from runloft.lab.scale.processes import Child, Children, use_of
+from runloft.lab.errors import LaboratoryError
+from runloft.lab.scale.messages import (
+    Addresses,
+    AwaitNode,
+    CollectGarbage,
+    Command,
+    ConfigDocument,
+    CountNodes,
+    CutRegion,
+    Done,
+    Listen,
+    ListNodes,
+    MakeSchedulers,
+    Moment,
+    NodeCount,
+    ReadGenerationTimes,
+    ReadNodeTimes,
+    ReadStatus,
+    ReadTraffic,
+    ReplaceNode,
+    RestartEmpty,
+    RollOut,
+    RolloutReport,
+    StartAgreement,
+    StartSchedulers,
+    Status,
+    StopSchedulers,
+    Times,
+    Traffic,
+)
+from runloft.lab.scale.names import node_uid, region_of, scheduler_name
+from runloft.lab.scale.processes import Child, Children, usage_of
 from runloft.lab.scale.records import Sizes
+from runloft.lab.scale.scheduler_config import config_document, volume_rows
 
-ZONES, REGIONS, TOOL = 7, 2, 2  # the tool's listener is the store's third
-LOOK_S = 0.1
-TOGETHER_S = 90.0  # a fleet that hasn't come together by then won't
+TOOL_LISTENER = 2  # the store's third: its traffic is not the schedulers'
+POLL_INTERVAL_S = 0.1
+CONVERGENCE_TIMEOUT_S = 90.0  # a fleet that hasn't converged by then won't
+CUT_REGION = 1
+
+
+class NotConvergedError(LaboratoryError, TimeoutError):
+    """A fleet that did not converge in time: says what is missing."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,184 +68,287 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What all roles have used and sent by a moment."""
+    """What all roles have used and sent by a moment of the monotonic clock."""
 
     at: float
-    cpu_s: dict[str, float]
-    resident_mb: dict[str, float]
-    store: dict[str, Any]
-    discovery: dict[str, Any]
+    cpu_s: dict[str, float]  # by role
+    resident_mb: dict[str, float]  # by role
+    store: Traffic
+    discovery: Traffic
+
+
+@dataclass(frozen=True, slots=True)
+class FleetStatus:
+    """How many schedulers run, are connected with their reserves, and serve by each generation."""
 
+    alive: int
+    connected: int
+    generations: dict[int, int]
+
+    def has_converged(self, expected: int) -> bool:
+        """Return whether so many run, connected, and serve by one committed generation."""
+        has_one_generation = len(self.generations) == 1 and 0 not in self.generations
+        return has_one_generation and self.alive == self.connected == expected
+
+
+@dataclass(frozen=True, slots=True)
+class Rollout:
+    """One roll-out of the tool, and its bytes."""
 
-def name_of(number: int, count: int) -> str:
-    """Name a scheduler in 35 bytes; a seventh of all is a zone, a half a region."""
-    zone, region = number * ZONES // count, number * REGIONS // count
-    return f"application-{number:05d}.zone-{zone:02d}.region-{region:02d}"
+    report: RolloutReport
+    in_bytes: int
+    out_bytes: int
 
 
 @dataclass
 class Fleet:
-    """The processes of one size."""
+    """The processes of one size; ``start_fleet`` starts them."""
 
     sizes: Sizes
     setup: Setup
     children: Children
     folder: Path
-    names: list[str] = field(default_factory=list)
-    dead: set[str] = field(default_factory=set)
-    changes: int = 0  # rolled out so far
-    nodes: int = 0  # numbers used so far
-
-    async def begin(self) -> None:
-        """Begin the processes, and list the nodes."""
-        sizes = self.sizes
-        self.chance = Random(self.setup.seed)
-        self.store = await self.children.begin("store")
-        self.discovery = await self.children.begin("discovery")
-        self.tool = await self.children.begin("tool")
-        self.workers = [await self.children.begin("hollow") for _ in range(self.setup.workers)]
-        stores = (await self.store.do("listen"))["addresses"]
-        self.stores = [f"redis://{address}/0" for address in stores]
-        self.discoveries = (await self.discovery.do("listen"))["addresses"]
-        self.nodes = sizes.nodes
-        await self.discovery.do("list", nodes=sizes.nodes)
-        for child in (self.tool, *self.workers):
-            await child.do("collect")
-        self.bare_mb = sum(use_of(child.pid).resident_mb for child in self.workers)
-        self.names = [name_of(number, sizes.schedulers) for number in range(sizes.schedulers)]
-        self.raw = raw_of(
-            self.names[0], self.discoveries[0], self.stores[0], "", self.setup.lease_ms,
-            volumes_of(sizes.volumes),
-        )  # fmt: skip
-
-    async def make(self, agree: bool) -> float:
-        """Make the schedulers; gives when the last was begun, of the monotonic clock."""
-        begun = []
+    store: Child
+    discovery: Child
+    tool: Child
+    workers: list[Child]
+    store_urls: list[str]  # by region; the last is the tool's
+    discovery_addresses: list[str]  # by region
+    names: list[str]
+    document: ConfigDocument  # a scheduler's file, which the tool changes
+    resident_mb_without_schedulers: float
+    next_node: int
+    random: Random
+    stopped: set[str] = field(default_factory=set)
+    rollouts: int = 0
+
+    @property
+    def running_count(self) -> int:
+        """The number of schedulers that should run."""
+        return len(self.names) - len(self.stopped)
+
+    # Schedulers
+
+    async def make_schedulers(self, agree: bool) -> float:
+        """Make the schedulers; return when the last was started, of the monotonic clock."""
+        started = []
         count = len(self.names)
         for index, worker in enumerate(self.workers):
-            mine = range(index, count, len(self.workers))
-            answer = await worker.do(
-                "make",
-                names=[self.names[number] for number in mine],
-                regions=[number * REGIONS // count for number in mine],
-                stores=self.stores,
-                discoveries=self.discoveries,
+            numbers = range(index, count, len(self.workers))
+            command = MakeSchedulers(
+                names=[self.names[number] for number in numbers],
+                regions=[region_of(number, count) for number in numbers],
+                stores=self.store_urls,
+                discoveries=self.discovery_addresses,
                 directory=str(self.folder / "copies"),
                 lease_ms=self.setup.lease_ms,
                 volumes=self.sizes.volumes,
                 agree=agree,
             )
-            begun.append(answer["at"])
-        return float(max(begun))
-
-    async def agree(self) -> float:
-        """Let all begin to agree; gives when the last began."""
-        return max([float((await worker.do("agree"))["at"]) for worker in self.workers])
-
-    def _worker(self, name: str) -> Child:
-        return self.workers[self.names.index(name) % len(self.workers)]
-
-    async def _at_workers(self, what: str, names: Iterable[str], **arguments: Any) -> None:
-        by_worker: dict[int, list[str]] = {}
+            moment = await worker.ask(command, Moment)
+            started.append(moment.at)
+        return max(started)
+
+    async def join_agreement(self) -> float:
+        """Let all schedulers join the agreement; return when the last did."""
+        return max([(await worker.ask(StartAgreement(), Moment)).at for worker in self.workers])
+
+    async def stop_schedulers(
+        self, names: list[str], graceful: bool = False, keep_snapshots: bool = True
+    ) -> None:
+        """Stop schedulers: killed, or leaving in order."""
+        await self._ask_workers(
+            names, lambda some: StopSchedulers(some, graceful, keep_snapshots), answer_type=Done
+        )
+        self.stopped |= set(names)
+
+    async def start_schedulers(self, names: list[str]) -> None:
+        """Start schedulers again."""
+        await self._ask_workers(names, StartSchedulers, answer_type=Moment)
+        self.stopped -= set(names)
+
+    async def _ask_workers(
+        self,
+        names: Iterable[str],
+        command: Callable[[list[str]], Command],
+        answer_type: type[Done] | type[Moment],
+    ) -> None:
+        """Send a command to each worker that has some of the schedulers, with their names, all at once."""
+        names_by_worker: dict[int, list[str]] = {}
         for name in names:
-            by_worker.setdefault(self.names.index(name) % len(self.workers), []).append(name)
+            worker = self.names.index(name) % len(self.workers)
+            names_by_worker.setdefault(worker, []).append(name)
 
-        async def tell(index: int, some: list[str]) -> None:
-            await self.workers[index].do(what, names=some, **arguments)
+        async def ask(worker: int, some: list[str]) -> None:
+            await self.workers[worker].ask(command(some), answer_type)
 
         async with anyio.create_task_group() as group:
-            for index, some in by_worker.items():
-                group.start_soon(tell, index, some)
-
-    async def end(self, names: list[str], leave: bool = False, copies: bool = True) -> None:
-        """End schedulers: killed, or leaving in order."""
-        await self._at_workers("end", names, leave=leave, copies=copies)
-        self.dead |= set(names)
-
-    async def again(self, names: list[str]) -> None:
-        """Begin schedulers again."""
-        await self._at_workers("begin", names)
-        self.dead -= set(names)
-
-    @property
-    def alive(self) -> int:
-        """Count those that are to be there."""
-        return len(self.names) - len(self.dead)
-
-    async def standing(self) -> dict[str, Any]:
-        """Say how all schedulers stand together."""
-        some = [await worker.do("standing") for worker in self.workers]
-        generations: Counter[str] = Counter()
-        for one in some:
-            generations += Counter(one["generations"])
-        return {
-            "alive": sum(one["alive"] for one in some),
-            "connected": sum(one["connected"] for one in some),
-            "generations": {int(key): count for key, count in generations.items()},
-        }
+            for worker, some in names_by_worker.items():
+                group.start_soon(ask, worker, some)
+
+    # Status
+
+    async def status(self) -> FleetStatus:
+        """Return how all schedulers stand."""
+        statuses = [await worker.ask(ReadStatus(), Status) for worker in self.workers]
+        generations: Counter[int] = Counter()
+        for status in statuses:
+            generations.update({int(number): count for number, count in status.generations.items()})
+        return FleetStatus(
+            alive=sum(status.alive for status in statuses),
+            connected=sum(status.connected for status in statuses),
+            generations=dict(generations),
+        )
 
-    async def together(self, most_s: float = TOGETHER_S) -> float:
-        """Wait until all are there, connected, and serve by one generation; gives that moment."""
-        found: dict[str, Any] = {}
-        with anyio.move_on_after(most_s):
+    async def wait_converged(self, timeout_s: float = CONVERGENCE_TIMEOUT_S) -> float:
+        """Wait until all run, are connected, and serve by one generation; return that moment."""
+        status: FleetStatus | None = None
+        with anyio.move_on_after(timeout_s):
             while True:
-                found = await self.standing()
+                status = await self.status()
                 at = time.monotonic()
-                one = len(found["generations"]) == 1 and 0 not in found["generations"]
-                if one and found["alive"] == found["connected"] == self.alive:
+                if status.has_converged(self.running_count):
                     return at
-                await anyio.sleep(LOOK_S)
-        raise TimeoutError(
-            f"not together in {most_s:g} s: {found.get('alive')} of {self.alive} are there, "
-            f"{found.get('connected')} connected, by generation {found.get('generations')}"
+                await anyio.sleep(POLL_INTERVAL_S)
+        alive = status.alive if status else None
+        connected = status.connected if status else None
+        generations = status.generations if status else None
+        raise NotConvergedError(
+            f"not together in {timeout_s:g} s: {alive} of {self.running_count} are there, "
+            f"{connected} connected, by generation {generations}"
         )
 
-    async def least_nodes(self) -> int:
-        """Give the fewest nodes that any scheduler's table has."""
-        return min([int((await worker.do("nodes"))["least"]) for worker in self.workers])
+    async def generation(self) -> int:
+        """Return the highest generation that any scheduler serves by."""
+        return max((await self.status()).generations, default=0)
+
+    async def generation_times(self, above: int) -> list[float]:
+        """Return when each scheduler first served by a generation above this one."""
+        answers = [await worker.ask(ReadGenerationTimes(above), Times) for worker in self.workers]
+        return [at for answer in answers for at in answer.times.values()]
+
+    # Nodes
+
+    async def list_nodes(self) -> None:
+        """Let discovery list the fleet's nodes."""
+        await self.discovery.ask(ListNodes(self.sizes.nodes), Done)
 
-    async def watched(self, most_s: float = TOGETHER_S) -> None:
+    async def min_nodes(self) -> int:
+        """Return the fewest nodes that any scheduler's table has."""
+        return min([(await worker.ask(CountNodes(), NodeCount)).min_nodes for worker in self.workers])
+
+    async def wait_nodes_listed(self, timeout_s: float = CONVERGENCE_TIMEOUT_S) -> None:
         """Wait until each table has every node."""
-        least = 0
-        with anyio.move_on_after(most_s):
-            while (least := await self.least_nodes()) < self.sizes.nodes:
-                await anyio.sleep(LOOK_S)
+        min_nodes = 0
+        with anyio.move_on_after(timeout_s):
+            while (min_nodes := await self.min_nodes()) < self.sizes.nodes:
+                await anyio.sleep(POLL_INTERVAL_S)
             return
-        raise TimeoutError(f"{least} of {self.sizes.nodes} nodes in a table after {most_s:g} s")
-
-    async def roll(self, most_s: float) -> dict[str, Any]:
-        """Roll another content out; gives the tool's report with its bytes."""
-        self.changes += 1
-        before = await self.store.do("counted")
-        report = await self.tool.do(
-            "roll", url=self.stores[TOOL], lease_ms=self.setup.lease_ms, number=self.changes,
-            raw=self.raw, most_s=most_s,
-        )  # fmt: skip
-        after = await self.store.do("counted")
-        report["in_bytes"] = after["sent"][TOOL] - before["sent"][TOOL]
-        report["out_bytes"] = after["received"][TOOL] - before["received"][TOOL]
-        return report
-
-    async def generation(self) -> int:
-        """Give the highest generation that any serves by."""
-        return max((await self.standing())["generations"], default=0)
+        raise NotConvergedError(f"{min_nodes} of {self.sizes.nodes} nodes in a table after {timeout_s:g} s")
 
-    async def changed(self, above: int) -> dict[str, float]:
-        """Give when each came to a generation above that one, of the monotonic clock."""
-        out: dict[str, float] = {}
+    async def await_next_node(self) -> None:
+        """Watch each table, from now on, for the node that ``replace_node`` lists."""
         for worker in self.workers:
-            out |= (await worker.do("changes", above=above))["times"]
-        return out
+            await worker.ask(AwaitNode(node_uid(self.next_node)), Done)
+
+    async def replace_node(self, shard: int) -> None:
+        """Let discovery list a new node for a shard."""
+        await self.discovery.ask(ReplaceNode(shard, self.next_node), Done)
+        self.next_node += 1
+
+    async def node_times(self) -> list[float]:
+        """Return when the awaited node came into each table that has it."""
+        answers = [await worker.ask(ReadNodeTimes(), Times) for worker in self.workers]
+        return [at for answer in answers for at in answer.times.values()]
+
+    # Store and tool
+
+    async def store_traffic(self) -> Traffic:
+        """Return the store's traffic so far."""
+        return await self.store.ask(ReadTraffic(), Traffic)
+
+    async def cut_region(self, cut: bool) -> None:
+        """Cut the second region off from the store, or end the cut."""
+        await self.store.ask(CutRegion(CUT_REGION, cut), Done)
+
+    async def restart_store_empty(self) -> None:
+        """Let the store forget everything."""
+        await self.store.ask(RestartEmpty(), Done)
+
+    async def restart_discovery_empty(self) -> None:
+        """Let discovery forget everything."""
+        await self.discovery.ask(RestartEmpty(), Done)
+
+    async def roll_out(self, timeout_s: float) -> Rollout:
+        """Roll out a content that was never committed; return the tool's report with its bytes."""
+        self.rollouts += 1
+        before = await self.store_traffic()
+        command = RollOut(
+            url=self.store_urls[TOOL_LISTENER],
+            lease_ms=self.setup.lease_ms,
+            number=self.rollouts,
+            raw=self.document,
+            timeout_s=timeout_s,
+        )
+        report = await self.tool.ask(command, RolloutReport)
+        after = await self.store_traffic()
+        return Rollout(
+            report,
+            in_bytes=after.sent[TOOL_LISTENER] - before.sent[TOOL_LISTENER],
+            out_bytes=after.received[TOOL_LISTENER] - before.received[TOOL_LISTENER],
+        )
 
     async def read(self) -> Reading:
-        """Read what each role has used, now."""
-        roles = {"store": [self.store], "discovery": [self.discovery], "hollow": self.workers}
-        uses = {role: [use_of(child.pid) for child in some] for role, some in roles.items()}
-        at = time.monotonic()
+        """Return what each role has used by now."""
+        children_by_role = {"store": [self.store], "discovery": [self.discovery], "hollow": self.workers}
+        usages = {
+            role: [usage_of(child.pid) for child in children] for role, children in children_by_role.items()
+        }
         return Reading(
-            at,
-            {role: sum(one.cpu_s for one in some) for role, some in uses.items()},
-            {role: sum(one.resident_mb for one in some) for role, some in uses.items()},
-            await self.store.do("counted"),
-            await self.discovery.do("counted"),
+            at=time.monotonic(),
+            cpu_s={role: sum(usage.cpu_s for usage in some) for role, some in usages.items()},
+            resident_mb={role: sum(usage.resident_mb for usage in some) for role, some in usages.items()},
+            store=await self.store_traffic(),
+            discovery=await self.discovery.ask(ReadTraffic(), Traffic),
         )
+
+
+async def start_fleet(sizes: Sizes, setup: Setup, children: Children, folder: Path) -> Fleet:
+    """Start a fleet's processes and list its nodes; the schedulers are made later."""
+    store = await children.start("store")
+    discovery = await children.start("discovery")
+    tool = await children.start("tool")
+    workers = [await children.start("hollow") for _ in range(setup.workers)]
+    stores = await store.ask(Listen(), Addresses)
+    store_urls = [f"redis://{address}/0" for address in stores.addresses]
+    discoveries = await discovery.ask(Listen(), Addresses)
+    names = [scheduler_name(number, sizes.schedulers) for number in range(sizes.schedulers)]
+    fleet = Fleet(
+        sizes=sizes,
+        setup=setup,
+        children=children,
+        folder=folder,
+        store=store,
+        discovery=discovery,
+        tool=tool,
+        workers=workers,
+        store_urls=store_urls,
+        discovery_addresses=discoveries.addresses,
+        names=names,
+        document=config_document(
+            names[0],
+            discoveries.addresses[0],
+            store_urls[0],
+            "",
+            setup.lease_ms,
+            volume_rows(sizes.volumes),
+        ),
+        resident_mb_without_schedulers=0.0,
+        next_node=sizes.nodes,
+        random=Random(setup.seed),
+    )
+    await fleet.list_nodes()
+    for child in (tool, *workers):
+        await child.ask(CollectGarbage(), Done)
+    fleet.resident_mb_without_schedulers = sum(usage_of(child.pid).resident_mb for child in workers)
+    return fleet
--- a/runloft/lab/scale/options.py
+++ b/runloft/lab/scale/options.py
@@ -1,4 +1,7 @@
-"""What ``runloft lab scale`` can be told; loaded with every tool's options, so it loads nothing else."""
+"""The options of ``runloft lab scale`` and ``lab capacity``.
+
+Loaded with every tool's options, so it loads nothing else.
+"""
 
 import argparse
 
@@ -21,7 +24,7 @@
 
 
 def add_parser(actions: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """Describe the sub-command."""
+    """Add the sub-command ``scale``."""
     scale = actions.add_parser(
         "scale",
         help="measure a fleet's control plane by its size",
@@ -33,9 +36,12 @@
         ),
     )
     scale.add_argument(
-        "--vary", action="append", default=[], metavar="DIM=N,N,...",
+        "--vary",
+        action="append",
+        default=[],
+        metavar="DIM=N,N,...",
         help=f"measure these sizes; may be given again; dimensions: {', '.join(dimensions())}",
-    )  # fmt: skip
+    )
     scale.add_argument(
         "--base", default="", metavar="DIM=N,...", help="what is held (default 50 schedulers, 100 nodes)"
     )
@@ -55,7 +61,7 @@
 
 
 def add_capacity_parser(actions: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """Describe the sub-command that works out the page about capacity."""
+    """Add the sub-command ``capacity``."""
     capacity = actions.add_parser("capacity", help="work out the tables of docs/CAPACITY.md")
     capacity.add_argument("page", metavar="PAGE", help="its documents lie beside it, in capacity/")
     capacity.add_argument("--check", action="store_true", help="change nothing; 1 where a table differs")
--- a/runloft/lab/scale/points.py
+++ b/runloft/lab/scale/points.py
@@ -2,105 +2,152 @@
 
 ``scheduler.agreement.cpu`` is what the hollow processes use with agreement less what the same ones use
 without, for the same time, just before.  ``scheduler.control.*`` is the hollow processes' use by their
-schedulers: watch, agreement, turn and module together, without clients and links.
+schedulers: watch, agreement, event loop and decisions together, without clients and node connections.
 """
 
-from typing import Any
+from collections.abc import Sequence
+from dataclasses import dataclass
+from pathlib import Path
 
 import anyio
 
-from runloft.lab.scale.fleet import TOOL, Fleet, Reading, Setup
+from runloft.lab.scale.fleet import TOOL_LISTENER, Fleet, Reading, Rollout, Setup, start_fleet
+from runloft.lab.scale.messages import Traffic
 from runloft.lab.scale.processes import Children
-from runloft.lab.scale.records import Sizes, named
+from runloft.lab.scale.records import Figures, Sizes, prefixed
 
-WITHOUT = 0.5  # of the time that is measured: so long without agreement
-ROLL_S = 60.0
+TIME_WITHOUT_AGREEMENT = 0.5  # of the time that is measured
+ROLLOUT_TIMEOUT_S = 60.0
+SECONDS_PER_HOUR = 3600
+MS_PER_S = 1000
+CONTROL_CPU = "scheduler.control.cpu"
 
 
-def between(fleet: Fleet, before: Reading, after: Reading) -> dict[str, float]:
-    """Give the figures of what happened between two readings."""
-    took, count = after.at - before.at, fleet.sizes.schedulers
+@dataclass(frozen=True, slots=True)
+class MeasuredPoint:
+    """The figures of a point, and the seconds that they were measured."""
 
-    def cpu(role: str) -> float:
-        return (after.cpu_s[role] - before.cpu_s[role]) / took
+    seconds: float
+    figures: Figures
 
-    def grown(role: str, what: str, tool: bool = True) -> float:
-        then, now = getattr(before, role)[what], getattr(after, role)[what]
-        if isinstance(now, list):
-            if not tool:
-                now, then = now[:TOOL], then[:TOOL]
-            now, then = sum(now), sum(then)
-        return float(now - then) / took
 
+@dataclass(frozen=True, slots=True)
+class TrafficRates:
+    """What a stand-in's listeners received, sent and carried out a second."""
+
+    received: float
+    sent: float
+    commands: float
+    received_from_schedulers: float
+    sent_to_schedulers: float
+    round_trips_of_schedulers: float
+
+
+def traffic_rates(before: Traffic, after: Traffic, seconds: float) -> TrafficRates:
+    """Return the rates between two reports; the tool's listener does not count for the schedulers."""
+
+    def rate(earlier: Sequence[int], later: Sequence[int]) -> float:
+        return float(sum(later) - sum(earlier)) / seconds
+
+    schedulers = slice(TOOL_LISTENER)
+    return TrafficRates(
+        received=rate(before.received, after.received),
+        sent=rate(before.sent, after.sent),
+        commands=float(after.commands - before.commands) / seconds,
+        received_from_schedulers=rate(before.received[schedulers], after.received[schedulers]),
+        sent_to_schedulers=rate(before.sent[schedulers], after.sent[schedulers]),
+        round_trips_of_schedulers=rate(before.round_trips[schedulers], after.round_trips[schedulers]),
+    )
+
+
+def figures_between(fleet: Fleet, before: Reading, after: Reading) -> Figures:
+    """Return the figures of what happened between two readings."""
+    seconds = after.at - before.at
+    schedulers = fleet.sizes.schedulers
+    cpu = {role: (after.cpu_s[role] - before.cpu_s[role]) / seconds for role in after.cpu_s}
+    store = traffic_rates(before.store, after.store, seconds)
+    discovery = traffic_rates(before.discovery, after.discovery, seconds)
+    control_mb = after.resident_mb["hollow"] - fleet.resident_mb_without_schedulers
     figures = {
-        "scheduler.agreement.out_bytes_per_s": grown("store", "received", tool=False) / count,
-        "scheduler.agreement.in_bytes_per_s": grown("store", "sent", tool=False) / count,
-        "scheduler.agreement.exchanges_per_s": grown("store", "round_trips", tool=False) / count,
-        "scheduler.watch.in_bytes_per_s": grown("discovery", "sent") / count,
-        "scheduler.control.cpu": cpu("hollow") / count,
-        "scheduler.control.resident_mb": (after.resident_mb["hollow"] - fleet.bare_mb) / count,
-        "store.commands_per_s": grown("store", "commands"),
+        "scheduler.agreement.out_bytes_per_s": store.received_from_schedulers / schedulers,
+        "scheduler.agreement.in_bytes_per_s": store.sent_to_schedulers / schedulers,
+        "scheduler.agreement.exchanges_per_s": store.round_trips_of_schedulers / schedulers,
+        "scheduler.watch.in_bytes_per_s": discovery.sent / schedulers,
+        CONTROL_CPU: cpu["hollow"] / schedulers,
+        "scheduler.control.resident_mb": control_mb / schedulers,
+        "store.commands_per_s": store.commands,
     }
-    for role in ("store", "discovery"):
-        figures |= named(
-            {
-                "cpu": cpu(role),
-                "resident_mb": after.resident_mb[role],
-                "in_bytes_per_s": grown(role, "received"),
-                "out_bytes_per_s": grown(role, "sent"),
-            },
-            role,
-        )
+    for role, rates in (("store", store), ("discovery", discovery)):
+        role_figures = {
+            "cpu": cpu[role],
+            "resident_mb": after.resident_mb[role],
+            "in_bytes_per_s": rates.received,
+            "out_bytes_per_s": rates.sent,
+        }
+        figures |= prefixed(role_figures, role)
     return figures
 
 
-async def measure(sizes: Sizes, setup: Setup, folder: Any) -> tuple[float, dict[str, float]]:
-    """Measure one size: the seconds that were measured, and the figures."""
+async def measure_point(sizes: Sizes, setup: Setup, folder: Path) -> MeasuredPoint:
+    """Measure one size."""
     async with Children(folder) as children:
-        fleet = Fleet(sizes, setup, children, folder)
-        await fleet.begin()
-        await fleet.make(agree=False)
-        await fleet.watched()
-        await anyio.sleep(setup.lease_ms / 3000)
-        before = await fleet.read()
-        await anyio.sleep(setup.seconds * WITHOUT)
-        without = between(fleet, before, await fleet.read())
-        began = await fleet.agree()
-        together_s = await fleet.together() - began
-        setup.progress(f"together in {together_s:.1f} s")
-        await anyio.sleep(setup.lease_ms / 1000)
-        seconds = max(setup.seconds, 3600 / sizes.changes) if sizes.changes else setup.seconds
+        fleet = await start_fleet(sizes, setup, children, folder)
+        await fleet.make_schedulers(agree=False)
+        await fleet.wait_nodes_listed()
+        await anyio.sleep(setup.lease_ms / (3 * MS_PER_S))
+        cpu_without_agreement = await _control_cpu(fleet, setup.seconds * TIME_WITHOUT_AGREEMENT)
+        joined_at = await fleet.join_agreement()
+        convergence_s = await fleet.wait_converged() - joined_at
+        setup.progress(f"together in {convergence_s:.1f} s")
+        await anyio.sleep(setup.lease_ms / MS_PER_S)
         before = await fleet.read()
-        reports = await _changing(fleet, seconds)
+        rollouts = await _let_pass(fleet, _seconds_to_measure(sizes, setup))
         after = await fleet.read()
-        figures = between(fleet, before, after)
-        figures["fleet.together_s"] = together_s
-        figures["scheduler.agreement.cpu"] = (
-            figures["scheduler.control.cpu"] - without["scheduler.control.cpu"]
-        )
-        done = [one for one in reports if one["done"]]
-        if reports:
-            figures["tool.done_count"] = float(len(done))
-        for name in ("cpu_s", "in_bytes", "out_bytes"):
-            if done:
-                figures[f"tool.{name}"] = sum(one[name] for one in done) / len(done)
-        return after.at - before.at, figures
-
-
-async def _changing(fleet: Fleet, seconds: float) -> list[dict[str, Any]]:
+        figures = figures_between(fleet, before, after)
+        figures["fleet.together_s"] = convergence_s
+        figures["scheduler.agreement.cpu"] = figures[CONTROL_CPU] - cpu_without_agreement
+        return MeasuredPoint(after.at - before.at, figures | _rollout_figures(rollouts))
+
+
+async def _control_cpu(fleet: Fleet, seconds: float) -> float:
+    before = await fleet.read()
+    await anyio.sleep(seconds)
+    return figures_between(fleet, before, await fleet.read())[CONTROL_CPU]
+
+
+def _seconds_to_measure(sizes: Sizes, setup: Setup) -> float:
+    """Return the time to measure: long enough for one change where the size has some."""
+    if not sizes.changes:
+        return setup.seconds
+    return max(setup.seconds, SECONDS_PER_HOUR / sizes.changes)
+
+
+async def _let_pass(fleet: Fleet, seconds: float) -> list[Rollout]:
     """Let time pass, with as many roll-outs as the size has an hour."""
-    reports: list[dict[str, Any]] = []
+    rollouts: list[Rollout] = []
     if not fleet.sizes.changes:
         await anyio.sleep(seconds)
-        return reports
+        return rollouts
 
-    async def roll() -> None:
-        reports.append(await fleet.roll(ROLL_S))
+    async def roll_out() -> None:
+        rollouts.append(await fleet.roll_out(ROLLOUT_TIMEOUT_S))
 
-    every_s = 3600 / fleet.sizes.changes
-    for _ in range(max(1, round(seconds / every_s))):
-        # One that takes longer than the time between two holds the next one up, as an operator would.
+    interval_s = SECONDS_PER_HOUR / fleet.sizes.changes
+    for _ in range(max(1, round(seconds / interval_s))):
+        # One that takes longer than the time between two delays the next one, as an operator would.
         async with anyio.create_task_group() as both:
-            both.start_soon(anyio.sleep, every_s)
-            both.start_soon(roll)
-    return reports
+            both.start_soon(anyio.sleep, interval_s)
+            both.start_soon(roll_out)
+    return rollouts
+
+
+def _rollout_figures(rollouts: Sequence[Rollout]) -> Figures:
+    if not rollouts:
+        return {}
+    done = [rollout for rollout in rollouts if rollout.report.done]
+    figures = {"tool.done_count": float(len(done))}
+    if done:
+        figures["tool.cpu_s"] = sum(rollout.report.cpu_s for rollout in done) / len(done)
+        figures["tool.in_bytes"] = sum(rollout.in_bytes for rollout in done) / len(done)
+        figures["tool.out_bytes"] = sum(rollout.out_bytes for rollout in done) / len(done)
+    return figures
--- a/runloft/lab/scale/processes.py
+++ b/runloft/lab/scale/processes.py
@@ -1,4 +1,4 @@
-"""A scale run's child processes: begun, asked, read by /proc, and ended by id."""
+"""A scale run's child processes: started, given commands, measured by /proc, and ended by id."""
 
 import json
 import os
@@ -8,102 +8,106 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 from subprocess import PIPE
-from typing import Any
+from types import TracebackType
+from typing import Any, TypeVar
 
 import anyio
 import anyio.abc
 
-LAST_LINES = 12  # of a child's log, told when it died
-END_S = 2.0  # to end by itself once its standard input is closed
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+from runloft.lab.errors import LaboratoryError
+from runloft.lab.scale import procfs
+from runloft.lab.scale.messages import Command, encode_command
 
+AnswerT = TypeVar("AnswerT")
 
-class ChildError(RuntimeError):
-    """A child died or could not do what it was told: says which and what it last said."""
+MODULE = "runloft.lab.scale.child"
+LOG_TAIL_LINES = 12  # of a child's log, reported when it died
+STOP_TIMEOUT_S = 2.0  # to end by itself once its standard input is closed
+
+
+class ChildError(LaboratoryError, RuntimeError):
+    """A child died or could not carry out a command: says which and what it last logged."""
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class ProcessUsage:
     """What a process has used: seconds of processor time so far, resident MiB now."""
 
     cpu_s: float
     resident_mb: float
 
 
-def use_of(pid: int) -> Use:
-    """Read a process's use."""
-    stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return Use((int(stat[11]) + int(stat[12])) / TICKS, int(stat[21]) * PAGE / (1 << 20))
+def usage_of(pid: int) -> ProcessUsage:
+    """Return a process's usage."""
+    return ProcessUsage(procfs.cpu_s(pid), procfs.resident_mb(pid))
 
 
 @dataclass
 class Child:
-    """One child."""
+    """One child process."""
 
     name: str
     process: anyio.abc.Process
     log: Path
-    ending: bool = False
-    answers: dict[int, dict[str, Any]] = field(default_factory=dict)
-    waits: dict[int, anyio.Event] = field(default_factory=dict)
-    count: int = 0
+    is_stopping: bool = False
+    _answers: dict[int, dict[str, Any]] = field(default_factory=dict)  # JSON documents
+    _answered: dict[int, anyio.Event] = field(default_factory=dict)
+    _last_number: int = 0
 
     @property
     def pid(self) -> int:
-        """Its process id, which is also its group's."""
+        """Its process id, which is also its process group's."""
         return self.process.pid
 
-    async def do(self, what: str, /, **arguments: Any) -> dict[str, Any]:
-        """Give a command and wait for its answer; ChildError where it can't be done."""
-        self.count += 1
-        number, event = self.count, anyio.Event()
-        self.waits[number] = event
-        line = json.dumps({"id": number, "do": what} | arguments).encode() + b"\n"
+    async def ask(self, command: Command, answer_type: type[AnswerT]) -> AnswerT:
+        """Send a command and return its answer; ChildError where it can't be carried out."""
+        self._last_number += 1
+        number = self._last_number
+        answered = anyio.Event()
+        self._answered[number] = answered
         assert self.process.stdin
         try:
-            await self.process.stdin.send(line)
+            await self.process.stdin.send(encode_command(number, command))
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
-            await anyio.sleep_forever()  # it died: who reads its answers tells so
-        await event.wait()
-        answer = self.answers.pop(number)
+            await anyio.sleep_forever()  # it died: read_answers raises, which cancels this task
+        await answered.wait()
+        answer = self._answers.pop(number)
         if "error" in answer:
             raise ChildError(f"{self.name}: {answer['error']}")
-        return answer
+        return answer_type(**answer)
 
-    async def read(self) -> None:
-        """Take its answers; ChildError when it ends though nobody told it to."""
-        data = b""
+    async def read_answers(self) -> None:
+        """Read its answers; ChildError when it ends though nobody stopped it."""
+        buffer = b""
         assert self.process.stdout
         try:
             while True:
-                *lines, data = (data + await self.process.stdout.receive()).split(b"\n")
+                *lines, buffer = (buffer + await self.process.stdout.receive()).split(b"\n")
                 for line in lines:
                     answer = json.loads(line)
                     number = answer.pop("id")
-                    self.answers[number] = answer
-                    self.waits.pop(number).set()
+                    self._answers[number] = answer
+                    self._answered.pop(number).set()
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
-        if not self.ending:
+        if not self.is_stopping:
             code = await self.process.wait()
-            raise ChildError(f"{self.name} died with {code}: {self.last_lines()}")
+            raise ChildError(f"{self.name} died with {code}: {self._log_tail()}")
 
-    def last_lines(self) -> str:
-        """Give the end of its log."""
+    def _log_tail(self) -> str:
         try:
             lines = self.log.read_text(errors="replace").splitlines()
         except OSError:
             lines = []
-        return "\n".join(lines[-LAST_LINES:]) or "it said nothing"
+        return "\n".join(lines[-LOG_TAIL_LINES:]) or "it said nothing"
 
-    async def end(self) -> None:
-        """End it: its input closes, and what is left of its group is killed by id."""
-        self.ending = True
+    async def stop(self) -> None:
+        """End it: its input closes, and what is left of its process group is killed by id."""
+        self.is_stopping = True
         with anyio.CancelScope(shield=True):
             assert self.process.stdin
             await self.process.stdin.aclose()
-            with anyio.move_on_after(END_S):
+            with anyio.move_on_after(STOP_TIMEOUT_S):
                 await self.process.wait()
             if self.process.returncode is None:
                 os.killpg(self.pid, signal.SIGKILL)  # its own group, which nothing else is in
@@ -111,39 +115,48 @@
 
 
 class Children:
-    """The children of one fleet; used as a context, at whose end none is left."""
+    """The children of one fleet; a context manager, at whose end none is left."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.all = folder, list[Child]()
-        self._group: anyio.abc.TaskGroup = anyio.create_task_group()
-        self._names: Counter[str] = Counter()
+        self.folder = folder
+        self.all: list[Child] = []
+        self._group = anyio.create_task_group()
+        self._started_of_role: Counter[str] = Counter()
 
     async def __aenter__(self) -> "Children":
         await self._group.__aenter__()
         return self
 
-    async def __aexit__(self, *error: Any) -> bool | None:
+    async def __aexit__(
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
+    ) -> bool | None:
         try:
             with anyio.CancelScope(shield=True):
-                async with anyio.create_task_group() as ends:
+                async with anyio.create_task_group() as stopping:
                     for child in self.all:
-                        ends.start_soon(child.end)
+                        stopping.start_soon(child.stop)
         finally:
             self._group.cancel_scope.cancel()
-            left = await self._group.__aexit__(*error)
-        return left
-
-    async def begin(self, role: str, command: list[str] | None = None) -> Child:
-        """Begin a role's process; its log is in the folder."""
-        self._names[role] += 1
-        name = f"{role} {self._names[role]}"
-        log = self.folder / f"{role}-{self._names[role]}.log"
-        command = command or [sys.executable, "-m", "runloft.lab.scale.child", role]
-        with log.open("wb") as errors:
+            is_handled = await self._group.__aexit__(error_type, error, traceback)
+        return is_handled
+
+    async def start(self, role: str, command: list[str] | None = None) -> Child:
+        """Start a role's process; its log is in the folder."""
+        self._started_of_role[role] += 1
+        number = self._started_of_role[role]
+        log = self.folder / f"{role}-{number}.log"
+        with log.open("wb") as file:
             process = await anyio.open_process(
-                command, stdin=PIPE, stdout=PIPE, stderr=errors, start_new_session=True
+                command or [sys.executable, "-m", MODULE, role],
+                stdin=PIPE,
+                stdout=PIPE,
+                stderr=file,
+                start_new_session=True,
             )
-        child = Child(name, process, log)
+        child = Child(f"{role} {number}", process, log)
         self.all.append(child)
-        self._group.start_soon(child.read)
+        self._group.start_soon(child.read_answers)
         return child
--- a/runloft/lab/scale/records.py
+++ b/runloft/lab/scale/records.py
@@ -1,4 +1,4 @@
-"""What a scale run finds, as one JSON document: points, slopes and events, with what made them.
+"""The results of a scale run, as one JSON document: points, slopes and events, with what made them.
 
 Every figure has one name, ``role.part.quantity``, whose last word ends in its unit (``_mb``, ``_s``,
 ``_per_s``, ``_bytes``, ``_count``) or is ``cpu``: processor time used by elapsed time, 1.0 being one core
@@ -7,12 +7,17 @@
 
 import json
 from dataclasses import asdict, dataclass, field, fields
-from typing import Any
+from typing import Any, TypeAlias
+
+from runloft.lab.errors import LaboratoryError
+
+Figures: TypeAlias = dict[str, float]  # by name
+JsonObject: TypeAlias = dict[str, Any]
 
 FORMAT = 1
 
 
-class ResultError(ValueError):
+class ResultError(LaboratoryError, ValueError):
     """A document that is no scale run's result: says what is wrong with it."""
 
 
@@ -34,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One measurement: ``repeat`` counts those of one size from 0."""
+    """One measurement; ``repeat`` counts those of one size from 0."""
 
     vary: str  # a field of Sizes
     sizes: Sizes
     repeat: int
-    seconds: float  # measured, after all had come together
-    figures: dict[str, float]
+    seconds: float  # measured, after the fleet had converged
+    figures: Figures
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,12 +68,12 @@
     name: str
     sizes: Sizes
     repeat: int
-    figures: dict[str, float]
+    figures: Figures
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """A whole run; ``missing`` names what a partial one lacks, and is empty for a whole one."""
+    """A run; ``missing`` names what a partial one lacks, and is empty for a complete one."""
 
     command: str
     seed: int
@@ -80,35 +85,39 @@
     notes: tuple[str, ...] = field(default=())
 
     def dump(self) -> str:
-        """Give its text."""
+        """Return its text."""
         return json.dumps({"format": FORMAT, **asdict(self)}, indent=1, sort_keys=True) + "\n"
 
 
 def result_from(text: str | bytes) -> Result:
-    """Read a result back; ResultError where it is none."""
+    """Read a result back; raise ResultError where it is none."""
     try:
-        raw = json.loads(text)
-        if not isinstance(raw, dict) or raw.get("format") != FORMAT:
+        document = json.loads(text)
+        if not isinstance(document, dict) or document.get("format") != FORMAT:
             raise ResultError("no scale run's result of a known format")
         return Result(
-            str(raw["command"]),
-            int(raw["seed"]),
-            dict(raw["versions"]),
-            tuple(Point(**(one | {"sizes": Sizes(**one["sizes"])})) for one in raw["points"]),
-            tuple(Slope(**one) for one in raw["slopes"]),
-            tuple(Event(**(one | {"sizes": Sizes(**one["sizes"])})) for one in raw["events"]),
-            tuple(map(str, raw["missing"])),
-            tuple(map(str, raw["notes"])),
+            command=str(document["command"]),
+            seed=int(document["seed"]),
+            versions=dict(document["versions"]),
+            points=tuple(Point(**_with_sizes(point)) for point in document["points"]),
+            slopes=tuple(Slope(**slope) for slope in document["slopes"]),
+            events=tuple(Event(**_with_sizes(event)) for event in document["events"]),
+            missing=tuple(map(str, document["missing"])),
+            notes=tuple(map(str, document["notes"])),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise ResultError(f"no scale run's result: {error!r}") from None
+        raise ResultError(f"no scale run's result: {error!r}") from error
+
+
+def _with_sizes(document: JsonObject) -> JsonObject:
+    return document | {"sizes": Sizes(**document["sizes"])}
 
 
 def dimensions() -> tuple[str, ...]:
-    """Give what may be varied."""
+    """Return the names of the sizes that may be varied."""
     return tuple(one.name for one in fields(Sizes))
 
 
-def named(values: dict[str, Any], prefix: str) -> dict[str, float]:
-    """Give figures a common prefix."""
-    return {f"{prefix}.{name}": float(value) for name, value in values.items()}
+def prefixed(figures: Figures, prefix: str) -> Figures:
+    """Return figures with a common prefix before their names."""
+    return {f"{prefix}.{name}": float(value) for name, value in figures.items()}
--- /dev/null
+++ b/runloft/lab/scale/scheduler_config.py
@@ -0,0 +1,45 @@
+"""The configuration files of hollow schedulers, as values."""
+
+from typing import TypeAlias
+
+from runloft.config.settings import OPERATIONS, Config, config_from_json
+from runloft.lab.scale.messages import ConfigDocument
+
+VolumeRows: TypeAlias = dict[str, dict[str, str | int]]  # of the file, by name
+
+
+def volume_rows(count: int) -> VolumeRows:
+    """Return the rows of so many volumes."""
+    return {
+        f"volume-{number:06d}": {"id": f"{number + 1:016x}", "plan": "standard", "hosts": 1}
+        for number in range(count)
+    }
+
+
+def config_document(
+    name: str, discovery: str, store: str, directory: str, lease_ms: int, volumes: VolumeRows
+) -> ConfigDocument:
+    """Return a scheduler's file."""
+    return {
+        "name": name,
+        "listen": "127.0.0.1:0",
+        "discovery": discovery,
+        "agreement": {"store": store, "directory": directory, "lease_ms": lease_ms},
+        "objects": {
+            "listen": "127.0.0.1:0",
+            "store": store,
+            "classes": dict.fromkeys(OPERATIONS, "read"),
+            "volumes": volumes,
+        },
+        "settings": {
+            "Classes": [{"Name": "read", "Target": 400_000_000, "HardLimit": 2_500_000_000}],
+            "ServiceLevels": [{"Name": "standard", "BaseRate": 4.5, "Guaranteed": 4.5, "Parts": 2.0}],
+        },
+    }
+
+
+def read_config(document: ConfigDocument) -> Config:
+    """Read a scheduler's file as ``serve`` does."""
+    config = config_from_json(document)
+    object.__setattr__(config, "raw", document)
+    return config
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -15,19 +15,24 @@
 from runloft.lab.discovery import Instances
 from runloft.lab.keyspace import Keyspace
 from runloft.lab.redis import RedisStandIn
-from runloft.lab.scale.bounds import Machine, lacking
-from runloft.lab.scale.commands import told
+from runloft.lab.scale.command_line import reproducible_command
 from runloft.lab.scale.datapath import load_measurement
 from runloft.lab.scale.datapath.sizing import SizeError
-from runloft.lab.scale.engine import Order, Run
-from runloft.lab.scale.events import EVENTS, timed
+from runloft.lab.scale.engine import Run
+from runloft.lab.scale.event_timing import arrival_figures
+from runloft.lab.scale.events import EVENTS
+from runloft.lab.scale.feasibility import Machine, unmet_needs
 from runloft.lab.scale.fitting import quantile, slopes
-from runloft.lab.scale.fleet import Setup, name_of
-from runloft.lab.scale.hollow import raw_of, volumes_of
+from runloft.lab.scale.fleet import Setup
+from runloft.lab.scale.messages import Addresses, Listen
+from runloft.lab.scale.names import scheduler_name
 from runloft.lab.scale.options import EVENT_NAMES
+from runloft.lab.scale.plan import RunPlan, Variation
+from runloft.lab.scale.points import MeasuredPoint
 from runloft.lab.scale.processes import ChildError, Children
 from runloft.lab.scale.records import Point, Sizes, result_from
-from runloft.lab.scale.tool import changed
+from runloft.lab.scale.rollout_tool import changed
+from runloft.lab.scale.scheduler_config import config_document, volume_rows
 
 ROOT = Path(__file__).parents[2]
 SMALL = Sizes(schedulers=3, nodes=4, volumes=2)
@@ -53,20 +58,20 @@
 
 def test_quantiles_are_times_that_were_measured_and_those_of_all_want_all():
     assert [quantile([1.0, 2.0, 3.0, 4.0], part) for part in (0.5, 0.99)] == [3.0, 4.0]
-    assert timed([11.0, 12.0], 10.0, 2)["all_in_force_s"] == 2.0
-    assert "all_in_force_s" not in timed([11.0, 12.0], 10.0, 3)
-    assert timed([], 10.0, 3) == {"in_force_count": 0.0}
+    assert arrival_figures([11.0, 12.0], 10.0, 2)["all_in_force_s"] == 2.0
+    assert "all_in_force_s" not in arrival_figures([11.0, 12.0], 10.0, 3)
+    assert arrival_figures([], 10.0, 3) == {"in_force_count": 0.0}
 
 
 def test_names_are_35_bytes_long_and_share_zones_and_regions():
-    names = [name_of(number, 450) for number in range(450)]
+    names = [scheduler_name(number, 450) for number in range(450)]
     assert {len(name) for name in names} == {35} and len(set(names)) == 450
     assert sum(".region-00" in name for name in names) == 225
     assert len({name.split(".")[1] for name in names}) == 7
 
 
 def test_no_two_changes_bring_the_same_content():
-    own = content_of(raw_of("s", "127.0.0.1:1", "redis://127.0.0.1:1/0", "", 3000, volumes_of(3)))
+    own = content_of(config_document("s", "127.0.0.1:1", "redis://127.0.0.1:1/0", "", 3000, volume_rows(3)))
     (one,), (two,), (first,) = changed(1, own)(own), changed(2, own)(own), changed(1, own)(None)
     assert len({own.digest, one.digest, two.digest}) == 3 and first == one
 
@@ -93,9 +98,9 @@
 
 def test_a_size_is_borne_up_to_half_of_the_memory_and_the_descriptors():
     sizes = Sizes(schedulers=100, nodes=1, volumes=1)
-    assert lacking(sizes, 2, Machine(2000.0, 1024)) == []
-    assert "memory" in lacking(sizes, 2, Machine(400.0, 1024))[0]
-    assert lacking(sizes, 2, Machine(2000.0, 400)) == [
+    assert unmet_needs(sizes, 2, Machine(2000.0, 1024)) == []
+    assert "memory" in unmet_needs(sizes, 2, Machine(400.0, 1024))[0]
+    assert unmet_needs(sizes, 2, Machine(2000.0, 400)) == [
         "descriptors: 528 are wanted in one process, 400 are allowed"
     ]
 
@@ -145,8 +150,8 @@
 
 
 def test_a_run_of_a_few_counts_what_each_role_did_and_leaves_no_process():
-    order = Order(SETUP, SMALL, (("schedulers", (2,)),), ("change", "change-of-primary"))
-    ran = Run(order)
+    plan = RunPlan(SETUP, SMALL, (Variation("schedulers", (2,)),), ("change", "change-of-primary"))
+    ran = Run(plan)
     result = anyio.run(ran.run)
     assert result.missing == () and [one.sizes.schedulers for one in result.points] == [2]
     for point in result.points:
@@ -166,9 +171,9 @@
     async def check():
         async with Children(tmp_path) as children:
             last = "import sys; sys.stdin.readline(); sys.exit('out of ideas')"
-            child = await children.begin("store", [sys.executable, "-c", last])
+            child = await children.start("store", [sys.executable, "-c", last])
             with anyio.fail_after(5):
-                await child.do("listen")
+                await child.ask(Listen(), Addresses)
 
     with pytest.raises(ExceptionGroup) as found:
         anyio.run(check)
@@ -176,13 +181,13 @@
 
 
 def test_after_a_childs_death_nothing_more_is_measured_and_all_of_it_is_marked(monkeypatch):
-    async def measure(sizes, setup, folder):
+    async def measure_point(sizes, setup, folder):
         if sizes.schedulers == 2:
-            return 1.0, {"store.cpu": 0.5}
+            return MeasuredPoint(1.0, {"store.cpu": 0.5})
         raise ExceptionGroup("", [ChildError("hollow 1 died with -9: its last words")])
 
-    monkeypatch.setattr("runloft.lab.scale.engine.measure", measure)
-    result = anyio.run(Run(Order(SETUP, SMALL, (("schedulers", (2, 3, 4)),), ("change",))).run)
+    monkeypatch.setattr("runloft.lab.scale.engine.measure_point", measure_point)
+    result = anyio.run(Run(RunPlan(SETUP, SMALL, (Variation("schedulers", (2, 3, 4)),), ("change",))).run)
     assert [one.figures for one in result.points] == [{"store.cpu": 0.5}]
     died = "ChildError: hollow 1 died with -9: its last words"
     assert result.missing == tuple(
@@ -228,7 +233,7 @@
         return {"scheduler.resident_mb": float(sizes.clients)}
 
     monkeypatch.setattr(load_measurement, "measure_load", measure_load)
-    result = anyio.run(Run(Order(SETUP, SMALL, (("clients", (7, 8)),))).run)
+    result = anyio.run(Run(RunPlan(SETUP, SMALL, (Variation("clients", (7, 8)),))).run)
     assert [one.figures for one in result.points] == [{"scheduler.resident_mb": 7.0}]
     assert result.missing == ("clients=8, repeat 0: SizeError: 8 clients are too many",)
 
@@ -236,10 +241,10 @@
 def test_a_later_run_is_kept_as_further_repeats_of_an_earlier_one(tmp_path, monkeypatch, capsys):
     values = iter((1.0, 3.0, 2.0, 4.0))
 
-    async def measure(sizes, setup, folder):
-        return 1.0, {"store.cpu": next(values)}
+    async def measure_point(sizes, setup, folder):
+        return MeasuredPoint(1.0, {"store.cpu": next(values)})
 
-    monkeypatch.setattr("runloft.lab.scale.engine.measure", measure)
+    monkeypatch.setattr("runloft.lab.scale.engine.measure_point", measure_point)
     path = tmp_path / "r.json"
     arguments = ["lab", "scale", "--vary", "schedulers=2,3", "--output", str(path), "--append"]
     assert main(arguments) == 0 == main(arguments)
@@ -263,18 +268,18 @@
         "--vary",
         "nodes=1,2",
     ]
-    assert told(arguments) == "runloft lab scale --seed 2 --vary nodes=1,2"
+    assert reproducible_command(arguments) == "runloft lab scale --seed 2 --vary nodes=1,2"
 
 
 def test_an_interrupt_amid_a_cut_keeps_what_there_is_and_leaves_nothing_running(tmp_path, monkeypatch):
     pids = []
 
-    async def interrupted(fleet, notes, wanted):
+    async def interrupted(fleet, notes, expected):
         pids.extend(child.pid for child in fleet.children.all)
         os.kill(os.getpid(), signal.SIGINT)
         await anyio.sleep_forever()
 
-    monkeypatch.setattr("runloft.lab.scale.events.rolled", interrupted)
+    monkeypatch.setattr("runloft.lab.scale.events.roll_out_change", interrupted)
     path = tmp_path / "r.json"
     arguments = ["--events", "regions-part", "--base", "schedulers=2,nodes=2", "--lease-ms", "300"]
     arguments += ["--cut-s", "0.1", "--workers", "1", "--output", str(path)]
