--- a/runloft/simulator/__init__.py
+++ b/runloft/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's pipe."""
+"""The decisions on the pipe of the simulator: codec, translation, adapter."""
--- a/runloft/simulator/__main__.py
+++ b/runloft/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the adapter: ``python -m runloft.simulator``."""
+"""Run the adapter: ``python -m runloft.simulator``."""
 
 import sys
 
--- a/runloft/simulator/wire.py
+++ b/runloft/simulator/wire.py
@@ -1,49 +1,78 @@
 """The codec of the simulator's pipe: frames of bytes to plain records and back.
 
-This file knows layouts only.  It neither translates to the scheduler's terms (``adapter.py``
-does) nor decides anything.
+This module knows layouts only: ``translation`` turns records into the scheduler's events.
 """
 
 import struct
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import IntEnum
 from typing import Any, BinaryIO
 
+from runloft.errors import RunloftError
+
 EVENT_SIZE = 56
 ACTION_SIZE = 32
 BATCH_HEADER = struct.Struct(">QII")
 REPLY_HEADER = struct.Struct(">II")
-ENTRY = struct.Struct(">BQIHBHf")
-
-STOP, REQUEST, PROBED, FIRST, OUTCOME, PEER, GONE, MEMBERS, TIMER, INIT = range(10)
-EVENTS = {
-    STOP: struct.Struct(">BI"),
-    REQUEST: struct.Struct(">BIQfBQHBQfQf"),
-    PROBED: struct.Struct(">BIIHQB4f"),
-    FIRST: struct.Struct(">BIQBIQ"),
-    OUTCOME: struct.Struct(">BIQBIHQBHHB4f"),
-    PEER: struct.Struct(">BIHII"),
-    GONE: struct.Struct(">BIQ"),
-    MEMBERS: struct.Struct(">BIIBII"),
-    TIMER: struct.Struct(">BIQ"),
-    INIT: struct.Struct(">BIQII"),
+NODE_ENTRY = struct.Struct(">BQIHBHf")
+
+
+class EventCode(IntEnum):
+    """The codes of event records."""
+
+    STOP = 0
+    REQUEST = 1
+    HEALTH_CHECK_RESULT = 2
+    STREAM_STARTED = 3
+    ATTEMPT_RESULT = 4
+    PEER_MESSAGE = 5
+    CLIENT_DISCONNECTED = 6
+    NODE_LIST = 7
+    TIMER_FIRED = 8
+    INIT = 9
+
+
+EVENT_LAYOUTS: dict[int, struct.Struct] = {
+    EventCode.STOP: struct.Struct(">BI"),
+    EventCode.REQUEST: struct.Struct(">BIQfBQHBQfQf"),
+    EventCode.HEALTH_CHECK_RESULT: struct.Struct(">BIIHQB4f"),
+    EventCode.STREAM_STARTED: struct.Struct(">BIQBIQ"),
+    EventCode.ATTEMPT_RESULT: struct.Struct(">BIQBIHQBHHB4f"),
+    EventCode.PEER_MESSAGE: struct.Struct(">BIHII"),
+    EventCode.CLIENT_DISCONNECTED: struct.Struct(">BIQ"),
+    EventCode.NODE_LIST: struct.Struct(">BIIBII"),
+    EventCode.TIMER_FIRED: struct.Struct(">BIQ"),
+    EventCode.INIT: struct.Struct(">BIQII"),
 }
 
-SEND, REFUSE, FAIL, CANCEL, WAKE_AT, PROBE = range(6)
-FAULT, WATCH = 9, 10
-ACTIONS = {
-    SEND: struct.Struct(">BIQIQ"),
-    REFUSE: struct.Struct(">BIQQ"),
-    FAIL: struct.Struct(">BIQ"),
-    CANCEL: struct.Struct(">BIQB"),
-    WAKE_AT: struct.Struct(">BIQQ"),
-    PROBE: struct.Struct(">BII"),
-    FAULT: struct.Struct(">BIII"),
-    WATCH: struct.Struct(">BIB"),
+
+class ActionCode(IntEnum):
+    """The codes of action records."""
+
+    SEND_ATTEMPT = 0
+    SHED_REQUEST = 1
+    FAIL_REQUEST = 2
+    CANCEL_ATTEMPT = 3
+    TIMER = 4
+    HEALTH_CHECK = 5
+    FAULT = 9
+    WATCH_NODE_LIST = 10
+
+
+ACTION_LAYOUTS: dict[int, struct.Struct] = {
+    ActionCode.SEND_ATTEMPT: struct.Struct(">BIQIQ"),
+    ActionCode.SHED_REQUEST: struct.Struct(">BIQQ"),
+    ActionCode.FAIL_REQUEST: struct.Struct(">BIQ"),
+    ActionCode.CANCEL_ATTEMPT: struct.Struct(">BIQB"),
+    ActionCode.TIMER: struct.Struct(">BIQQ"),
+    ActionCode.HEALTH_CHECK: struct.Struct(">BII"),
+    ActionCode.FAULT: struct.Struct(">BIII"),
+    ActionCode.WATCH_NODE_LIST: struct.Struct(">BIB"),
 }
 
 
-class WireError(ValueError):
+class WireError(RunloftError, ValueError):
     """The bytes on the pipe are not a frame of this protocol."""
 
 
@@ -54,60 +83,73 @@
     code: int
     instance: int
     fields: tuple[Any, ...]
-    tail: Any = None
+    tail: Any = None  # the settings' text of INIT, the entries of NODE_LIST
+
+
+@dataclass(frozen=True, slots=True)
+class Batch:
+    """The events of one instant."""
+
+    clock_ns: int
+    records: list[Record]
 
 
-def read_batch(stream: BinaryIO) -> tuple[int, list[Record]] | None:
-    """Read one batch; None at a clean end of input."""
+def read_batch(stream: BinaryIO) -> Batch | None:
+    """Return the next batch, None at a clean end of input; raise ``WireError`` for a bad frame."""
     header = stream.read(BATCH_HEADER.size)
     if not header:
         return None
     if len(header) < BATCH_HEADER.size:
         raise WireError("input ended inside a batch header")
-    clock, size, count = BATCH_HEADER.unpack(header)
+    clock_ns, size, count = BATCH_HEADER.unpack(header)
     if size < BATCH_HEADER.size + count * EVENT_SIZE:
         raise WireError(f"a batch of {size} bytes cannot hold {count} events")
     body = stream.read(size - BATCH_HEADER.size)
     if len(body) < size - BATCH_HEADER.size:
         raise WireError("input ended inside a batch")
-    return clock, decode_records(body, count)
+    return Batch(clock_ns, decode_records(body, count))
 
 
 def decode_records(body: bytes, count: int) -> list[Record]:
-    """Decode the records of a batch from the bytes after its header."""
-    tail_at = count * EVENT_SIZE
-    tail = body[tail_at:]
-    records = []
-    for at in range(0, tail_at, EVENT_SIZE):
-        layout = EVENTS.get(body[at])
-        if layout is None:
-            raise WireError(f"unknown event code {body[at]}")
-        code, instance, *fields = layout.unpack_from(body, at)
-        extra: Any = None
-        if code in (INIT, MEMBERS):
-            offset, length = fields[-2:]
-            width = length * ENTRY.size if code == MEMBERS else length
-            if offset + width > len(tail):
-                raise WireError("a record points past the tail of its batch")
-            piece = tail[offset : offset + width]
-            extra = list(ENTRY.iter_unpack(piece)) if code == MEMBERS else piece
-        records.append(Record(code, instance, tuple(fields), extra))
-    return records
-
-
-def encode_action(code: int, *fields: int) -> bytes:
-    """Encode one action record without text."""
-    return ACTIONS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0")
+    """Return the records of a batch, from the bytes after its header."""
+    tail_start = count * EVENT_SIZE
+    tail = body[tail_start:]
+    return [_decode_record(body, start, tail) for start in range(0, tail_start, EVENT_SIZE)]
+
+
+def _decode_record(body: bytes, start: int, tail: bytes) -> Record:
+    layout = EVENT_LAYOUTS.get(body[start])
+    if layout is None:
+        raise WireError(f"unknown event code {body[start]}")
+    code, instance, *fields = layout.unpack_from(body, start)
+    content: Any = None
+    if code == EventCode.INIT:
+        content = _tail_slice(tail, offset=fields[-2], size=fields[-1])
+    elif code == EventCode.NODE_LIST:
+        entries = _tail_slice(tail, offset=fields[-2], size=fields[-1] * NODE_ENTRY.size)
+        content = list(NODE_ENTRY.iter_unpack(entries))
+    return Record(code, instance, tuple(fields), content)
+
+
+def _tail_slice(tail: bytes, offset: int, size: int) -> bytes:
+    if offset + size > len(tail):
+        raise WireError("a record points past the tail of its batch")
+    return tail[offset : offset + size]
+
+
+def encode_action(code: ActionCode, *fields: int) -> bytes:
+    """Return one action record without text."""
+    return ACTION_LAYOUTS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0")
 
 
 def encode_reply(records: Iterable[bytes], tail: bytes = b"") -> bytes:
-    """Put action records and their tail into one reply frame."""
+    """Return one reply frame of action records and their tail."""
     body = list(records)
     size = REPLY_HEADER.size + len(body) * ACTION_SIZE + len(tail)
     return b"".join([REPLY_HEADER.pack(size, len(body)), *body, tail])
 
 
 def parse_settings(text: str) -> dict[str, str]:
-    """Split the path=value lines of the first message; lines of another form are passed over."""
+    """Return the path=value lines of the first message; lines of another form are ignored."""
     pairs = (line.partition("=") for line in text.splitlines())
-    return {path.strip(): value.strip() for path, mark, value in pairs if mark}
+    return {path.strip(): value.strip() for path, separator, value in pairs if separator}
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -7,9 +7,11 @@
 
 import pytest
 
+from runloft.config.settings import settings_from_wire
 from runloft.decisions.contract import Idempotency, IdempotencyScope
-from runloft.simulator import wire as wire
-from runloft.simulator.adapter import Adapter, settings_from_wire
+from runloft.simulator import wire
+from runloft.simulator.adapter import Adapter
+from runloft.simulator.wire import ActionCode, EventCode
 
 SETUP = b"""Classes.count=1
 Classes.0.Target=100000000
@@ -35,9 +37,9 @@
 
 
 def start(instance: int = 3) -> bytes:
-    init = struct.pack(">BIQII", wire.INIT, instance, 1, 0, len(SETUP)).ljust(wire.EVENT_SIZE, b"\0")
-    entry = wire.ENTRY.pack(0, 0, 0x03124A07, 0, 0, 0, 1.0)
-    members = struct.pack(">BIIBII", wire.MEMBERS, instance, 1, 2, len(SETUP), 1)
+    init = struct.pack(">BIQII", EventCode.INIT, instance, 1, 0, len(SETUP)).ljust(wire.EVENT_SIZE, b"\0")
+    entry = wire.NODE_ENTRY.pack(0, 0, 0x03124A07, 0, 0, 0, 1.0)
+    members = struct.pack(">BIIBII", EventCode.NODE_LIST, instance, 1, 2, len(SETUP), 1)
     return batch(init, members.ljust(wire.EVENT_SIZE, b"\0"), tail=SETUP + entry)
 
 
@@ -48,11 +50,21 @@
 
 
 def test_an_arrival_is_read_field_by_field():
-    clock, (got,) = wire.read_batch(io.BytesIO(batch(ARRIVAL)))
-    assert (clock, got.code, got.instance) == (5, wire.REQUEST, 3)
+    read = wire.read_batch(io.BytesIO(batch(ARRIVAL)))
+    (got,) = read.records
+    assert (read.clock_ns, got.code, got.instance) == (5, EventCode.REQUEST, 3)
     assert got.fields == (
-        0x125EC5D3A91C4, 2.0, 1, 0x91F03B7C55D20A64, 0, 0, 240_000_000, 3.0, 0x2B8E6401D9F37C10, 0.0
-    )  # fmt: skip
+        0x125EC5D3A91C4,
+        2.0,
+        1,
+        0x91F03B7C55D20A64,
+        0,
+        0,
+        240_000_000,
+        3.0,
+        0x2B8E6401D9F37C10,
+        0.0,
+    )
 
 
 def test_an_outcome_is_read_field_by_field():
@@ -74,11 +86,11 @@
 
 
 def test_actions_have_the_layouts_of_the_protocol():
-    send = wire.encode_action(wire.SEND, 3, 0x125EC5D3A91C4, 0x03124A07, 80_000_000)
+    send = wire.encode_action(ActionCode.SEND_ATTEMPT, 3, 0x125EC5D3A91C4, 0x03124A07, 80_000_000)
     assert send.hex() == "0000000003000125ec5d3a91c403124a070000000004c4b400" + 14 * "0"
-    wake = wire.encode_action(wire.WAKE_AT, 3, 0x213362490, 0x4D)
+    wake = wire.encode_action(ActionCode.TIMER, 3, 0x213362490, 0x4D)
     assert wake.hex() == "04000000030000000213362490000000000000004d" + 22 * "0"
-    refuse = wire.encode_action(wire.REFUSE, 3, 0x612620E6F2B19, 250_000_000)
+    refuse = wire.encode_action(ActionCode.SHED_REQUEST, 3, 0x612620E6F2B19, 250_000_000)
     assert refuse.hex() == "0100000003000612620e6f2b19000000000ee6b280" + 22 * "0"
     assert wire.encode_reply([]).hex() == "0000000800000000"
 
@@ -105,7 +117,11 @@
     assert done.stdout.startswith(empty + empty)
     size, count = wire.REPLY_HEADER.unpack(done.stdout[16:24])
     codes = [done.stdout[24 + n * wire.ACTION_SIZE] for n in range(count)]
-    assert size == len(done.stdout) - 16 and sorted(codes) == [wire.SEND, wire.WAKE_AT, wire.WAKE_AT]
+    assert size == len(done.stdout) - 16 and sorted(codes) == [
+        ActionCode.SEND_ATTEMPT,
+        ActionCode.TIMER,
+        ActionCode.TIMER,
+    ]
 
 
 @pytest.mark.parametrize(
@@ -131,13 +147,12 @@
             raise IndexError("out of range")
 
     adapter = Adapter(make=lambda *_: Broken())
-    clock, records = wire.read_batch(io.BytesIO(start()))
-    reply = adapter.answer(clock, records)
-    assert reply[8] == wire.FAULT and reply.endswith(b"IndexError: out of range")
+    reply = adapter.answer(wire.read_batch(io.BytesIO(start())))
+    assert reply[8] == ActionCode.FAULT and reply.endswith(b"IndexError: out of range")
 
 
 def test_a_stopped_instance_is_forgotten_within_the_batch():
     adapter = Adapter()
-    adapter.answer(*wire.read_batch(io.BytesIO(start())))
-    reply = adapter.answer(*wire.read_batch(io.BytesIO(batch(ARRIVAL, record("00 00000003")))))
+    adapter.answer(wire.read_batch(io.BytesIO(start())))
+    reply = adapter.answer(wire.read_batch(io.BytesIO(batch(ARRIVAL, record("00 00000003")))))
     assert reply == wire.encode_reply([])
