--- a/runloft/lab/commands.py
+++ b/runloft/lab/commands.py
@@ -1,21 +1,23 @@
-"""``runloft lab run SCENARIO``: plays a scenario on loopback and prints what each volume got."""
+"""``runloft lab run SCENARIO``: play a scenario on loopback and print what each volume got."""
 
 import argparse
 import json
 import sys
+from collections.abc import Sequence
 from pathlib import Path
 
 import anyio
 
 from runloft.config.commands import table
 from runloft.config.faults import ConfigError
+from runloft.lab.errors import builtin_name
+from runloft.lab.playing import ArmReport, play
 from runloft.lab.reporting import COLUMNS, plot, rows
-from runloft.lab.running import ArmReport, play
-from runloft.lab.scenario import read_scenario
+from runloft.lab.scenario import Scenario, read_scenario
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run a scenario; 1 where a rule was broken or the run came to nothing."""
+    """Run a scenario; return 1 where a rule was broken or the run came to nothing."""
     try:
         scenario = read_scenario(options.scenario)
     except ConfigError as error:
@@ -25,27 +27,34 @@
     try:
         reports = anyio.run(play, scenario, options.seed)
     except (RuntimeError, TimeoutError, OSError, ExceptionGroup) as error:
-        for one in _leaves(error):
-            print(f"runloft: {type(one).__name__}: {one}", file=sys.stderr)
+        for leaf in _leaf_errors(error):
+            print(f"runloft: {builtin_name(leaf)}: {leaf}", file=sys.stderr)
         return 1
-    found = list(rows(reports, scenario.classes))
-    if options.json:
-        print(json.dumps([dict(zip(COLUMNS, row, strict=True)) for row in found], indent=1))
-    else:
-        table(f"{scenario.record.name}, {scenario.record.seconds:g} s, seed {options.seed}", COLUMNS, found)
+    _print_rows(scenario, reports, options)
     if options.plot:
         plot(reports, scenario.classes, Path(options.plot))
-    return _broken(reports)
+    return _print_violations(reports)
+
+
+def _print_rows(scenario: Scenario, reports: Sequence[ArmReport], options: argparse.Namespace) -> None:
+    lines = list(rows(reports, scenario.classes))
+    if options.json:
+        print(json.dumps([dict(zip(COLUMNS, line, strict=True)) for line in lines], indent=1))
+    else:
+        title = f"{scenario.record.name}, {scenario.record.seconds:g} s, seed {options.seed}"
+        table(title, COLUMNS, lines)
 
 
-def _broken(reports: list[ArmReport]) -> int:
+def _print_violations(reports: Sequence[ArmReport]) -> int:
+    """Print the broken rules; return the exit code."""
     for report in reports:
-        for text in report.broken:
-            print(f"runloft: {report.name}: {text}", file=sys.stderr)
-    return 1 if any(report.broken for report in reports) else 0
+        for violation in report.violations:
+            print(f"runloft: {report.name}: {violation}", file=sys.stderr)
+    return 1 if any(report.violations for report in reports) else 0
 
 
-def _leaves(error: Exception) -> list[Exception]:
+def _leaf_errors(error: Exception) -> list[Exception]:
+    """Return the errors that a group holds, or the error itself."""
     if not isinstance(error, ExceptionGroup):
         return [error]
-    return [leaf for one in error.exceptions for leaf in _leaves(one)]
+    return [leaf for one in error.exceptions for leaf in _leaf_errors(one)]
--- a/runloft/lab/discovery.py
+++ b/runloft/lab/discovery.py
@@ -1,69 +1,86 @@
-"""The discovery agent: the whole list, and a watch of its changes; drains come by word."""
+"""The discovery agent: the complete endpoint list, and a watch of its changes."""
 
 import json
-from typing import Any
+from typing import Any, TypeAlias
 
 import anyio
 import anyio.abc
 
 from runloft.lab.serving import LabServer, Lines
 
-BEAT_S = 2.0
+NodeEntry: TypeAlias = dict[str, Any]  # a node in the agent's JSON
+ListDocument: TypeAlias = dict[str, Any]  # a message of the agent
+
+HEARTBEAT_INTERVAL_S = 2.0
+FIRST_REVISION = 1
 
 
 class Instances:
-    """What an agent knows; several listeners may tell it, each of which can be cut by itself."""
+    """The nodes that an agent lists; several listeners may share them, each of which can be cut alone."""
 
     def __init__(self) -> None:
-        self.empty()
+        self.revision = FIRST_REVISION
+        self.targets: dict[str, NodeEntry] = {}
         self.changed = anyio.Event()
+        self._changes: list[NodeEntry] = []  # of revisions 2, 3 and so on
+        self._encoded_revision = 0
+        self._encoded_list = b""
 
     def empty(self) -> None:
-        """Begin again with nothing, as an agent that kept nothing."""
-        self.rev = 1
-        self.targets: dict[str, dict[str, Any]] = {}
-        self._changes: list[dict[str, Any]] = []  # of revisions 2, 3 and so on
-        self._whole: tuple[int, bytes] = (0, b"")
+        """Start again with nothing, as an agent that stored nothing."""
+        self.revision = FIRST_REVISION
+        self.targets = {}
+        self._changes = []
+        self._encoded_revision = 0
+        self._encoded_list = b""
 
     def put(self, uid: str, endpoint: str, shard: int, model: str = "", **more: Any) -> None:
         """List a node, or change its entry."""
         entry = {
-            "uid": uid, "endpoint": endpoint, "az": "a", "model": model, "pod_group": shard,
-            "state": "in_service", "capacity_hint": 1.0, "boot_ms": 0,
-        } | more  # fmt: skip
-        self._tell(entry)
+            "uid": uid,
+            "endpoint": endpoint,
+            "az": "a",
+            "model": model,
+            "pod_group": shard,
+            "state": "in_service",
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        } | more
+        self._add_change(entry)
         self.targets[uid] = entry
 
     def drain(self, uid: str) -> None:
-        """Say that a node is on its way out."""
-        self._tell(self.targets[uid] | {"state": "terminating"})
+        """Announce that a node is draining."""
+        self._add_change(self.targets[uid] | {"state": "terminating"})
         self.targets[uid]["state"] = "terminating"
 
     def remove(self, uid: str) -> None:
-        """Say that a node is gone."""
-        self._tell(self.targets.pop(uid) | {"state": "terminated"})
+        """Announce that a node is gone."""
+        self._add_change(self.targets.pop(uid) | {"state": "terminated"})
 
-    def _tell(self, entry: dict[str, Any]) -> None:
-        self.rev += 1
+    def _add_change(self, entry: NodeEntry) -> None:
+        self.revision += 1
         self._changes.append(entry)
         self.changed.set()
         self.changed = anyio.Event()
 
-    def listed(self) -> dict[str, Any]:
-        """Give the whole list."""
-        return {"rev": self.rev, "all": True, "targets": list(self.targets.values())}
+    def listed(self) -> ListDocument:
+        """Return the complete list."""
+        return {"rev": self.revision, "all": True, "targets": list(self.targets.values())}
 
-    def whole(self) -> bytes:
-        """Give the whole list, encoded once for all who ask."""
-        if self._whole[0] != self.rev:
-            self._whole = self.rev, json.dumps(self.listed()).encode()
-        return self._whole[1]
+    def encoded_list(self) -> bytes:
+        """Return the complete list, encoded once for all who poll it."""
+        if self._encoded_revision != self.revision:
+            self._encoded_revision = self.revision
+            self._encoded_list = json.dumps(self.listed()).encode()
+        return self._encoded_list
 
-    def since(self, rev: int) -> bytes:
-        """Give what has changed since a revision; nothing where that is the present one."""
-        fresh = self._changes[max(0, rev - 1) :]
-        message = {"rev": self.rev, "all": False, "targets": fresh}
-        return json.dumps(message).encode() if fresh else b""
+    def encoded_changes(self, since: int) -> bytes:
+        """Return what has changed since a revision; empty where that is the present one."""
+        changes = self._changes[max(0, since - FIRST_REVISION) :]
+        if not changes:
+            return b""
+        return json.dumps({"rev": self.revision, "all": False, "targets": changes}).encode()
 
 
 class LabDiscovery(LabServer):
@@ -72,30 +89,35 @@
     def __init__(self, instances: Instances | None = None) -> None:
         super().__init__()
         self.instances = instances or Instances()
-        known = self.instances
-        self.put, self.drain, self.remove, self.listed = known.put, known.drain, known.remove, known.listed
+        self.put = self.instances.put
+        self.drain = self.instances.drain
+        self.remove = self.instances.remove
+        self.listed = self.instances.listed
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
         """Answer one request."""
         lines = Lines(stream.receive)
         target = (await lines.line()).split()[1].decode()
         while await lines.line():
-            pass
-        await self.held(stream)
-        known = self.instances
-        if "stream=1" not in target:
-            body = known.whole()
-            await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+            pass  # headers
+        await self.wait_while_failing(stream)
+        if "stream=1" in target:
+            await self._stream_changes(stream, int(target.rpartition("index=")[2] or 0))
             return
+        body = self.instances.encoded_list()
+        await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+
+    async def _stream_changes(self, stream: anyio.abc.SocketStream, revision: int) -> None:
+        """Send each change as one chunk, and an empty line as a heartbeat where there is none."""
+        instances = self.instances
         await stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        told = int(target.rpartition("index=")[2] or 0)
-        data = known.whole() if told != known.rev else b""
+        data = instances.encoded_list() if revision != instances.revision else b""
         while True:
-            told = known.rev
+            revision = instances.revision
             data += b"\n"
             await stream.send(b"%x\r\n%s\r\n" % (len(data), data))
-            if told == known.rev:
-                with anyio.move_on_after(BEAT_S):
-                    await known.changed.wait()
-            await self.held(stream)
-            data = known.since(told)
+            if revision == instances.revision:
+                with anyio.move_on_after(HEARTBEAT_INTERVAL_S):
+                    await instances.changed.wait()
+            await self.wait_while_failing(stream)
+            data = instances.encoded_changes(revision)
--- a/runloft/lab/keyspace.py
+++ b/runloft/lab/keyspace.py
@@ -23,15 +23,26 @@
 
 WRONG_TYPE = Error("WRONGTYPE Operation against a key holding the wrong kind of value")
 SYNTAX = Error("ERR syntax error")
+TRANSACTION_COMMANDS = ("EXEC", "DISCARD", "MULTI", "WATCH")
+NS_PER_MS = 1_000_000
+NS_PER_US = 1000
+US_PER_S = 1_000_000
+MS_PER_S = 1000
 
 
 @dataclass
 class Session:
-    """What one connection has begun."""
+    """One connection's transaction: what it has queued, and the versions of the keys that it watches."""
 
     queue: list[list[bytes]] | None = None
     watched: dict[bytes, int] = field(default_factory=dict)
-    dirty: bool = False
+    is_dirty: bool = False  # a command could not be queued
+
+    def reset(self) -> None:
+        """End the transaction."""
+        self.queue = None
+        self.watched = {}
+        self.is_dirty = False
 
 
 class Keyspace:
@@ -47,55 +58,70 @@
     @property
     def now_ms(self) -> int:
         """The time by which keys expire."""
-        return self.unix_ns() // 1_000_000
+        return self.unix_ns() // NS_PER_MS
 
     def empty(self) -> None:
-        """Begin again with nothing."""
+        """Delete every key."""
         for key in list(self.data):
             self._remove(key)
 
     def act(self, session: Session, words: list[bytes]) -> Reply:
-        """Carry out one command of a connection."""
+        """Execute one command of a connection, or queue it in the connection's transaction."""
         self.count += 1
         name = words[0].upper().decode("ascii", "replace")
-        if session.queue is not None and name not in ("EXEC", "DISCARD", "MULTI", "WATCH"):
-            if not hasattr(self, f"do_{name.lower()}"):
-                session.dirty = True
-                return Error(f"ERR unknown command '{name}'")
-            session.queue.append(words)
-            return Simple(b"QUEUED")
+        if session.queue is not None and name not in TRANSACTION_COMMANDS:
+            return self._enqueue(session, name, words)
         match name:
             case "MULTI":
-                if session.queue is not None:
-                    return Error("ERR MULTI calls can not be nested")
-                session.queue = []
-                return Simple()
+                return self._begin(session)
             case "WATCH":
-                if session.queue is not None:
-                    return Error("ERR WATCH inside MULTI is not allowed")
-                for key in words[1:]:
-                    self._live(key)
-                    session.watched[key] = self.versions.get(key, 0)
-                return Simple()
+                return self._watch(session, words[1:])
             case "UNWATCH" | "DISCARD":
-                session.queue, session.watched, session.dirty = None, {}, False
+                session.reset()
                 return Simple()
             case "EXEC":
                 return self._exec(session)
-        action = getattr(self, f"do_{name.lower()}", None)
-        if action is None:
+        return self._execute(name, words[1:])
+
+    def _execute(self, name: str, arguments: list[bytes]) -> Reply:
+        command = getattr(self, f"do_{name.lower()}", None)
+        if command is None:
             return Error(f"ERR unknown command '{name}'")
         try:
-            return action(*words[1:])
+            return command(*arguments)
         except TypeError:
             return Error(f"ERR wrong number of arguments for '{name.lower()}' command")
 
+    def _enqueue(self, session: Session, name: str, words: list[bytes]) -> Reply:
+        assert session.queue is not None
+        if not hasattr(self, f"do_{name.lower()}"):
+            session.is_dirty = True
+            return Error(f"ERR unknown command '{name}'")
+        session.queue.append(words)
+        return Simple(b"QUEUED")
+
+    def _begin(self, session: Session) -> Reply:
+        if session.queue is not None:
+            return Error("ERR MULTI calls can not be nested")
+        session.queue = []
+        return Simple()
+
+    def _watch(self, session: Session, keys: list[bytes]) -> Reply:
+        if session.queue is not None:
+            return Error("ERR WATCH inside MULTI is not allowed")
+        for key in keys:
+            self._live(key)
+            session.watched[key] = self.versions.get(key, 0)
+        return Simple()
+
     def _exec(self, session: Session) -> Reply:
-        queue, watched, dirty = session.queue, session.watched, session.dirty
-        session.queue, session.watched, session.dirty = None, {}, False
+        queue = session.queue
+        watched = session.watched
+        is_dirty = session.is_dirty
+        session.reset()
         if queue is None:
             return Error("ERR EXEC without MULTI")
-        if dirty:
+        if is_dirty:
             return Error("EXECABORT Transaction discarded because of previous errors.")
         for key, version in watched.items():
             self._live(key)
@@ -104,9 +130,9 @@
         return [self.act(Session(), words) for words in queue]
 
     def _live(self, key: bytes) -> Any:
-        """Give a key's value; one that has run out is taken away first."""
-        until = self.expires.get(key)
-        if until is not None and until <= self.now_ms:
+        """Return a key's value; one that has expired is deleted first."""
+        expires_at_ms = self.expires.get(key)
+        if expires_at_ms is not None and expires_at_ms <= self.now_ms:
             self._remove(key)
         return self.data.get(key)
 
@@ -121,109 +147,114 @@
     def _touch(self, key: bytes) -> None:
         self.versions[key] = self.versions.get(key, 0) + 1
 
-    def _as(self, key: bytes, kind: type[Any]) -> Any:
+    def _value_of_type(self, key: bytes, value_type: type[Any]) -> Any:
+        """Return a key's value, None where there is none, WRONG_TYPE where it is of another type."""
         value = self._live(key)
-        return value if value is None or isinstance(value, kind) else WRONG_TYPE
+        return value if value is None or isinstance(value, value_type) else WRONG_TYPE
 
     def do_ping(self, *words: bytes) -> Reply:
-        """Answer."""
+        """Return PONG, or what was sent."""
         return words[0] if words else Simple(b"PONG")
 
     def do_client(self, *_: bytes) -> Reply:
-        """Take names of clients."""
+        """Accept names of clients."""
         return Simple()
 
     def do_select(self, _: bytes) -> Reply:
-        """Take a database's number: there is one."""
+        """Accept a database's number: there is only one database."""
         return Simple()
 
     def do_time(self) -> Reply:
-        """Give seconds and microseconds."""
-        micros = self.unix_ns() // 1000
-        return [b"%d" % (micros // 1_000_000), b"%d" % (micros % 1_000_000)]
+        """Return seconds and microseconds of Unix time."""
+        seconds, microseconds = divmod(self.unix_ns() // NS_PER_US, US_PER_S)
+        return [b"%d" % seconds, b"%d" % microseconds]
 
     def do_get(self, key: bytes) -> Reply:
-        """Give a text."""
-        return self._as(key, bytes)
+        """Return a text."""
+        return self._value_of_type(key, bytes)
 
     def do_mget(self, *keys: bytes) -> Reply:
-        """Give several; what is no text is null."""
-        found = [self._live(key) for key in keys]
-        return [value if isinstance(value, bytes) else None for value in found]
+        """Return several texts; what is no text is null."""
+        values = [self._live(key) for key in keys]
+        return [value if isinstance(value, bytes) else None for value in values]
 
     def do_set(self, key: bytes, value: bytes, *options: bytes) -> Reply:
         """Set a text, with NX, XX, EX and PX."""
-        until, words = None, [word.upper() for word in options]
+        expires_at_ms = None
+        words = [word.upper() for word in options]
         while words:
             word = words.pop(0)
             if word in (b"EX", b"PX") and words and words[0].isdigit():
-                until = self.now_ms + int(words.pop(0)) * (1000 if word == b"EX" else 1)
+                unit_ms = MS_PER_S if word == b"EX" else 1
+                expires_at_ms = self.now_ms + int(words.pop(0)) * unit_ms
             elif word not in (b"NX", b"XX"):
                 return SYNTAX
             elif (self._live(key) is None) is (word == b"XX"):
                 return None
         self.data[key] = value
         self.expires.pop(key, None)
-        if until is not None:
-            self.expires[key] = until
+        if expires_at_ms is not None:
+            self.expires[key] = expires_at_ms
         self._touch(key)
         return Simple()
 
     def do_del(self, *keys: bytes) -> Reply:
-        """Take keys out."""
+        """Delete keys; return how many there were."""
         return sum(self._live(key) is not None and self._remove(key) for key in keys)
 
     def do_exists(self, *keys: bytes) -> Reply:
-        """Count those that are there."""
+        """Return how many of the keys exist."""
         return sum(self._live(key) is not None for key in keys)
 
     def do_pexpire(self, key: bytes, milliseconds: bytes) -> Reply:
-        """Let a key run out."""
+        """Let a key expire after so many milliseconds."""
         if self._live(key) is None:
             return 0
         self.expires[key] = self.now_ms + int(milliseconds)
         return 1
 
     def do_sadd(self, key: bytes, *members: bytes) -> Reply:
-        """Add to a set."""
-        value = self._as(key, set)
+        """Add to a set; return how many are new."""
+        value = self._value_of_type(key, set)
         if isinstance(value, Error):
             return value
-        some = self.data.setdefault(key, set())
-        before = len(some)
-        some.update(members)
-        if len(some) > before:
+        existing = self.data.setdefault(key, set())
+        size_before = len(existing)
+        existing.update(members)
+        if len(existing) > size_before:
             self._touch(key)
-        return len(some) - before
+        return len(existing) - size_before
 
     def do_srem(self, key: bytes, *members: bytes) -> Reply:
-        """Take out of a set."""
-        value = self._as(key, set)
+        """Remove from a set; return how many there were."""
+        value = self._value_of_type(key, set)
         if value is None or isinstance(value, Error):
             return value or 0
-        gone = len(value & set(members))
+        removed = len(value & set(members))
         value.difference_update(members)
-        if gone:
+        if removed:
             self._touch(key)
-        return gone
+        return removed
 
     def do_smembers(self, key: bytes) -> Reply:
-        """Give a set."""
-        value = self._as(key, set)
+        """Return a set's members."""
+        value = self._value_of_type(key, set)
         return value if isinstance(value, Error) else sorted(value or ())
 
     def do_hset(self, key: bytes, *pairs: bytes) -> Reply:
-        """Set fields."""
-        value = self._as(key, dict)
+        """Set fields of a hash; return how many are new."""
+        value = self._value_of_type(key, dict)
         if isinstance(value, Error):
             return value
-        some = self.data.setdefault(key, {})
-        fresh = len(set(pairs[::2]) - some.keys())
-        some.update(zip(pairs[::2], pairs[1::2], strict=True))
+        fields = self.data.setdefault(key, {})
+        added = len(set(pairs[::2]) - fields.keys())
+        fields.update(zip(pairs[::2], pairs[1::2], strict=True))
         self._touch(key)
-        return fresh
+        return added
 
     def do_hgetall(self, key: bytes) -> Reply:
-        """Give all fields."""
-        value = self._as(key, dict)
-        return value if isinstance(value, Error) else [w for pair in (value or {}).items() for w in pair]
+        """Return all fields and values of a hash."""
+        value = self._value_of_type(key, dict)
+        if isinstance(value, Error):
+            return value
+        return [word for pair in (value or {}).items() for word in pair]
--- a/runloft/lab/load.py
+++ b/runloft/lab/load.py
@@ -1,14 +1,16 @@
 """The load tool: an open loop of volumes with surges; latency counts from the intended send.
 
-What is sent when is drawn beforehand from a seed; a client that is refused comes again as often as its
-habit says, and its tries count as one request.
+What is sent when is drawn beforehand from a seed; a client that is refused retries as often as its
+configuration says, and its attempts count as one request.
 """
 
 import itertools
 import math
 import time
-from collections.abc import Iterable, Sequence
+from collections.abc import Iterable, Iterator, Sequence
+from contextlib import AsyncExitStack
 from dataclasses import dataclass, field
+from enum import StrEnum
 from random import Random
 
 import anyio
@@ -16,17 +18,23 @@
 
 from runloft.lab.serving import BROKEN, Lines
 
-GRACE_S = 0.25  # for this tool's own turns: an answer that never comes is still missed
-ENDINGS = ("served", "refused", "failed", "lost")
-MOST_OUT = 4000  # requests of one load at once: what is beyond is counted as not sent
+GRACE_S = 0.25  # for this tool's own event loop: an answer that never arrives is still missed
+MAX_IN_FLIGHT = 4000  # requests of one load: what is beyond counts as not sent
+MIN_REMAINING_S = 0.05  # of a deadline: with less, no attempt is made
+RETRY_INTERVAL_S = 0.1  # before the first retry; it grows by as much with each
+MS_PER_S = 1000
+REQUEST_ID_BITS = 32  # below the seed's
+# Spreads consecutive numbers over 64 bits: trace ids that look random and never repeat.
+TRACE_MULTIPLIER = 2654435761
+TRACE_MODULUS = 1 << 64
 
 
 @dataclass(frozen=True, slots=True)
 class LoadClass:
-    """A class as clients know it."""
+    """A request class as clients know it."""
 
     name: str
-    aim_s: float
+    target_s: float
     deadline_s: float
     writes: bool = False
 
@@ -40,7 +48,7 @@
     plan: str
     shards: tuple[int, ...]
     sidecars: tuple[str, ...]
-    klass: str
+    class_name: str
     units_per_s: float
     units: float = 2.0  # of a request
     surge: float = 1.0  # multiple of the rate
@@ -49,6 +57,11 @@
     retries: int = 1
     reserve: float = 0.0
 
+    def requests_per_s(self, at_s: float) -> float:
+        """Return the rate at a moment."""
+        is_surging = self.surge_at_s <= at_s < self.surge_at_s + self.surge_for_s
+        return self.units_per_s * (self.surge if is_surging else 1.0) / self.units
+
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
@@ -61,180 +74,235 @@
     units: float
 
 
+class RequestOutcome(StrEnum):
+    """How one request ended."""
+
+    SERVED = "served"
+    REFUSED = "refused"
+    FAILED = "failed"
+    LOST = "lost"  # not sent, or no attempt was answered
+
+
 @dataclass(slots=True)
 class Result:
-    """How one request ended."""
+    """What became of one request."""
 
     arrival: Arrival
-    ending: str = "lost"  # served, refused, failed, lost
+    outcome: RequestOutcome = RequestOutcome.LOST
     latency_s: float = 0.0
-    tries: int = 0
-    unanswered: int = 0  # tries that were taken, for all the client knows, and never answered
+    unanswered: int = 0  # attempts that were accepted, for all the client knows, and never answered
 
 
 @dataclass
 class Tally:
-    """What one volume got, over a whole run."""
+    """What one volume got, over a complete run."""
 
     volume: LoadVolume
     seconds: float
     results: list[Result] = field(default_factory=list)
 
-    def units(self, *endings: str, within_s: float = 1e9) -> float:
-        """Sum the units that ended so, in that time."""
-        return sum(
-            one.arrival.units for one in self.results if one.ending in endings and one.latency_s <= within_s
+    def served_units(self, within_s: float) -> float:
+        """Return the units that were served in that time."""
+        return sum(result.arrival.units for result in self.results if _is_served_within(result, within_s))
+
+    def served_units_by_second(self, within_s: float) -> list[float]:
+        """Return the units that were served in that time, by the second in which they were requested."""
+        return self._by_second(result for result in self.results if _is_served_within(result, within_s))
+
+    def reserve_share(self, within_s: float) -> float:
+        """Return the share of what was due of its reserve that was served in time."""
+        requested = self._by_second(self.results)
+        due = [min(self.volume.reserve, units) for units in requested]
+        served = self.served_units_by_second(within_s)
+        return sum(map(min, due, served)) / sum(due) if sum(due) else 1.0
+
+    def _by_second(self, results: Iterable[Result]) -> list[float]:
+        units = [0.0] * max(1, math.ceil(self.seconds))
+        for result in results:
+            second = min(len(units) - 1, int(result.arrival.at_s))
+            units[second] += result.arrival.units
+        return units
+
+    def latency_quantile_s(self, probability: float) -> float:
+        """Return a quantile of the served requests' latencies; NaN where none was served."""
+        latencies = sorted(
+            result.latency_s for result in self.results if result.outcome is RequestOutcome.SERVED
         )
+        if not latencies:
+            return math.nan
+        return latencies[min(len(latencies) - 1, int(probability * len(latencies)))]
 
-    def kept(self, aim_s: float) -> float:
-        """Give the part of what is due of its reserve that was served in time."""
-        due = [min(self.volume.reserve, asked) for asked in self.by_second(1e9, *ENDINGS)]
-        got = self.by_second(aim_s, "served")
-        return sum(map(min, due, got)) / sum(due) if sum(due) else 1.0
 
-    def by_second(self, within_s: float, *endings: str) -> list[float]:
-        """Sum units by the second in which they were asked for."""
-        out = [0.0] * max(1, math.ceil(self.seconds))
-        for one in self.results:
-            if one.ending in endings and one.latency_s <= within_s:
-                out[min(len(out) - 1, int(one.arrival.at_s))] += one.arrival.units
-        return out
-
-    def quantile(self, part: float) -> float:
-        """Give a quantile of the served requests' latencies, seconds."""
-        some = sorted(one.latency_s for one in self.results if one.ending == "served")
-        return some[min(len(some) - 1, int(part * len(some)))] if some else float("nan")
+def _is_served_within(result: Result, within_s: float) -> bool:
+    return result.outcome is RequestOutcome.SERVED and result.latency_s <= within_s
 
 
 def arrivals(volumes: Iterable[LoadVolume], seconds: float, seed: int) -> list[Arrival]:
-    """Draw what is sent when: each volume by a Poisson stream of its own."""
-    out = []
-    for volume in volumes:
-        chance = Random(f"{seed}/{volume.name}")
-        at = 0.0
-        while True:
-            surges = volume.surge_at_s <= at < volume.surge_at_s + volume.surge_for_s
-            rate = volume.units_per_s * (volume.surge if surges else 1.0) / volume.units
-            if rate <= 0:
-                break
-            at += chance.expovariate(rate)
-            if at >= seconds:
-                break
-            shard, sidecar = chance.choice(volume.shards), chance.choice(volume.sidecars)
-            out.append(Arrival(at, volume, shard, sidecar, volume.units))
-    return sorted(out, key=lambda one: (one.at_s, one.volume.name))
-
-
-class Connections:
-    """Kept connections to one sidecar; more are opened while all are busy."""
+    """Draw what is sent when: each volume by a Poisson process of its own."""
+    drawn = [arrival for volume in volumes for arrival in _arrivals_of(volume, seconds, seed)]
+    return sorted(drawn, key=lambda arrival: (arrival.at_s, arrival.volume.name))
+
+
+def _arrivals_of(volume: LoadVolume, seconds: float, seed: int) -> Iterator[Arrival]:
+    random = Random(f"{seed}/{volume.name}")
+    at_s = 0.0
+    while (rate := volume.requests_per_s(at_s)) > 0:
+        at_s += random.expovariate(rate)
+        if at_s >= seconds:
+            return
+        shard = random.choice(volume.shards)
+        sidecar = random.choice(volume.sidecars)
+        yield Arrival(at_s, volume, shard, sidecar, volume.units)
+
+
+@dataclass(frozen=True, slots=True)
+class Connection:
+    """An open connection, with what is buffered of it."""
+
+    stream: anyio.abc.SocketStream
+    lines: Lines
+
+
+class ConnectionPool:
+    """Idle connections to one sidecar; more are opened while all are busy.  A context manager."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
-        self.host, self.port = host, int(port)
-        self.idle: list[tuple[anyio.abc.SocketStream, Lines]] = []
+        self.host = host
+        self.port = int(port)
+        self.idle: list[Connection] = []
 
-    async def ask(self, command: bytes) -> bytes:
-        """Send one command and give its answer's first line; raises where the connection broke.
+    async def __aenter__(self) -> "ConnectionPool":
+        return self
 
-        A kept connection may be closed just as a command is written to it: that one is sent once more.
+    async def __aexit__(self, *_: object) -> None:
+        for connection in self.idle:
+            await anyio.aclose_forcefully(connection.stream)
+
+    async def request(self, command: bytes) -> bytes:
+        """Send one command and return its answer's first line; raises where the connection broke.
+
+        An idle connection may be closed just as a command is written to it: that one is sent once more.
         """
         if self.idle:
             try:
-                return await self._on(*self.idle.pop(), command)
+                return await self._request_on(self.idle.pop(), command)
             except BROKEN:
                 pass
         stream = await anyio.connect_tcp(self.host, self.port)
-        return await self._on(stream, Lines(stream.receive), command)
+        return await self._request_on(Connection(stream, Lines(stream.receive)), command)
 
-    async def _on(self, stream: anyio.abc.SocketStream, lines: Lines, command: bytes) -> bytes:
-        whole = False
+    async def _request_on(self, connection: Connection, command: bytes) -> bytes:
+        is_answered = False
         try:
-            await stream.send(command)
-            head = await lines.line()
+            await connection.stream.send(command)
+            head = await connection.lines.line()
             if head[:1] == b"$" and head != b"$-1":
-                await lines.exactly(int(head[1:]) + 2)
-            whole = True
+                await connection.lines.exactly(int(head[1:]) + 2)
+            is_answered = True
             return head
         finally:
-            if whole:
-                self.idle.append((stream, lines))
+            if is_answered:
+                self.idle.append(connection)
             else:
                 with anyio.CancelScope(shield=True):
-                    await anyio.aclose_forcefully(stream)
-
-    async def close(self) -> None:
-        """Close what is kept."""
-        for stream, _ in self.idle:
-            await anyio.aclose_forcefully(stream)
+                    await anyio.aclose_forcefully(connection.stream)
 
 
 class Load:
-    """One run of a load against sidecars."""
+    """One run of a load against sidecars, whose addresses are given by their names."""
 
     def __init__(
-        self, planned: Sequence[Arrival], classes: dict[str, LoadClass], sidecars: dict[str, str], seed: int
+        self,
+        planned: Sequence[Arrival],
+        classes: dict[str, LoadClass],
+        addresses: dict[str, str],
+        seed: int,
     ) -> None:
-        self.planned, self.classes = planned, classes
-        self.connections = {name: Connections(address) for name, address in sidecars.items()}
-        self.results = [Result(one) for one in planned]
-        self._ids = itertools.count(seed << 32 | 1)
-        self._out = 0
+        self.classes = classes
+        self.pools = {name: ConnectionPool(address) for name, address in addresses.items()}
+        self.results = [Result(arrival) for arrival in planned]
+        self._request_ids = itertools.count(seed << REQUEST_ID_BITS | 1)
+        self._in_flight = 0
 
     async def run(self) -> list[Result]:
-        """Send everything at its time; ends when all has ended."""
-        began = time.monotonic()
-        async with anyio.create_task_group() as group:
-            for result in self.results:
-                wait = began + result.arrival.at_s - time.monotonic()
-                if wait > 0:
-                    await anyio.sleep(wait)
-                if self._out < MOST_OUT:
-                    self._out += 1
-                    group.start_soon(self._one, result, began + result.arrival.at_s)
-        for one in self.connections.values():
-            await one.close()
+        """Send everything at its time; return when all has ended."""
+        started_at = time.monotonic()
+        async with AsyncExitStack() as stack:
+            for pool in self.pools.values():
+                await stack.enter_async_context(pool)
+            async with anyio.create_task_group() as group:
+                for result in self.results:
+                    intended_at = started_at + result.arrival.at_s
+                    wait_s = intended_at - time.monotonic()
+                    if wait_s > 0:
+                        await anyio.sleep(wait_s)
+                    if self._in_flight < MAX_IN_FLIGHT:
+                        self._in_flight += 1
+                        group.start_soon(self._send, result, intended_at)
         return self.results
 
-    async def _one(self, result: Result, intended: float) -> None:
-        arrival = result.arrival
-        klass = self.classes[arrival.volume.klass]
-        connections = self.connections[arrival.sidecar]
+    async def _send(self, result: Result, intended_at: float) -> None:
+        """Send one request, with its retries."""
+        volume = result.arrival.volume
+        deadline_at = intended_at + self.classes[volume.class_name].deadline_s
         try:
-            for attempt in range(1 + arrival.volume.retries):
-                left = klass.deadline_s - (time.monotonic() - intended)
-                if left <= 0.05:
+            for attempt in range(1 + volume.retries):
+                remaining_s = deadline_at - time.monotonic()
+                if remaining_s <= MIN_REMAINING_S:
                     break
-                result.tries += 1
-                wait_s = 0.1 * (attempt + 1)
-                try:
-                    with anyio.fail_after(left + GRACE_S):
-                        head = await connections.ask(self._command(arrival, klass, left))
-                except BROKEN:
-                    result.ending = "lost"  # closed before it was read: no request was taken
-                except TimeoutError:
-                    result.ending, result.unanswered = "lost", result.unanswered + 1
-                else:
-                    if head[:1] == b"$":
-                        result.ending = "served"
-                        break
-                    result.ending = "refused" if head.startswith(b"-BUSY") else "failed"
-                    words = head.split()
-                    if len(words) > 1 and words[1].isdigit():
-                        wait_s = max(wait_s, int(words[1]) / 1000)
-                await anyio.sleep(wait_s)
-            result.latency_s = time.monotonic() - intended
+                head = await self._attempt(result, remaining_s)
+                if result.outcome is RequestOutcome.SERVED:
+                    break
+                await anyio.sleep(max(RETRY_INTERVAL_S * (attempt + 1), _retry_after_s(head)))
+            result.latency_s = time.monotonic() - intended_at
         finally:
-            self._out -= 1
+            self._in_flight -= 1
 
-    def _command(self, arrival: Arrival, klass: LoadClass, left_s: float) -> bytes:
-        volume, number = arrival.volume, next(self._ids)
+    async def _attempt(self, result: Result, remaining_s: float) -> bytes:
+        """Make one attempt; return its answer's first line, empty where there is none."""
+        pool = self.pools[result.arrival.sidecar]
+        try:
+            with anyio.fail_after(remaining_s + GRACE_S):
+                head = await pool.request(self._command(result.arrival, remaining_s))
+        except BROKEN:  # of which TimeoutError is one, as an OSError
+            result.outcome = RequestOutcome.LOST
+            return b""
+        except TimeoutError:
+            result.outcome = RequestOutcome.LOST
+            result.unanswered += 1
+            return b""
+        if head[:1] == b"$":
+            result.outcome = RequestOutcome.SERVED
+        elif head.startswith(b"-BUSY"):
+            result.outcome = RequestOutcome.REFUSED
+        else:
+            result.outcome = RequestOutcome.FAILED
+        return head
+
+    def _command(self, arrival: Arrival, remaining_s: float) -> bytes:
+        volume = arrival.volume
+        request_class = self.classes[volume.class_name]
+        request_id = next(self._request_ids)
+        attributes = (
+            f"c={request_class.name},t={volume.plan},d={int(remaining_s * MS_PER_S)},"
+            f"volume={volume.id:016x},units={arrival.units:g},shard={arrival.shard},"
+            f"hosts={len(volume.sidecars)}"
+        )
         words = [
-            b"IO.OUT" if klass.writes else b"IO.IN",
-            b"%016x" % (number * 2654435761 % (1 << 64)),
-            b"%016x" % number,
-            f"c={klass.name},t={volume.plan},d={int(left_s * 1000)},volume={volume.id:016x},"
-            f"units={arrival.units:g},shard={arrival.shard},hosts={len(volume.sidecars)}".encode(),
+            b"IO.OUT" if request_class.writes else b"IO.IN",
+            b"%016x" % (request_id * TRACE_MULTIPLIER % TRACE_MODULUS),
+            b"%016x" % request_id,
+            attributes.encode(),
         ]
-        if klass.writes:
+        if request_class.writes:
             words.append(b"body")
-        return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words)
+        return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
+
+
+def _retry_after_s(head: bytes) -> float:
+    """Return the Retry-After of an error's first line; 0.0 where it has none."""
+    words = head.split()
+    if len(words) > 1 and words[1].isdigit():
+        return int(words[1]) / MS_PER_S
+    return 0.0
--- a/runloft/lab/redis.py
+++ b/runloft/lab/redis.py
@@ -9,8 +9,8 @@
 from runloft.lab.serving import LabServer, Lines
 
 
-def encoded(reply: Reply) -> bytes:
-    """Write a reply out."""
+def encode_reply(reply: Reply) -> bytes:
+    """Return a reply in RESP2."""
     match reply:
         case None:
             return b"$-1\r\n"
@@ -22,11 +22,11 @@
             return b":%d\r\n" % reply
         case bytes():
             return b"$%d\r\n%s\r\n" % (len(reply), reply)
-    return b"*%d\r\n%s" % (len(reply), b"".join(map(encoded, reply)))
+    return b"*%d\r\n%s" % (len(reply), b"".join(map(encode_reply, reply)))
 
 
 class RedisStandIn(LabServer):
-    """One store."""
+    """One store, or one more listener of it."""
 
     def __init__(self, keys: Keyspace | None = None) -> None:
         super().__init__()
@@ -36,19 +36,25 @@
         self.keys = keys or Keyspace(lambda: time.time_ns() + self.clock_offset_ns)
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Answer commands in their order; what was read is carried out whether the reply comes or not."""
-        lines, session, data = Lines(stream.receive), Session(), b""
+        """Answer commands in order; what was read is executed whether the reply arrives or not."""
+        lines = Lines(stream.receive)
+        session = Session()
+        replies = b""
         while True:
             words = await lines.command()
-            reply = self.keys.act(session, words)
-            aborted = words[:1] == [b"EXEC"] and reply is None  # a null array, not a null text
-            data += b"*-1\r\n" if aborted else encoded(reply)
-            if not lines.whole:
+            replies += self._execute(session, words)
+            if not lines.is_empty:
                 continue
-            await self.held(stream)
-            if self.failures.loses():
+            await self.wait_while_failing(stream)
+            if self.failures.loses_reply():
                 await anyio.aclose_forcefully(stream)
                 return
             self.round_trips += 1
-            await stream.send(data)
-            data = b""
+            await stream.send(replies)
+            replies = b""
+
+    def _execute(self, session: Session, words: list[bytes]) -> bytes:
+        reply = self.keys.act(session, words)
+        is_aborted_transaction = words[:1] == [b"EXEC"] and reply is None
+        # A null array, not a null text.
+        return b"*-1\r\n" if is_aborted_transaction else encode_reply(reply)
--- a/runloft/lab/reporting.py
+++ b/runloft/lab/reporting.py
@@ -1,40 +1,48 @@
-"""What a run came to: tables, and a plot of each volume's service over time."""
+"""What a run came to: table rows, and a plot of each volume's service over time."""
 
 import math
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from runloft.lab.load import LoadClass
-from runloft.lab.running import ArmReport
+from runloft.lab.load import LoadClass, RequestOutcome, Tally
+from runloft.lab.playing import ArmReport
 
 COLUMNS = ("arm", "volume", "plan", "asked/s", "reserve", "in time/s", "kept", "p50 ms", "p99 ms", "refused")
+MS_PER_S = 1000
+PANEL_WIDTH_INCHES = 5
+PANEL_HEIGHT_INCHES = 3.6
 
 
 def rows(reports: Sequence[ArmReport], classes: dict[str, LoadClass]) -> Iterator[tuple[str, ...]]:
-    """Give a row for each arm and volume; ``kept``: part of its reserve, where asked for, served in time."""
+    """Yield a row for each arm and volume.
+
+    ``kept`` is the share of its reserve, where requested, that was served in time.
+    """
     for report in reports:
         for tally in report.tallies:
-            volume, aim_s = tally.volume, classes[tally.volume.klass].aim_s
-            asked = sum(one.arrival.units for one in tally.results)
-            in_time = tally.units("served", within_s=aim_s)
-            kept = f"{tally.kept(aim_s):.3f}" if volume.reserve else "-"
-            refused = sum(one.ending == "refused" for one in tally.results) / max(1, len(tally.results))
-            yield (
-                report.name,
-                volume.name,
-                volume.plan,
-                f"{asked / tally.seconds:.1f}",
-                f"{volume.reserve:g}",
-                f"{in_time / tally.seconds:.1f}",
-                kept,
-                _ms(tally.quantile(0.5)),
-                _ms(tally.quantile(0.99)),
-                f"{refused:.2f}",
-            )
-
-
-def _ms(seconds: float) -> str:
-    return "-" if math.isnan(seconds) else f"{seconds * 1000:.0f}"
+            target_s = classes[tally.volume.class_name].target_s
+            yield (report.name, *_cells(tally, target_s))
+
+
+def _cells(tally: Tally, target_s: float) -> tuple[str, ...]:
+    volume = tally.volume
+    requested = sum(result.arrival.units for result in tally.results)
+    refused = sum(result.outcome is RequestOutcome.REFUSED for result in tally.results)
+    return (
+        volume.name,
+        volume.plan,
+        f"{requested / tally.seconds:.1f}",
+        f"{volume.reserve:g}",
+        f"{tally.served_units(target_s) / tally.seconds:.1f}",
+        f"{tally.reserve_share(target_s):.3f}" if volume.reserve else "-",
+        _milliseconds(tally.latency_quantile_s(0.5)),
+        _milliseconds(tally.latency_quantile_s(0.99)),
+        f"{refused / max(1, len(tally.results)):.2f}",
+    )
+
+
+def _milliseconds(seconds: float) -> str:
+    return "-" if math.isnan(seconds) else f"{seconds * MS_PER_S:.0f}"
 
 
 def plot(reports: Sequence[ArmReport], classes: dict[str, LoadClass], path: Path) -> None:
@@ -44,11 +52,12 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    size = (5 * len(reports), 3.6)
+    size = (PANEL_WIDTH_INCHES * len(reports), PANEL_HEIGHT_INCHES)
     figure, panels = pyplot.subplots(1, len(reports), figsize=size, sharey=True, squeeze=False)
     for panel, report in zip(panels[0], reports, strict=True):
         for tally in report.tallies:
-            served = tally.by_second(classes[tally.volume.klass].aim_s, "served")
+            target_s = classes[tally.volume.class_name].target_s
+            served = tally.served_units_by_second(target_s)
             (line,) = panel.plot(range(len(served)), served, label=tally.volume.name)
             if tally.volume.reserve:
                 panel.axhline(tally.volume.reserve, color=line.get_color(), linestyle=":")
--- a/runloft/lab/scale/fleet.py
+++ b/runloft/lab/scale/fleet.py
@@ -9,7 +9,6 @@
 
 import anyio
 
-from runloft.lab.errors import LaboratoryError
 from runloft.lab.scale.messages import (
     Addresses,
     AwaitNode,
@@ -50,10 +49,6 @@
 CUT_REGION = 1
 
 
-class NotConvergedError(LaboratoryError, TimeoutError):
-    """A fleet that did not converge in time: says what is missing."""
-
-
 @dataclass(frozen=True, slots=True)
 class Setup:
     """What holds for a whole run."""
@@ -201,7 +196,10 @@
         )
 
     async def wait_converged(self, timeout_s: float = CONVERGENCE_TIMEOUT_S) -> float:
-        """Wait until all run, are connected, and serve by one generation; return that moment."""
+        """Wait until all run, are connected, and serve by one generation; return that moment.
+
+        Raise TimeoutError, which says what is missing.
+        """
         status: FleetStatus | None = None
         with anyio.move_on_after(timeout_s):
             while True:
@@ -213,7 +211,7 @@
         alive = status.alive if status else None
         connected = status.connected if status else None
         generations = status.generations if status else None
-        raise NotConvergedError(
+        raise TimeoutError(
             f"not together in {timeout_s:g} s: {alive} of {self.running_count} are there, "
             f"{connected} connected, by generation {generations}"
         )
@@ -238,13 +236,13 @@
         return min([(await worker.ask(CountNodes(), NodeCount)).min_nodes for worker in self.workers])
 
     async def wait_nodes_listed(self, timeout_s: float = CONVERGENCE_TIMEOUT_S) -> None:
-        """Wait until each table has every node."""
+        """Wait until each table has every node; raise TimeoutError."""
         min_nodes = 0
         with anyio.move_on_after(timeout_s):
             while (min_nodes := await self.min_nodes()) < self.sizes.nodes:
                 await anyio.sleep(POLL_INTERVAL_S)
             return
-        raise NotConvergedError(f"{min_nodes} of {self.sizes.nodes} nodes in a table after {timeout_s:g} s")
+        raise TimeoutError(f"{min_nodes} of {self.sizes.nodes} nodes in a table after {timeout_s:g} s")
 
     async def await_next_node(self) -> None:
         """Watch each table, from now on, for the node that ``replace_node`` lists."""
--- a/runloft/lab/scenario.py
+++ b/runloft/lab/scenario.py
@@ -7,13 +7,14 @@
 
 from runloft.config import kinds
 from runloft.config.faults import ConfigError, serious
-from runloft.config.fleet import Fleet, read_fleet
+from runloft.config.fleet import Fleet, Volume, read_fleet
 from runloft.config.kinds import Flag, Number, Several, Text, count
 from runloft.config.operator import read_toml
-from runloft.config.records import Record, Rows, setting
+from runloft.config.records import Reader, Record, Rows, setting
 from runloft.lab.load import LoadClass, LoadVolume
 
 SECONDS = Number("seconds", 0.0, 600.0)
+NS_PER_S = 1e9
 
 
 @attrs.frozen
@@ -21,7 +22,7 @@
     """What one volume of the fleet asks for."""
 
     volume: str = setting("volume", kinds.name(), account="of the fleet, by name")
-    klass: str = setting("class", kinds.name(), account="of its requests")
+    class_name: str = setting("class", kinds.name(), account="of its requests")
     rate: float = setting("units_per_s", Number("units a second", 0.0, 1e5), account="that it asks for")
     units: float = setting("units", Number("units", above=0.0, most=1e3), 2.0, "of one request")
     surge: float = setting("surge", Number(least=0.0, most=1e4), 1.0, "multiple of its rate in a surge")
@@ -84,52 +85,76 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Read a scenario and its fleet; ConfigError with every fault."""
-    reader, raw = read_toml(path)
-    record = reader.record(ScenarioRecord, raw) if raw is not None else None
+    """Read a scenario and its fleet; raise ConfigError with every fault."""
+    reader, document = read_toml(path)
+    record = reader.record(ScenarioRecord, document) if document is not None else None
     if record is None or serious(reader.faults):
         raise ConfigError(reader.faults)
     fleet, faults = read_fleet(os.path.join(os.path.dirname(path), record.fleet))
     if fleet is None or serious(faults):
         raise ConfigError(faults)
-    classes = {
-        one.name: LoadClass(one.name, one.target / 1e9, one.hard_limit / 1e9, one.writes)
-        for one in fleet.record.classes
+    classes = _load_classes(fleet)
+    volumes = _load_volumes(reader, record, fleet, classes)
+    _check_edits(reader, record)
+    _check_events(reader, record, fleet)
+    if serious(reader.faults):
+        raise ConfigError(reader.faults)
+    return Scenario(record, fleet, classes, volumes)
+
+
+def _load_classes(fleet: Fleet) -> dict[str, LoadClass]:
+    return {
+        row.name: LoadClass(row.name, row.target / NS_PER_S, row.hard_limit / NS_PER_S, row.writes)
+        for row in fleet.record.classes
     }
-    known = {volume.name: volume for volume in fleet.volumes}
+
+
+def _load_volumes(
+    reader: Reader, record: ScenarioRecord, fleet: Fleet, classes: dict[str, LoadClass]
+) -> tuple[LoadVolume, ...]:
+    """Return the demands on the fleet's volumes; names that the fleet lacks are faults of the reader."""
+    fleet_volumes = {volume.name: volume for volume in fleet.volumes}
     volumes = []
     for index, demand in enumerate(record.demands):
-        volume = known.get(demand.volume)
-        for key, name, names in (("volume", demand.volume, known), ("class", demand.klass, classes)):
-            if name not in names:
-                reader.fault(("demands", str(index), key), f"unknown-{key}", f'there is no {key} "{name}"')
+        row = ("demands", str(index))
+        volume = fleet_volumes.get(demand.volume)
+        if volume is None:
+            reader.fault((*row, "volume"), "unknown-volume", f'there is no volume "{demand.volume}"')
+        if demand.class_name not in classes:
+            reader.fault((*row, "class"), "unknown-class", f'there is no class "{demand.class_name}"')
         if volume is not None:
-            volumes.append(
-                LoadVolume(
-                    volume.name,
-                    volume.id,
-                    volume.plan.name,
-                    volume.shards,
-                    volume.sidecars,
-                    demand.klass,
-                    demand.rate,
-                    demand.units,
-                    demand.surge,
-                    demand.surge_at,
-                    demand.surge_for,
-                    demand.retries,
-                    volume.plan.reserve,
-                )
-            )
-    for index, arm in enumerate(record.arms):
-        for place, edit in enumerate(arm.edits):
+            volumes.append(_load_volume(demand, volume))
+    return tuple(volumes)
+
+
+def _load_volume(demand: DemandRecord, volume: Volume) -> LoadVolume:
+    return LoadVolume(
+        name=volume.name,
+        id=volume.id,
+        plan=volume.plan.name,
+        shards=volume.shards,
+        sidecars=volume.sidecars,
+        class_name=demand.class_name,
+        units_per_s=demand.rate,
+        units=demand.units,
+        surge=demand.surge,
+        surge_at_s=demand.surge_at,
+        surge_for_s=demand.surge_for,
+        retries=demand.retries,
+        reserve=volume.plan.reserve,
+    )
+
+
+def _check_edits(reader: Reader, record: ScenarioRecord) -> None:
+    for arm_index, arm in enumerate(record.arms):
+        for edit_index, edit in enumerate(arm.edits):
             if edit >= len(record.edits):
-                where = ("arms", str(index), "edits", str(place))
-                reader.fault(where, "unknown-edit", f"there are {len(record.edits)} edits")
+                key = ("arms", str(arm_index), "edits", str(edit_index))
+                reader.fault(key, "unknown-edit", f"there are {len(record.edits)} edits")
+
+
+def _check_events(reader: Reader, record: ScenarioRecord, fleet: Fleet) -> None:
     uids = {node.uid for node in fleet.nodes}
     for index, event in enumerate(record.events):
         if event.node not in uids:
             reader.fault(("events", str(index), "node"), "unknown-node", f'there is no node "{event.node}"')
-    if serious(reader.faults):
-        raise ConfigError(reader.faults)
-    return Scenario(record, fleet, classes, tuple(volumes))
--- /dev/null
+++ b/runloft/lab/sidecars.py
@@ -0,0 +1,70 @@
+"""The sidecars of one arm: the program itself, one process beside each application."""
+
+import os
+import re
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+from subprocess import DEVNULL
+
+import anyio
+import anyio.abc
+
+from runloft.lab.errors import LaboratoryError
+
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 10.0
+LOG_POLL_S = 0.05
+LOG_TAIL_CHARACTERS = 2000
+SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespFront")
+
+
+class SidecarError(LaboratoryError, RuntimeError):
+    """A sidecar that ended by itself, or not with exit code 0: its name or the end of its log."""
+
+
+@asynccontextmanager
+async def running_sidecars(files: dict[str, Path], folder: Path) -> AsyncIterator[dict[str, str]]:
+    """Run a sidecar with each file; yield their addresses by name, and end them in order."""
+    processes: dict[str, anyio.abc.Process] = {}
+    try:
+        for name, path in files.items():
+            processes[name] = await _start(path, _log_of(name, folder))
+        addresses = {
+            name: await _serving_address(process, _log_of(name, folder))
+            for name, process in processes.items()
+        }
+        yield addresses
+        for process in processes.values():
+            process.terminate()
+        with anyio.fail_after(STOP_TIMEOUT_S):
+            for name, process in processes.items():
+                if code := await process.wait():
+                    raise SidecarError(f"{name} ended with {code}")
+    finally:
+        for process in processes.values():
+            if process.returncode is None:
+                process.kill()
+
+
+def _log_of(name: str, folder: Path) -> Path:
+    return folder / f"{name}.log"
+
+
+async def _start(config: Path, log: Path) -> anyio.abc.Process:
+    command = [sys.executable, "-m", "runloft", "serve", "--config", str(config)]
+    with log.open("wb") as output:
+        return await anyio.open_process(
+            command, stdin=DEVNULL, stdout=output, stderr=output, env=os.environ | {"NO_COLOR": "1"}
+        )
+
+
+async def _serving_address(process: anyio.abc.Process, log: Path) -> str:
+    """Wait until a sidecar serves; return its address."""
+    with anyio.fail_after(START_TIMEOUT_S):
+        while not (match := SERVING.search(log.read_text())):
+            if process.returncode is not None:
+                raise SidecarError(log.read_text()[-LOG_TAIL_CHARACTERS:])
+            await anyio.sleep(LOG_POLL_S)
+    return match[1]
--- a/runloft/lab/soak/clients.py
+++ b/runloft/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: they ask, pipeline, stop half-way, read slowly, leave, and write down what they got."""
+"""Clients of a soak: they ask, pipeline, stop half-way, read slowly, leave, and record what they got."""
 
 import itertools
 import socket
@@ -12,26 +12,46 @@
 import anyio.abc
 
 from runloft.lab.serving import BROKEN, Lines
-from runloft.lab.soak.nodes import arrival_of
-from runloft.lab.soak.records import Ending, RequestRecord, RunRecord
-from runloft.lab.soak.schedule import NODES, Schedule, TroubleKind
-
-CLASSES = {  # verb, longest wait in seconds
-    "position-read": (b"IO.IN", 1.5),
-    "report-write": (b"IO.OUT", 2.5),
-    "ledger-write": (b"IO.OUT", 1.5),
+from runloft.lab.soak.records import HALF_COMMAND, RequestOutcome, RequestRecord, RunRecord
+from runloft.lab.soak.schedule import NODES, FaultKind, Schedule
+from runloft.lab.soak.streams import arrival_of, raw_socket_of, reset_on_close
+
+
+@dataclass(frozen=True, slots=True)
+class ClientClass:
+    """A class of requests as clients send them."""
+
+    verb: bytes
+    max_wait_s: float
+
+
+CLASSES = {
+    "position-read": ClientClass(b"IO.IN", 1.5),
+    "report-write": ClientClass(b"IO.OUT", 2.5),
+    "ledger-write": ClientClass(b"IO.OUT", 1.5),
 }
-GRACE_S = 0.5  # an answer within it after a request's time earns nothing, and is none lost
-PATIENCE_S = 1.5  # beyond that: so late nothing comes any more
-THINK_S = 0.12  # mean time between a client's requests
+WRITE_VERB = b"IO.OUT"
+GRACE_S = 0.5  # an answer within it after a request's time earns nothing, and counts as none lost
+PATIENCE_S = 1.5  # beyond that: so late nothing arrives any more
+MEAN_THINK_S = 0.12  # between a client's requests
 # Together within a receive window: when bytes were sent that still wait in the client can't be known.
-PIPELINE_MOST, PIPELINED_BODY = 150, 10
+MAX_PIPELINED = 150
+PIPELINED_BODY_BYTES = 10
+BODY_BYTES = (10, 200, 8000)
+VOLUMES = 8
+MIN_WAIT_FRACTION = 0.4  # of a class's longest wait
+MAX_LEAVE_AFTER_S = 0.3
+MIN_SLOW_READ_S = 0.2
+MAX_SLOW_READ_S = 1.0
+RESET_PROBABILITY = 0.5  # of a client that leaves
+HALF_COMMAND_BYTES = (5, 60)
 HALF_COMMAND_STAY_S = 3.2
-BAD_CLIENT_S = 3.0  # in which who stops half-way gets an error or a close
+HALF_COMMAND_TIMEOUT_S = 3.0  # in which who stops half-way gets an error or a close
+MS_PER_S = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ProcessAddress:
     """Where one process listens."""
 
     index: int
@@ -44,142 +64,184 @@
     _ids = itertools.count(1)
 
     def __init__(
-        self, place: Place, number: int, schedule: Schedule, record: RunRecord, now: Callable[[], float]
+        self,
+        address: ProcessAddress,
+        number: int,
+        schedule: Schedule,
+        record: RunRecord,
+        now: Callable[[], float],
     ) -> None:
-        self.place, self.record, self.now = place, record, now
-        self.chance = Random(f"client/{schedule.seed}/{place.index}/{number}")
-        self.own = [t for t in schedule.troubles if t.kind.startswith("client-") and t.target == place.index]
+        self.address = address
+        self.record = record
+        self.now = now
+        self.random = Random(f"client/{schedule.seed}/{address.index}/{number}")
+        self.faults = schedule.faults_of("client", address.index)
         self.stream: anyio.abc.SocketStream | None = None
         self.lines: Lines | None = None
-        self.fresh = True
+        self.is_new_connection = True
 
-    def strikes(self, kind: TroubleKind) -> bool:
-        """Say whether a trouble of this client's goes on and hits this time."""
+    def strikes(self, kind: FaultKind) -> bool:
+        """Return whether a fault of this client's goes on and hits this time."""
         at_s = self.now()
-        active = [one for one in self.own if one.kind is kind and one.is_active(at_s)]
-        return any(self.chance.random() < one.amount for one in active)
+        active = [fault for fault in self.faults if fault.kind is kind and fault.is_active(at_s)]
+        return any(self.random.random() < fault.amount for fault in active)
 
     async def run(self, until_s: float) -> None:
-        """Ask until the run's time is over."""
-        await anyio.sleep(self.chance.uniform(0.0, THINK_S))
+        """Send requests until the run's time is over."""
+        await anyio.sleep(self.random.uniform(0.0, MEAN_THINK_S))
         while self.now() < until_s:
             try:
-                await self._round()
+                await self._play_round()
             except BROKEN:
-                await self._drop()
-            await anyio.sleep(self.chance.expovariate(1 / THINK_S))
-        await self._drop()
+                await self._disconnect()
+            await anyio.sleep(self.random.expovariate(1 / MEAN_THINK_S))
+        await self._disconnect()
 
-    async def _round(self) -> None:
-        if self.strikes(TroubleKind.CLIENT_RECONNECT):
-            await self._drop()
+    async def _play_round(self) -> None:
+        if self.strikes(FaultKind.CLIENT_RECONNECT):
+            await self._disconnect()
         if self.stream is None:
-            self.stream = await anyio.connect_tcp("127.0.0.1", self.place.port)
-            self.lines, self.fresh = Lines(self.stream.receive), True
-        if self.strikes(TroubleKind.CLIENT_HALF_COMMAND):
-            await self._half_command()
+            self.stream = await anyio.connect_tcp("127.0.0.1", self.address.port)
+            self.lines = Lines(self.stream.receive)
+            self.is_new_connection = True
+        if self.strikes(FaultKind.CLIENT_HALF_COMMAND):
+            await self._send_half_command()
             return
         count = 1
-        if self.strikes(TroubleKind.CLIENT_PIPELINE):
-            count = self.chance.randint(2, PIPELINE_MOST)
-        await self._ask(count)
+        if self.strikes(FaultKind.CLIENT_PIPELINE):
+            count = self.random.randint(2, MAX_PIPELINED)
+        await self._send_requests(count)
 
-    async def _ask(self, count: int) -> None:
+    async def _send_requests(self, count: int) -> None:
         assert self.stream is not None
-        requests, data = [], b""
+        requests = []
+        data = b""
         for index in range(count):
-            class_name = self.chance.choice(tuple(CLASSES))
-            request = RequestRecord(
-                f"{next(self._ids):016x}", self.place.index, class_name, 0.0, 0.0,
-                fresh=self.fresh and not index, alone=not index,
-            )  # fmt: skip
-            data += self._command(request, small=count > 1)
+            request = self._next_request(index)
+            data += self._command(request, is_pipelined=count > 1)
             requests.append(request)
-        self.fresh = False
-        leaves = self.strikes(TroubleKind.CLIENT_LEAVE)
+        self.is_new_connection = False
+        leaves = self.strikes(FaultKind.CLIENT_LEAVE)
         await self.stream.send(data)
         sent_at = time.monotonic()
         for request in requests:
             request.sent_at = sent_at
         self.record.requests += requests
         if leaves:
-            await anyio.sleep(self.chance.uniform(0.0, 0.3))
-            await self._drop(abort=self.chance.random() < 0.5)
-            self._leave(requests)
+            await self._leave(requests)
             return
-        if self.strikes(TroubleKind.CLIENT_SLOW_READER):
-            await anyio.sleep(self.chance.uniform(0.2, 1.0))
-        await self._answers(requests)
+        if self.strikes(FaultKind.CLIENT_SLOW_READER):
+            await anyio.sleep(self.random.uniform(MIN_SLOW_READ_S, MAX_SLOW_READ_S))
+        for request in requests:
+            await self._read_response(request, requests)
+
+    def _next_request(self, index: int) -> RequestRecord:
+        return RequestRecord(
+            id=f"{next(self._ids):016x}",
+            process=self.address.index,
+            class_name=self.random.choice(tuple(CLASSES)),
+            wait_s=0.0,
+            sent_at=0.0,
+            is_first=self.is_new_connection and index == 0,
+            is_alone=index == 0,
+        )
 
-    async def _answers(self, requests: list[RequestRecord]) -> None:
+    async def _read_response(self, request: RequestRecord, pipeline: list[RequestRecord]) -> None:
         assert self.lines is not None
+        try:
+            with anyio.fail_after(request.wait_s + GRACE_S + PATIENCE_S):
+                head = await self._read_head(request, self.lines)
+        except TimeoutError as error:
+            request.ended_at = time.monotonic()
+            raise anyio.ClosedResourceError from error
+        except BROKEN:
+            for open_request in pipeline:
+                if open_request.outcome is RequestOutcome.SILENT:
+                    open_request.outcome = RequestOutcome.CLOSED
+                    open_request.ended_at = time.monotonic()
+            raise
+        request.ended_at = arrival_of(self.stream) if self.stream else time.monotonic()
+        if request.value:
+            request.outcome = RequestOutcome.SERVED
+        elif head.startswith(b"-BUSY"):
+            request.outcome = RequestOutcome.REFUSED
+        else:
+            request.outcome = RequestOutcome.FAILED
+
+    async def _read_head(self, request: RequestRecord, lines: Lines) -> bytes:
+        """Read a response's first line, and its value into the request."""
+        head = await lines.line()
+        if head[:1] == b"$" and head != b"$-1":
+            request.value = (await lines.exactly(int(head[1:]) + 2))[:-2]
+        return head
+
+    async def _leave(self, requests: list[RequestRecord]) -> None:
+        """Disconnect before the answers arrive."""
+        await anyio.sleep(self.random.uniform(0.0, MAX_LEAVE_AFTER_S))
+        await self._disconnect(with_reset=self.random.random() < RESET_PROBABILITY)
         for request in requests:
-            patience = request.wait_s + GRACE_S + PATIENCE_S
-            try:
-                with anyio.fail_after(patience):
-                    head = await self.lines.line()
-                    if head[:1] == b"$" and head != b"$-1":
-                        request.value = (await self.lines.exactly(int(head[1:]) + 2))[:-2]
-            except TimeoutError:
-                request.ended_at = time.monotonic()
-                raise anyio.ClosedResourceError from None
-            except BROKEN:
-                for left in requests:
-                    if left.ending is Ending.SILENT:
-                        left.ending, left.ended_at = Ending.CLOSED, time.monotonic()
-                raise
-            request.ended_at = arrival_of(self.stream) if self.stream else time.monotonic()
-            if request.value:
-                request.ending = Ending.SERVED
-            else:
-                request.ending = Ending.REFUSED if head.startswith(b"-BUSY") else Ending.FAILED
-
-    async def _half_command(self) -> None:
-        """Stop in the middle of a command and stay; an answer or a close is owed in time."""
+            request.outcome = RequestOutcome.LEFT
+            request.ended_at = time.monotonic()
+
+    async def _send_half_command(self) -> None:
+        """Stop in the middle of a command and stay; an answer or a close is due in time."""
         assert self.stream is not None and self.lines is not None
-        request = RequestRecord("0" * 16, self.place.index, "position-read", 0.0, 0.0, False, True)
-        await self.stream.send(self._command(request)[: self.chance.randint(5, 60)])
-        began = time.monotonic()
-        half = RequestRecord("half", self.place.index, "half", BAD_CLIENT_S, began, False, True)
+        command = self._command(self._half_request("position-read", 0.0, 0.0))
+        await self.stream.send(command[: self.random.randint(*HALF_COMMAND_BYTES)])
+        request = self._half_request(HALF_COMMAND, HALF_COMMAND_TIMEOUT_S, time.monotonic())
+        request.outcome = RequestOutcome.FAILED
         try:
             with anyio.fail_after(HALF_COMMAND_STAY_S + PATIENCE_S):
                 await self.lines.line()
-            half.ending = Ending.FAILED
         except TimeoutError:
-            half.ending = Ending.SILENT
+            request.outcome = RequestOutcome.SILENT
         except BROKEN:
-            half.ending = Ending.FAILED
-        half.ended_at = time.monotonic()
-        self.record.requests.append(half)
-        await self._drop()
-
-    def _command(self, request: RequestRecord, small: bool = False) -> bytes:
-        verb, longest = CLASSES[request.class_name]
-        request.wait_s = round(longest * self.chance.uniform(0.4, 1.0), 3)
-        volume, shard = self.chance.randrange(8), self.chance.randrange(-1, NODES)
+            pass  # closing the connection is an answer too
+        request.ended_at = time.monotonic()
+        self.record.requests.append(request)
+        await self._disconnect()
+
+    def _half_request(self, class_name: str, wait_s: float, sent_at: float) -> RequestRecord:
+        request_id = HALF_COMMAND if class_name == HALF_COMMAND else "0" * 16
+        return RequestRecord(
+            id=request_id,
+            process=self.address.index,
+            class_name=class_name,
+            wait_s=wait_s,
+            sent_at=sent_at,
+            is_first=False,
+            is_alone=True,
+        )
+
+    def _command(self, request: RequestRecord, is_pipelined: bool = False) -> bytes:
+        """Return a request's command, and draw how long its client waits."""
+        client_class = CLASSES[request.class_name]
+        request.wait_s = round(client_class.max_wait_s * self.random.uniform(MIN_WAIT_FRACTION, 1.0), 3)
+        volume = self.random.randrange(VOLUMES)
+        shard = self.random.randrange(-1, NODES)
         attributes = (
-            f"c={request.class_name},t=basic,d={int(request.wait_s * 1000)},volume={volume:016x},"
+            f"c={request.class_name},t=basic,d={int(request.wait_s * MS_PER_S)},volume={volume:016x},"
             f"units=2,shard={shard},hosts=1"
         )
-        words = [verb, b"%016x" % self.chance.getrandbits(63), request.id.encode(), attributes.encode()]
-        if verb == b"IO.OUT":
-            words.append(b"b" * (PIPELINED_BODY if small else self.chance.choice((10, 200, 8000))))
-        return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
-
-    def _leave(self, requests: list[RequestRecord]) -> None:
-        for request in requests:
-            request.ending, request.ended_at = Ending.LEFT, time.monotonic()
-
-    async def _drop(self, abort: bool = False) -> None:
-        stream, self.stream = self.stream, None
+        trace = b"%016x" % self.random.getrandbits(63)
+        words = [client_class.verb, trace, request.id.encode(), attributes.encode()]
+        if client_class.verb == WRITE_VERB:
+            body_bytes = PIPELINED_BODY_BYTES if is_pipelined else self.random.choice(BODY_BYTES)
+            words.append(b"b" * body_bytes)
+        encoded = [b"$%d\r\n%s\r\n" % (len(word), word) for word in words]
+        return b"*%d\r\n" % len(words) + b"".join(encoded)
+
+    async def _disconnect(self, with_reset: bool = False) -> None:
+        stream = self.stream
+        self.stream = None
         if stream is None:
             return
-        raw: socket.socket = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-        if abort:
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+        if with_reset:
+            reset_on_close(stream)
         else:
             with suppress(OSError):
-                raw.shutdown(socket.SHUT_RDWR)  # at once: the event loop closes in its next iteration
+                # At once: the event loop closes only in its next iteration.
+                raw_socket_of(stream).shutdown(socket.SHUT_RDWR)
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(stream)
             await anyio.sleep(0)
--- a/runloft/lab/soak/options.py
+++ b/runloft/lab/soak/options.py
@@ -1,12 +1,12 @@
-"""What ``runloft lab soak`` can be told; loaded with every tool's options, so it loads nothing heavy."""
+"""The options of ``runloft lab soak``; loaded with every tool's options, so it loads nothing heavy."""
 
 import argparse
 
-from runloft.lab.soak.schedule import LEAST_SECONDS, MOST_PROCESSES, MOST_SECONDS, TroubleKind
+from runloft.lab.soak.schedule import MAX_PROCESSES, MAX_SECONDS, MIN_SECONDS, FaultKind
 
 
 def add_parser(actions: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """Describe the sub-command."""
+    """Add the sub-command ``soak``."""
     soak = actions.add_parser(
         "soak",
         help="play random overlapping faults against real processes",
@@ -14,13 +14,13 @@
             "Runs real schedulers with stand-in nodes, discovery and clients on loopback. Troubles overlap "
             "by a schedule that is drawn from the seed before anything starts. Afterwards what clients and "
             "nodes saw, the invariant counters, exit codes and logs are checked. Exit 1: a rule was broken. "
-            f"Troubles: {', '.join(TroubleKind)}."
+            f"Troubles: {', '.join(FaultKind)}."
         ),
     )
     soak.add_argument("--seeds", default="1", metavar="A-B", help="a seed or a range (default 1)")
-    soak.add_argument("--processes", type=int, default=10, help=f"1 to {MOST_PROCESSES} (default 10)")
+    soak.add_argument("--processes", type=int, default=10, help=f"1 to {MAX_PROCESSES} (default 10)")
     soak.add_argument(
-        "--seconds", type=float, default=8.0, help=f"{LEAST_SECONDS:g} to {MOST_SECONDS:g} a seed (default 8)"
+        "--seconds", type=float, default=8.0, help=f"{MIN_SECONDS:g} to {MAX_SECONDS:g} a seed (default 8)"
     )
     soak.add_argument("--troubles", default="", metavar="KIND,...", help="only these (default all)")
     soak.add_argument("--schedule", metavar="FILE", help="play this schedule instead of seeds")
--- a/runloft/lab/soak/records.py
+++ b/runloft/lab/soak/records.py
@@ -1,11 +1,16 @@
-"""What a run leaves behind for its oracles: requests as clients saw them, attempts as nodes saw them."""
+"""What a run leaves behind for its oracles: requests as clients saw them, attempts as nodes saw them.
+
+All times are seconds of the monotonic clock.
+"""
 
 import time
 from dataclasses import dataclass, field
-from enum import StrEnum
+from enum import Enum, StrEnum, auto
+
+HALF_COMMAND = "half"  # the id and class of a record of half a command
 
 
-class Ending(StrEnum):
+class RequestOutcome(StrEnum):
     """How a request ended for its client."""
 
     SERVED = "served"
@@ -19,16 +24,16 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request; times are seconds of the monotonic clock."""
+    """One request."""
 
     id: str
     process: int
     class_name: str
     wait_s: float
     sent_at: float
-    fresh: bool  # first on its connection
-    alone: bool  # nothing was pipelined ahead of it
-    ending: Ending = Ending.SILENT
+    is_first: bool  # on its connection
+    is_alone: bool  # nothing was pipelined ahead of it
+    outcome: RequestOutcome = RequestOutcome.SILENT
     ended_at: float = 0.0
     value: bytes = b""
 
@@ -37,6 +42,11 @@
         """The moment up to which its client waits."""
         return self.sent_at + self.wait_s
 
+    @property
+    def is_half_command(self) -> bool:
+        """Whether its client stopped in the middle of the command."""
+        return self.class_name == HALF_COMMAND
+
 
 @dataclass(slots=True)
 class AttemptRecord:
@@ -46,30 +56,57 @@
     node: int
     first_byte_at: float
     last_byte_at: float
-    told_wait_s: float
+    deadline_s: float  # that the scheduler announced
     units: float
-    turned_away: bool = False
-    over_at: float = float("inf")  # answered whole, or its connection ended
+    is_rejected: bool = False
+    over_at: float = float("inf")  # completely answered, or its connection ended
+
+
+class NodeChangeKind(StrEnum):
+    """What discovery announced about a node."""
+
+    DRAIN = "drain"
+    START = "start"
+    BACK = "back"  # in service again after a drain
 
 
 @dataclass(slots=True)
 class NodeChange:
-    """A drain or start that discovery told to one process."""
+    """A change that discovery announced to one process."""
 
     node: int
     process: int
     at: float
-    what: str
+    kind: NodeChangeKind
+
+
+class ProcessEventKind(Enum):
+    """What happened to a process."""
+
+    SPAWNED = auto()
+    READY = auto()
+    NOT_READY = auto()
+    TERMINATED = auto()
+    KILLED = auto()
+    EXITED = auto()
 
 
 @dataclass(slots=True)
 class ProcessEvent:
-    """Something that happened to a process."""
+    """Something that happened to a process; ``exit_code`` is None where it had to be killed."""
 
     process: int
-    what: str  # spawned, ready, terminated, killed, exited
+    kind: ProcessEventKind
+    at: float
+    exit_code: int | None = 0
+
+
+@dataclass(frozen=True, slots=True)
+class LoopDelay:
+    """By how much the soak's own event loop was late, and when."""
+
     at: float
-    code: int = 0
+    seconds: float
 
 
 @dataclass
@@ -80,12 +117,17 @@
     attempts: list[AttemptRecord] = field(default_factory=list)
     changes: list[NodeChange] = field(default_factory=list)
     events: list[ProcessEvent] = field(default_factory=list)
-    lags: list[tuple[float, float]] = field(default_factory=list)  # of the soak's own loop: when, seconds
+    delays: list[LoopDelay] = field(default_factory=list)
 
-    def happened(self, process: int, what: str, code: int = 0) -> None:
-        """Note something that happened to a process."""
-        self.events.append(ProcessEvent(process, what, time.monotonic(), code))
+    def add_event(self, process: int, kind: ProcessEventKind, exit_code: int | None = 0) -> None:
+        """Record something that happened to a process just now."""
+        self.events.append(ProcessEvent(process, kind, time.monotonic(), exit_code))
+
+    @property
+    def max_delay_s(self) -> float:
+        """The longest delay of the soak's own event loop."""
+        return max((delay.seconds for delay in self.delays), default=0.0)
 
     def slack_s(self, at: float, around_s: float = 1.0) -> float:
-        """Give by how much the soak's own loop may have been late near a moment."""
-        return sum(lag for when, lag in self.lags if abs(when - at) < around_s)
+        """Return by how much the soak's own event loop may have been late near a moment."""
+        return sum(delay.seconds for delay in self.delays if abs(delay.at - at) < around_s)
--- a/runloft/lab/soak/schedule.py
+++ b/runloft/lab/soak/schedule.py
@@ -5,19 +5,31 @@
 from enum import StrEnum
 from pathlib import Path
 from random import Random
+from typing import Any, TypeAlias
 
-VERSION = 1
-MOST_PROCESSES = 40
-LEAST_SECONDS, MOST_SECONDS = 2.0, 60.0
-NODES = 6
-CLUSTER_EVERY_S = 2.0  # one group of overlapping troubles begins in each such span
-OVERLAP = (2, 3)  # troubles that overlap in one group
-QUIET_START_S, QUIET_END_S = 0.5, 0.5
-LONGEST_PAUSE_S = 0.15  # the longest single stop of a process
-WALL_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
+from runloft.lab.errors import LaboratoryError
 
+ScheduleDocument: TypeAlias = dict[str, Any]  # a schedule file's JSON
 
-class TroubleKind(StrEnum):
+VERSION = 1
+MAX_PROCESSES = 40
+MIN_SECONDS = 2.0
+MAX_SECONDS = 60.0
+NODES = 6
+CLUSTER_INTERVAL_S = 2.0  # one group of overlapping faults starts in each such span
+MIN_OVERLAPPING = 2  # faults that overlap in one group
+MAX_OVERLAPPING = 3
+QUIET_START_S = 0.5
+QUIET_END_S = 0.5
+MIN_LAST_CLUSTER_S = 1.0
+MAX_START_DELAY_S = 0.6
+MIN_DURATION_S = 0.5
+MAX_DURATION_S = 1.8
+MAX_PAUSE_S = 0.15  # the longest single stop of a process
+WALL_CLOCK_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
+
+
+class FaultKind(StrEnum):
     """What can go wrong; the part before the hyphen names who is at fault."""
 
     PROCESS_TERMINATE = "process-terminate"
@@ -48,105 +60,142 @@
     CLIENT_SLOW_READER = "client-slow-reader"
     CLIENT_RECONNECT = "client-reconnect"
 
+    @property
+    def family(self) -> str:
+        """Who is at fault: process, system, node, discovery or client."""
+        return self.partition("-")[0]
+
 
-SYSTEM_KINDS = frozenset(kind for kind in TroubleKind if kind.startswith("system-"))
-NODE_KINDS = frozenset(kind for kind in TroubleKind if kind.startswith("node-"))
+ALL_KINDS = tuple(FaultKind)
+SYSTEM_KINDS = frozenset(kind for kind in FaultKind if kind.family == "system")
+NODE_KINDS = frozenset(kind for kind in FaultKind if kind.family == "node")
 
 
-class ScheduleError(ValueError):
+class ScheduleError(LaboratoryError, ValueError):
     """A schedule that can't be played: says what is wrong and what there is."""
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """One trouble: ``target`` is the index of a process or node; ``amount`` depends on the kind."""
+class Fault:
+    """One fault: ``target`` is the index of a process or node; ``amount`` depends on the kind."""
 
-    kind: TroubleKind
+    kind: FaultKind
     at_s: float
     for_s: float
     target: int
     amount: float = 0.0
 
     def is_active(self, at_s: float) -> bool:
-        """Say whether it goes on at this moment of the run."""
+        """Return whether it goes on at this moment of the run."""
         return self.at_s <= at_s < self.at_s + self.for_s
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """All troubles of one run."""
+    """All faults of one run."""
 
     seed: int
     processes: int
     seconds: float
-    troubles: tuple[Trouble, ...]
+    faults: tuple[Fault, ...]
     version: int = VERSION
 
-    def without(self, trouble: Trouble) -> "Schedule":
-        """Give the schedule less one trouble."""
-        return replace(self, troubles=tuple(one for one in self.troubles if one is not trouble))
+    def without(self, fault: Fault) -> "Schedule":
+        """Return the schedule less one fault."""
+        return replace(self, faults=tuple(one for one in self.faults if one is not fault))
+
+    def faults_of(self, family: str, target: int) -> list[Fault]:
+        """Return the faults of one family that hit one process or node."""
+        return [fault for fault in self.faults if fault.kind.family == family and fault.target == target]
+
+    def document(self) -> ScheduleDocument:
+        """Return what a schedule file holds; its keys don't change with the names here."""
+        return {
+            "seed": self.seed,
+            "processes": self.processes,
+            "seconds": self.seconds,
+            "troubles": [asdict(fault) for fault in self.faults],
+            "version": self.version,
+        }
 
     def dump(self) -> str:
-        """Write it as JSON."""
-        return json.dumps(asdict(self), indent=1)
+        """Return the text of a schedule file."""
+        return json.dumps(self.document(), indent=1)
 
 
-def checked_size(processes: int, seconds: float) -> None:
+def check_size(processes: int, seconds: float) -> None:
     """Raise ScheduleError for a size that can't be played."""
-    if not 1 <= processes <= MOST_PROCESSES:
-        raise ScheduleError(f"{processes} processes: 1 to {MOST_PROCESSES} can be played")
-    if not LEAST_SECONDS <= seconds <= MOST_SECONDS:
-        raise ScheduleError(f"{seconds:g} seconds: {LEAST_SECONDS:g} to {MOST_SECONDS:g} can be played")
+    if not 1 <= processes <= MAX_PROCESSES:
+        raise ScheduleError(f"{processes} processes: 1 to {MAX_PROCESSES} can be played")
+    if not MIN_SECONDS <= seconds <= MAX_SECONDS:
+        raise ScheduleError(f"{seconds:g} seconds: {MIN_SECONDS:g} to {MAX_SECONDS:g} can be played")
+
+
+def read_kinds(names: str) -> tuple[FaultKind, ...]:
+    """Read names of kinds with commas between; none: all of them."""
+    kinds = tuple(_read_kind(name) for name in names.split(",") if name)
+    return kinds or ALL_KINDS
 
 
-def checked_kinds(names: str) -> tuple[TroubleKind, ...]:
-    """Read names of troubles with commas between; none: all of them."""
+def _read_kind(name: str) -> FaultKind:
     try:
-        kinds = tuple(TroubleKind(name) for name in filter(None, names.split(",")))
+        return FaultKind(name)
     except ValueError as error:
-        raise ScheduleError(f"{error}; there are {', '.join(TroubleKind)}") from None
-    return kinds or tuple(TroubleKind)
+        # The text is older than the class's name, and operators know it.
+        raise ScheduleError(
+            f"{name!r} is not a valid TroubleKind; there are {', '.join(FaultKind)}"
+        ) from error
 
 
-def draw(
-    seed: int, processes: int, seconds: float, kinds: tuple[TroubleKind, ...] = tuple(TroubleKind)
-) -> Schedule:
+def draw(seed: int, processes: int, seconds: float, kinds: tuple[FaultKind, ...] = ALL_KINDS) -> Schedule:
     """Draw a schedule; the same arguments give the same one."""
-    checked_size(processes, seconds)
-    chance = Random(f"soak/{seed}")
-    troubles: list[Trouble] = []
-    start = QUIET_START_S
-    while start < seconds - QUIET_END_S - 1.0:
-        families = sorted({kind.partition("-")[0] for kind in kinds})
-        count = min(chance.randint(*OVERLAP), len(families))
-        target = chance.randrange(processes)  # what is wrong with processes is wrong with the same one
-        for family in chance.sample(families, count):
-            kind = chance.choice([kind for kind in kinds if kind.startswith(family)])
-            troubles.append(_trouble(kind, chance, start, target))
-        start += CLUSTER_EVERY_S
-    return Schedule(seed, processes, seconds, tuple(sorted(troubles, key=lambda one: one.at_s)))
-
-
-def _trouble(kind: TroubleKind, chance: Random, start: float, process: int) -> Trouble:
-    target = chance.randrange(NODES) if kind in NODE_KINDS else process
-    amount = chance.uniform(0.1, 1.0)
-    if kind is TroubleKind.SYSTEM_WALL_CLOCK:
-        amount = chance.choice(WALL_STEPS_S)
-    at_s = round(start + chance.uniform(0.0, 0.6), 3)
-    return Trouble(kind, at_s, round(chance.uniform(0.5, 1.8), 3), target, round(amount, 3))
-
-
-def read(path: str) -> Schedule:
-    """Read a schedule file; ScheduleError where it is none, or another version's."""
+    check_size(processes, seconds)
+    random = Random(f"soak/{seed}")
+    faults: list[Fault] = []
+    start_s = QUIET_START_S
+    while start_s < seconds - QUIET_END_S - MIN_LAST_CLUSTER_S:
+        faults += _draw_cluster(random, start_s, processes, kinds)
+        start_s += CLUSTER_INTERVAL_S
+    return Schedule(seed, processes, seconds, tuple(sorted(faults, key=lambda fault: fault.at_s)))
+
+
+def _draw_cluster(
+    random: Random, start_s: float, processes: int, kinds: tuple[FaultKind, ...]
+) -> list[Fault]:
+    """Draw faults that overlap, each of another family; those of processes all hit the same one."""
+    families = sorted({kind.family for kind in kinds})
+    count = min(random.randint(MIN_OVERLAPPING, MAX_OVERLAPPING), len(families))
+    process = random.randrange(processes)
+    faults = []
+    for family in random.sample(families, count):
+        kind = random.choice([kind for kind in kinds if kind.family == family])
+        faults.append(_draw_fault(kind, random, start_s, process))
+    return faults
+
+
+def _draw_fault(kind: FaultKind, random: Random, start_s: float, process: int) -> Fault:
+    target = random.randrange(NODES) if kind in NODE_KINDS else process
+    amount = random.uniform(0.1, 1.0)
+    if kind is FaultKind.SYSTEM_WALL_CLOCK:
+        amount = random.choice(WALL_CLOCK_STEPS_S)
+    at_s = round(start_s + random.uniform(0.0, MAX_START_DELAY_S), 3)
+    for_s = round(random.uniform(MIN_DURATION_S, MAX_DURATION_S), 3)
+    return Fault(kind, at_s, for_s, target, round(amount, 3))
+
+
+def read_schedule(path: str) -> Schedule:
+    """Read a schedule file; raise ScheduleError where it is none, or another version's."""
     try:
-        raw = json.loads(Path(path).read_text())
-        if raw["version"] != VERSION:
-            raise ScheduleError(f"{path}: version {raw['version']}; this program plays version {VERSION}")
-        troubles = tuple(Trouble(**{**one, "kind": TroubleKind(one["kind"])}) for one in raw["troubles"])
-        schedule = Schedule(raw["seed"], raw["processes"], raw["seconds"], troubles)
+        document = json.loads(Path(path).read_text())
+        if document["version"] != VERSION:
+            raise ScheduleError(
+                f"{path}: version {document['version']}; this program plays version {VERSION}"
+            )
+        faults = tuple(Fault(**{**one, "kind": FaultKind(one["kind"])}) for one in document["troubles"])
+        schedule = Schedule(document["seed"], document["processes"], document["seconds"], faults)
+    except ScheduleError:
+        raise
     except (OSError, KeyError, TypeError, ValueError) as error:
-        if isinstance(error, ScheduleError):
-            raise
         raise ScheduleError(f"{path}: no schedule: {error!r}") from error
-    checked_size(schedule.processes, schedule.seconds)
+    check_size(schedule.processes, schedule.seconds)
     return schedule
--- a/runloft/lab/soak/shim.py
+++ b/runloft/lab/soak/shim.py
@@ -1,7 +1,7 @@
-"""Runs the program with system calls, the wall clock and files that fail by a schedule.
+"""Run the program with system calls, the wall clock and files that fail by a schedule.
 
 ``python -m runloft.lab.soak.shim serve --config FILE`` is started by the soak alone.  The schedule is in
-the environment, its times are of the monotonic clock, which all processes share and no trouble touches.
+the environment, its times are of the monotonic clock, which all processes share and no fault touches.
 """
 
 import ctypes
@@ -22,7 +22,9 @@
 
 ENVIRONMENT_KEY = "RUNLOFT_SOAK_FAULTS"
 PR_SET_PDEATHSIG = 1
-ERRORS = {
+NS_PER_S = 1e9
+WALL_CLOCK = "system-wall-clock"
+ERRORS_BY_KIND = {
     "system-accept": (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EMFILE, errno.EPERM),
     "system-connect": (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EAGAIN),
     "system-socket": (errno.ENFILE, errno.ENOBUFS, errno.EMFILE),
@@ -32,73 +34,78 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """One kind of failure between two moments; ``amount`` is its share of calls, or a step in seconds."""
+class FaultWindow:
+    """One kind of failure between two moments; ``amount`` is its fraction of calls, or a step in seconds."""
 
     kind: str
     from_ns: int
     to_ns: int
     amount: float
 
+    def is_active(self, now_ns: int) -> bool:
+        """Return whether it goes on at this moment of the monotonic clock."""
+        return self.from_ns <= now_ns < self.to_ns
 
-class Faults:
-    """What fails now, by the schedule that the environment brought."""
 
-    def __init__(self, faults: list[Fault], seed: int) -> None:
-        self.faults, self.chance = faults, Random(seed)
+class FaultInjector:
+    """Fails calls by the schedule that the environment holds."""
+
+    def __init__(self, faults: list[FaultWindow], seed: int) -> None:
+        self.faults = faults
+        self.random = Random(seed)
 
     def check(self, kind: str) -> None:
-        """Raise one of the kind's errors, as often as its share says."""
+        """Raise one of the kind's errors, as often as its amount says."""
         now = time.monotonic_ns()
         for fault in self.faults:
-            active = fault.kind == kind and fault.from_ns <= now < fault.to_ns
-            if active and self.chance.random() < fault.amount:
-                number = self.chance.choice(ERRORS[kind])
+            if fault.kind == kind and fault.is_active(now) and self.random.random() < fault.amount:
+                number = self.random.choice(ERRORS_BY_KIND[kind])
                 raise OSError(number, os.strerror(number))
 
     def wall_step_ns(self) -> int:
-        """Give by how much the wall clock is off now."""
+        """Return by how much the wall clock is off now, in nanoseconds."""
         now = time.monotonic_ns()
-        clock = (fault for fault in self.faults if fault.kind == "system-wall-clock")
-        return int(sum(fault.amount for fault in clock if fault.from_ns <= now < fault.to_ns) * 1e9)
+        steps_s = (fault.amount for fault in self.faults if fault.kind == WALL_CLOCK and fault.is_active(now))
+        return int(sum(steps_s) * NS_PER_S)
 
 
-def environment(faults: list[Fault], seed: int) -> dict[str, str]:
-    """Give the variable that carries a schedule to a process."""
+def environment(faults: list[FaultWindow], seed: int) -> dict[str, str]:
+    """Return the environment variable that carries a schedule to a process."""
     return {ENVIRONMENT_KEY: json.dumps({"seed": seed, "faults": [asdict(one) for one in faults]})}
 
 
-def failing(faults: Faults, kind: str, real: Callable[..., Any]) -> Callable[..., Any]:
-    """Wrap a call that fails by the schedule."""
+def failing(injector: FaultInjector, kind: str, real: Callable[..., Any]) -> Callable[..., Any]:
+    """Return a call that fails by the schedule."""
 
     @functools.wraps(real)
     def call(*arguments: Any, **named: Any) -> Any:
-        faults.check(kind)
+        injector.check(kind)
         return real(*arguments, **named)
 
     return call
 
 
-def install(faults: Faults) -> None:
+def install(injector: FaultInjector) -> None:
     """Put the wrapped calls in place of the real ones, in this process alone."""
-    plain: Any = socket.socket
-    plain.accept = failing(faults, "system-accept", plain.accept)
-    plain.connect = failing(faults, "system-connect", plain.connect)
-    plain.setsockopt = failing(faults, "system-option", plain.setsockopt)
-    created = plain.__init__
+    socket_class: Any = socket.socket
+    socket_class.accept = failing(injector, "system-accept", socket_class.accept)
+    socket_class.connect = failing(injector, "system-connect", socket_class.connect)
+    socket_class.setsockopt = failing(injector, "system-option", socket_class.setsockopt)
+    real_init = socket_class.__init__
 
-    def create(self: Any, *arguments: Any, **named: Any) -> None:
+    def init(self: Any, *arguments: Any, **named: Any) -> None:
         if named.get("fileno") is None and len(arguments) < 4:  # a new descriptor, not one that is there
-            faults.check("system-socket")
-        created(self, *arguments, **named)
+            injector.check("system-socket")
+        real_init(self, *arguments, **named)
 
-    plain.__init__ = create
-    files: Any = pathlib.Path
-    files.read_text = failing(faults, "system-open", files.read_text)
-    files.read_bytes = failing(faults, "system-open", files.read_bytes)
-    real_time, real_time_ns = time.time, time.time_ns
-    time.time = lambda: real_time() + faults.wall_step_ns() / 1e9
-    time.time_ns = lambda: real_time_ns() + faults.wall_step_ns()
+    socket_class.__init__ = init
+    path_class: Any = pathlib.Path
+    path_class.read_text = failing(injector, "system-open", path_class.read_text)
+    path_class.read_bytes = failing(injector, "system-open", path_class.read_bytes)
+    real_time = time.time
+    real_time_ns = time.time_ns
+    time.time = lambda: real_time() + injector.wall_step_ns() / NS_PER_S
+    time.time_ns = lambda: real_time_ns() + injector.wall_step_ns()
 
 
 def end_with_parent() -> None:
@@ -113,8 +120,8 @@
     # As in ``runloft.__main__``: a reload during the start waits until it can be handled.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
     end_with_parent()
-    raw = json.loads(os.environ[ENVIRONMENT_KEY])
-    install(Faults([Fault(**one) for one in raw["faults"]], raw["seed"]))
+    document = json.loads(os.environ[ENVIRONMENT_KEY])
+    install(FaultInjector([FaultWindow(**one) for one in document["faults"]], document["seed"]))
     runpy.run_module("runloft", run_name="__main__")  # ends by exiting
     return 0
 
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -84,8 +84,12 @@
     cells = row(Page({"full": FULL}).tables(), "day-control", "watch and agreement, processor")
     assert cells[1] == "1.00e-05 x 450 schedulers + 1.00e-05 x 820 nodes + 0.002 w"
     assert cells[2:4] == ["0.0147 cores w", "no"]
-    assert cells[4:8] == ["450 schedulers, 400 nodes m", "in schedulers, in nodes (quadratic over all)",
-                          "0.015 cores given", "98% w"]  # fmt: skip
+    assert cells[4:8] == [
+        "450 schedulers, 400 nodes m",
+        "in schedulers, in nodes (quadratic over all)",
+        "0.015 cores given",
+        "98% w",
+    ]
     assert cells[9] == "at 850 nodes w: turns of the data path come late"
 
 
@@ -185,7 +189,12 @@
 def test_an_event_is_told_with_its_worst_play_and_its_size():
     tables = Page({"full": FULL}).tables()
     assert row(tables, "event-change", "all_in_force_s")[1:] == [
-        "4 (3 to 5) s m", "2 of 2", "450 schedulers, 820 nodes", "10 s given", "50% m"]  # fmt: skip
+        "4 (3 to 5) s m",
+        "2 of 2",
+        "450 schedulers, 820 nodes",
+        "10 s given",
+        "50% m",
+    ]
     assert row(tables, "events", "a change of primary")[2] == "1 s m at 150 schedulers"
     assert row(tables, "events", "a rack of 40 dies")[2] == MISSING
 
@@ -224,9 +233,14 @@
     )
     tables = Page({"full": full, "before": old}).tables()
     assert row(tables, "before", "control: watch, bytes in")[1:] == [
-        "9 x 450 schedulers + 950 = 5,000 B/s w", "1 x 450 schedulers + 50 = 500 B/s w", "0.1 w"]  # fmt: skip
+        "9 x 450 schedulers + 950 = 5,000 B/s w",
+        "1 x 450 schedulers + 50 = 500 B/s w",
+        "0.1 w",
+    ]
     assert row(tables, "before", "a change of configuration")[1:3] == [
-        "NOT reached in 1 of 1 plays m at 450 schedulers", "3 s m at 450 schedulers"]  # fmt: skip
+        "NOT reached in 1 of 1 plays m at 450 schedulers",
+        "3 s m at 450 schedulers",
+    ]
 
 
 @pytest.fixture
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -7,12 +7,20 @@
 
 from runloft.cli import main
 from runloft.config.faults import ConfigError
-from runloft.lab.load import LoadVolume, Result, Tally, arrivals
-from runloft.lab.node import NodeKind, NodeState
+from runloft.lab.load import LoadVolume, RequestOutcome, Result, Tally, arrivals
+from runloft.lab.node import NodeKind, NodeState, Pause
 from runloft.lab.scenario import read_scenario
 
 DEMO = Path(__file__).parents[2] / "deploy" / "demo"
-KIND = NodeKind(cores=2, speed=1.0, unit_ms=20.0, cold_from=0.25, warm_s=10.0, fall_multiple=2.0, fall_s=2.0)
+KIND = NodeKind(
+    cores=2,
+    speed=1.0,
+    unit_ms=20.0,
+    slow_start_from=0.25,
+    slow_start_s=10.0,
+    overload_multiple=2.0,
+    overload_s=2.0,
+)
 
 
 def volume(**more):
@@ -21,22 +29,24 @@
 
 def test_a_node_warms_up_evenly_and_falls_over_when_pushed():
     state = NodeState(KIND, 0.0)
-    assert [state.power(t) for t in (0.0, 5.0, 10.0, 50.0)] == [0.25, 0.625, 1.0, 1.0]
-    assert state.seconds(50.0, 3.0) == pytest.approx(0.06) and state.seconds(0.0, 3.0) == pytest.approx(0.24)
+    assert [state.capacity_fraction(t) for t in (0.0, 5.0, 10.0, 50.0)] == [0.25, 0.625, 1.0, 1.0]
+    assert state.service_s(50.0, 3.0) == pytest.approx(0.06) and state.service_s(0.0, 3.0) == pytest.approx(
+        0.24
+    )
     # At 4 s it has 0.55 of 100 units/s: twice that for two seconds are 220 units.
     for step in range(21):
-        assert state.arrived(2.1 + step * 0.09, 10.0)
-    assert not state.arrived(4.0, 15.0) and not state.arrived(60.0, 1.0)
+        assert state.add_load(2.1 + step * 0.09, 10.0)
+    assert not state.add_load(4.0, 15.0) and not state.add_load(60.0, 1.0)
     warm = NodeState(KIND, -20.0)
-    assert all(warm.arrived(1.0, 1000.0) for _ in range(5))
+    assert all(warm.add_load(1.0, 1000.0) for _ in range(5))
 
 
 def test_a_pause_makes_work_wait():
     state = NodeState(KIND, -20.0)
-    state.pauses.append((1.0, 1.2))
-    assert state.seconds(0.99, 1.0) == pytest.approx(0.22)
-    assert state.seconds(1.1, 1.0) == pytest.approx(0.12)
-    assert state.seconds(1.3, 1.0) == pytest.approx(0.02)
+    state.pauses.append(Pause(1.0, 1.2))
+    assert state.service_s(0.99, 1.0) == pytest.approx(0.22)
+    assert state.service_s(1.1, 1.0) == pytest.approx(0.12)
+    assert state.service_s(1.3, 1.0) == pytest.approx(0.02)
 
 
 def test_what_is_sent_when_follows_the_seed_alone():
@@ -49,17 +59,19 @@
 
 def test_what_is_kept_counts_second_by_second():
     results = []
-    for at, ending, latency in (
-        [(0.1, "served", 0.1)] * 20 + [(0.2, "served", 0.9)] * 20 + [(1.5, "served", 0.1)] * 40
+    for at, outcome, latency in (
+        [(0.1, RequestOutcome.SERVED, 0.1)] * 20
+        + [(0.2, RequestOutcome.SERVED, 0.9)] * 20
+        + [(1.5, RequestOutcome.SERVED, 0.1)] * 40
     ):
         (arrival,) = arrivals([volume()], 0.0, 1) or [None]
-        result = Result(arrival, ending, latency)
+        result = Result(arrival, outcome, latency)
         result.arrival = type("A", (), {"at_s": at, "units": 2.0})()
         results.append(result)
     tally = Tally(volume(), 2.0, results)
     # Of the first second's 50 due units 40 came in time; the second second's 80 make up for nothing.
-    assert tally.kept(0.4) == pytest.approx(90 / 100)
-    assert tally.quantile(0.5) == 0.1
+    assert tally.reserve_share(0.4) == pytest.approx(90 / 100)
+    assert tally.latency_quantile_s(0.5) == 0.1
 
 
 @pytest.mark.parametrize(
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -126,8 +126,11 @@
             await streams[1].send(b"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n")
             assert await streams[1].receive() == b"$1\r\nv\r\n"
             assert (one.traffic.received, one.traffic.sent, two.traffic.received, two.traffic.sent) == (
-                41, 12, 20, 7,
-            )  # fmt: skip
+                41,
+                12,
+                20,
+                7,
+            )
             assert sum(one.traffic.by_second.values()) == 53
             assert keys.count == 3 and two.round_trips == 1
             for stream in streams:
@@ -141,12 +144,12 @@
     known = Instances()
     known.put("a", "1:1", 0)
     known.put("b", "1:2", 1)
-    assert [one["uid"] for one in json.loads(known.since(2))["targets"]] == ["b"]
-    assert known.since(3) == b"" and known.whole() is known.whole()
+    assert [one["uid"] for one in json.loads(known.encoded_changes(2))["targets"]] == ["b"]
+    assert known.encoded_changes(3) == b"" and known.encoded_list() is known.encoded_list()
     known.remove("a")
-    assert [one["uid"] for one in json.loads(known.whole())["targets"]] == ["b"]
+    assert [one["uid"] for one in json.loads(known.encoded_list())["targets"]] == ["b"]
     known.empty()
-    assert json.loads(known.whole()) == {"rev": 1, "all": True, "targets": []}
+    assert json.loads(known.encoded_list()) == {"rev": 1, "all": True, "targets": []}
 
 
 def test_a_run_of_a_few_counts_what_each_role_did_and_leaves_no_process():
--- a/tests/lab/test_scale_datapath.py
+++ b/tests/lab/test_scale_datapath.py
@@ -22,11 +22,20 @@
 
 SMALL = Sizes(schedulers=2, nodes=3, clients=6, statements=40.0)
 ALWAYS = {
-    "scheduler.resident_mb", "scheduler.cpu", "scheduler.start_cpu_s", "scheduler.start_s",
-    "scheduler.descriptors_count", "scheduler.clients_open_count", "scheduler.client_closes_per_s",
-    "scheduler.client_connects_per_s", "scheduler.node_connections_count",
-    "scheduler.metrics.scrape_bytes", "scheduler.metrics.scrape_cpu_s", "node.cpu", "node.in_bytes_per_s",
-}  # fmt: skip
+    "scheduler.resident_mb",
+    "scheduler.cpu",
+    "scheduler.start_cpu_s",
+    "scheduler.start_s",
+    "scheduler.descriptors_count",
+    "scheduler.clients_open_count",
+    "scheduler.client_closes_per_s",
+    "scheduler.client_connects_per_s",
+    "scheduler.node_connections_count",
+    "scheduler.metrics.scrape_bytes",
+    "scheduler.metrics.scrape_cpu_s",
+    "node.cpu",
+    "node.in_bytes_per_s",
+}
 WITH_STATEMENTS = {"client.answered_share", "client.refused_share", "client.p99_ms"}
 
 
--- a/tests/lab/test_scale_records.py
+++ b/tests/lab/test_scale_records.py
@@ -7,12 +7,14 @@
 from runloft.lab.scale.records import Event, Point, Result, ResultError, Sizes, Slope, result_from
 
 RESULT = Result(
-    "runloft lab scale", 3, {"runloft": "0.2.0"},
+    "runloft lab scale",
+    3,
+    {"runloft": "0.2.0"},
     (Point("schedulers", Sizes(150), 0, 10.0, {"store.cpu": 0.2}),),
     (Slope("schedulers", "store.cpu", 0.001, 0.0, 0.01, 0.02, 3),),
     (Event("rack-dies", Sizes(450, 820), 0, {"all_in_force_s": 6.5}),),
     ("zone-dies: deadline",),
-)  # fmt: skip
+)
 
 
 def test_a_result_is_read_back_as_it_was_written():
