--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -108,7 +108,7 @@
         core = Core(config.settings, config.seed, clock(), timers, config.bounds)
         core.held = config.held
         self.runner = runner = HollowRunner(core, timers, clock)
-        is_polled = config.settings.list_is_asked_for
+        is_polled = config.settings.list_is_polled
         watch = Watch(config.discovery, 0, config.zones, runner.post, timers, clock, asked=is_polled)
         self.reload = Reload(None, config, watch, runner.post, [])
         try:
