--- a/runloft/lab/discovery.py
+++ b/runloft/lab/discovery.py
@@ -105,19 +105,23 @@
             await self._stream_changes(stream, int(target.rpartition("index=")[2] or 0))
             return
         body = self.instances.encoded_list()
-        await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        await self._send(stream, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     async def _stream_changes(self, stream: anyio.abc.SocketStream, revision: int) -> None:
         """Send each change as one chunk, and an empty line as a heartbeat where there is none."""
         instances = self.instances
-        await stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        await self._send(stream, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         data = instances.encoded_list() if revision != instances.revision else b""
         while True:
             revision = instances.revision
             data += b"\n"
-            await stream.send(b"%x\r\n%s\r\n" % (len(data), data))
+            await self._send(stream, b"%x\r\n%s\r\n" % (len(data), data))
             if revision == instances.revision:
                 with anyio.move_on_after(HEARTBEAT_INTERVAL_S):
                     await instances.changed.wait()
             await self.wait_while_failing(stream)
             data = instances.encoded_changes(revision)
+
+    async def _send(self, stream: anyio.abc.SocketStream, data: bytes) -> None:
+        """Send a part of a response; subclasses may observe it."""
+        await stream.send(data)
--- a/runloft/lab/scale/datapath/messages.py
+++ b/runloft/lab/scale/datapath/messages.py
@@ -8,7 +8,7 @@
 import os
 from collections.abc import AsyncIterator
 from dataclasses import asdict, dataclass
-from typing import Any, ClassVar, TypeAlias
+from typing import Any, ClassVar, TypeAlias, get_args
 
 import anyio
 
@@ -76,10 +76,7 @@
 
 
 Order: TypeAlias = ConnectClients | StartLoad | Count | StartCounting | FinishLoad | Listen | ListNodes
-ORDER_TYPES = {
-    order.NAME: order
-    for order in (ConnectClients, StartLoad, Count, StartCounting, FinishLoad, Listen, ListNodes)
-}
+ORDER_TYPES: dict[str, type[Order]] = {order.NAME: order for order in get_args(Order)}
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/lab/scale/hollow_role.py
+++ b/runloft/lab/scale/hollow_role.py
@@ -42,7 +42,7 @@
         self.clock = Clock()
         self.schedulers: dict[str, HollowScheduler] = {}
         self.stopped: dict[str, anyio.Event] = {}  # of each that runs: set once it has stopped
-        group.start_soon(self._note_generations)
+        group.start_soon(self._record_generations)
 
     @property
     def running(self) -> dict[str, HollowScheduler]:
@@ -79,11 +79,11 @@
             case ReadNodeTimes():
                 return self._node_times()
 
-    async def _note_generations(self) -> None:
+    async def _record_generations(self) -> None:
         while True:
             await anyio.sleep(POLL_INTERVAL_S)
             for scheduler in self.running.values():
-                scheduler.note_generation()
+                scheduler.record_generation()
 
     async def _make(self, command: MakeSchedulers) -> Moment:
         """Make schedulers and start them; all have equal volumes, whose rows they share."""
--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -24,13 +24,13 @@
 
 
 class HollowRunner(Runner):
-    """The event loop, which also notes when an awaited node stands in the table."""
+    """The event loop, which also records when an awaited node stands in the table."""
 
     awaited_uid = ""
     node_seen_at = 0.0  # of the monotonic clock; 0: not yet
 
     def await_node(self, uid: str) -> None:
-        """Note from now on when this node comes into the table."""
+        """Record from now on when this node comes into the table."""
         self.awaited_uid = uid
         self.node_seen_at = 0.0
 
@@ -87,8 +87,8 @@
         standing = self.agreement.standing
         return standing.connected and standing.reserves
 
-    def note_generation(self) -> None:
-        """Note a generation that is new to it, once it holds the reserves."""
+    def record_generation(self) -> None:
+        """Record a generation that is new to it, once it holds the reserves."""
         generation = self.generation
         if self.agreement and not self.agreement.standing.reserves:
             return
@@ -128,7 +128,7 @@
         return self.agreement.start()
 
     def _apply_config(self, config: Config) -> None:
-        self.note_generation()
+        self.record_generation()
         if self.reload:
             self.reload.take(config)
 
--- a/runloft/lab/scale/messages.py
+++ b/runloft/lab/scale/messages.py
@@ -5,7 +5,7 @@
 
 import json
 from dataclasses import asdict, dataclass, field
-from typing import Any, ClassVar, TypeAlias
+from typing import Any, ClassVar, TypeAlias, get_args
 
 ConfigDocument: TypeAlias = dict[str, Any]  # a configuration file's values
 
@@ -182,28 +182,7 @@
     | ReadNodeTimes
     | RollOut
 )
-COMMAND_TYPES: dict[str, type[Command]] = {
-    command.NAME: command
-    for command in (
-        CollectGarbage,
-        Listen,
-        CutRegion,
-        ReadTraffic,
-        RestartEmpty,
-        ListNodes,
-        ReplaceNode,
-        MakeSchedulers,
-        StartSchedulers,
-        StartAgreement,
-        StopSchedulers,
-        CountNodes,
-        ReadStatus,
-        ReadGenerationTimes,
-        AwaitNode,
-        ReadNodeTimes,
-        RollOut,
-    )
-}
+COMMAND_TYPES: dict[str, type[Command]] = {command.NAME: command for command in get_args(Command)}
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/lab/soak/discovery.py
+++ b/runloft/lab/soak/discovery.py
@@ -6,7 +6,6 @@
 import anyio.abc
 
 from runloft.lab.discovery import Instances, LabDiscovery
-from runloft.lab.serving import CountingStream
 from runloft.lab.soak.records import NodeChange, NodeChangeKind, RunRecord
 
 MAX_ANNOUNCEMENT_S = 6.0  # a change counts as announced after so long, whether it arrived or not
@@ -61,15 +60,8 @@
     def _record(self, change: PendingChange, at: float) -> None:
         self.record.changes.append(NodeChange(change.node, self.index, at, change.kind))
 
-    async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Answer one call; whatever is written holds all that was pending."""
-        if isinstance(stream, CountingStream):
-            inner_send = stream.send
-
-            async def send(item: bytes) -> None:
-                await inner_send(item)
-                if TARGETS_KEY in item:
-                    self.record_written()
-
-            stream.send = send  # type: ignore[method-assign]
-        await super().serve(stream)
+    async def _send(self, stream: anyio.abc.SocketStream, data: bytes) -> None:
+        """Send a part of a response; one that lists nodes has all that was pending."""
+        await super()._send(stream, data)
+        if TARGETS_KEY in data:
+            self.record_written()
