--- /dev/null
+++ b/tests/lab/scale/capacity_page/test_estimates.py
@@ -0,0 +1,92 @@
+"""Figures at a size, worked out from slopes, as the tables of rows show them."""
+
+import re
+from dataclasses import replace
+
+from runloft.lab.scale.capacity_page.page import Page
+from runloft.lab.scale.capacity_page.sources import MISSING
+from tests.support.capacity import BYTES, FULL, at_work, make_document, make_line, row_cells
+
+
+def test_estimate_is_the_sum_of_slopes_by_sizes():
+    cells = row_cells(Page({"full": FULL}).tables(), "day-control", "watch and agreement, processor")
+    assert cells[1] == "1.00e-05 x 450 schedulers + 1.00e-05 x 820 nodes + 0.002 w"
+    assert cells[2:4] == ["0.0147 cores w", "no"]
+    assert cells[4:8] == [
+        "450 schedulers, 400 nodes m",
+        "in schedulers, in nodes (quadratic over all)",
+        "0.015 cores given",
+        "98% w",
+    ]
+    assert cells[9] == "at 850 nodes w: turns of the data path come late"
+
+
+def test_measured_value_is_shown_beside_the_estimate():
+    full = make_document(make_line("schedulers", BYTES, 1.0, 50.0, (50, 450)))
+    cells = row_cells(Page({"full": full}).tables(), "day-control", "watch, bytes in")
+    assert cells[2:4] == ["500 B/s w", "500 B/s m (2)"]
+
+
+def test_slope_within_the_spread_of_repeats_is_ignored():
+    full = make_document(make_line("schedulers", BYTES, 1.0, 50.0, (50, 150), spread=100.0))
+    cells = row_cells(Page({"full": full}).tables(), "day-control", "watch, bytes in")
+    assert cells[1:3] == ["150 w", "150 B/s w"] and cells[5] == "constant"
+
+
+def test_largest_constant_is_used_where_lines_do_not_meet():
+    path = make_document(
+        make_line("clients", "scheduler.cpu", 1e-5, 0.0, (0, 8000)),
+        make_line("statements", "scheduler.cpu", 5e-4, 0.1, (100, 600)),
+    )
+    cells = row_cells(Page({"datapath": path}).tables(), "day-path", "processor, by its parts")
+    assert cells[1].endswith("+ 0.1 w") and cells[2] == "0.5042 cores w"
+
+
+def test_points_without_slopes_are_fitted_as_by_a_run():
+    bare = replace(FULL, slopes=())
+    wants = row_cells(Page({"full": FULL}).tables(), "day-control", "watch and agreement, processor")
+    assert row_cells(Page({"full": bare}).tables(), "day-control", "watch and agreement, processor") == wants
+
+
+def test_large_residual_is_reported():
+    full = make_document(make_line("schedulers", BYTES, 1.0, 0.0, (50, 450)))
+    far = tuple(replace(one, residual=60.0) for one in full.slopes)
+    cells = row_cells(Page({"full": replace(full, slopes=far)}).tables(), "day-control", "watch, bytes in")
+    assert cells[5].endswith("points lie 60 off the line")
+
+
+def test_convex_growth_is_reported():
+    full = make_document(make_line("schedulers", BYTES, 1.0, 0.0, (50, 150, 450)))
+    bent = [
+        replace(p, figures={BYTES: p.sizes.schedulers**2 / 100}) if p.vary == "schedulers" else p
+        for p in full.points
+    ]
+    tables = Page({"full": replace(full, points=tuple(bent))}).tables()
+    assert "faster than its line" in row_cells(tables, "day-control", "watch, bytes in")[5]
+
+
+def test_figure_without_a_slope_is_reported_as_not_measured():
+    tables = Page({}).tables()
+    some = row_cells(tables, "day-control", "watch and agreement, processor")
+    assert some[1:4] == [MISSING] * 3 and some[7] == ""
+    # One part of a sum that is missing leaves no sum.
+    full = make_document(make_line("schedulers", BYTES, 1.0, 50.0, (50, 450)))
+    assert row_cells(Page({"full": full}).tables(), "day-control", "watch and agreement, bytes")[2] == MISSING
+    words = [text for name, text in tables.items() if re.match("day-|event|zone|region|before|first", name)]
+    assert not re.search(r"[0-9] m\b", "".join(words))
+
+
+def test_estimate_from_an_assumption_is_marked_as_assumed():
+    path = make_document(make_line("clients", "scheduler.metrics.scrape_cpu_s", 1e-7, 0.002, (0, 8000)))
+    assert row_cells(Page({"datapath": path}).tables(), "day-control", "metrics, processor")[2].endswith(
+        "cores g"
+    )
+    volumes = make_document(make_line("volumes", BYTES, 1.0, 50.0, (10, 100)))
+    assert row_cells(Page({"full": volumes}).tables(), "day-control", "watch, bytes in")[2] == "870 B/s g"
+
+
+def test_remaining_schedulers_have_more_clients_after_a_loss():
+    path = make_document(events=at_work("scheduler.clients_open_count", 1.0))
+    for table, wants in (("day-path", "8,222"), ("zone-away", "9,600"), ("region-away", "16,500")):
+        cells = row_cells(Page({"datapath": path}).tables(), table, "clients open")
+        assert cells[2] == f"{wants} w" and cells[6:8] == [f"{wants} given", "100% w"]
--- /dev/null
+++ b/tests/lab/scale/datapath/conftest.py
@@ -0,0 +1,21 @@
+"""Short waits for the tests of the data path, and a check that none leaves a process."""
+
+from pathlib import Path
+
+import pytest
+
+from runloft.lab.scale.datapath import idle_measurement, load_measurement
+
+
+def children():
+    return {pid for path in Path("/proc/self/task").glob("*/children") for pid in path.read_text().split()}
+
+
+@pytest.fixture(autouse=True)
+def no_process_is_left(monkeypatch):
+    monkeypatch.setattr(load_measurement, "WARM_UP_S", 0.1)
+    monkeypatch.setattr(idle_measurement, "LISTED_S", 0.1)
+    monkeypatch.setattr(load_measurement, "SCRAPES", 3)
+    before = children()
+    yield
+    assert children() <= before
--- /dev/null
+++ b/tests/lab/scale/datapath/test_client_load.py
@@ -0,0 +1,59 @@
+"""The clients' stand-in."""
+
+import json
+import subprocess
+import sys
+from contextlib import contextmanager
+
+from tests.support.standins import Listener, words_of
+
+
+@contextmanager
+def stand_in(role):
+    command = [sys.executable, "-m", "runloft.lab.scale.datapath", role]
+    process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+
+    def ask(**order):
+        process.stdin.write(json.dumps(order) + "\n")
+        process.stdin.flush()
+        return json.loads(process.stdout.readline())
+
+    yield ask
+    process.stdin.close()
+    process.stdout.close()
+    assert process.wait(10) == 0  # its input's end is its own
+
+
+class Closing(Listener):
+    """Closes connections after a PING, answers the first statement on any, and closes that one once."""
+
+    cut = False
+
+    def serve(self, conn, lines):
+        while words := words_of(lines):
+            if words[0] == b"PING":
+                conn.sendall(b"+PONG\r\n")
+                return
+            if not self.cut:
+                self.cut = True
+                return
+            conn.sendall(b"$3\r\nabc\r\n" if int(words[2], 16) % 2 else b"-BUSY 5\r\n")
+
+
+def test_closed_connections_are_counted_and_reopened_for_their_statement():
+    order = {"seed": 1, "round_robin": True, "shards": 1, "hosts": 1, "volumes": 1}
+    server = Closing()
+    with stand_in("clients") as ask:
+        ask(do="come", address=server.address, connections=5, **order)
+        while ask(do="count")["open"]:
+            pass
+        assert ask(do="count")["closes"] == 5
+        ask(do="mark")
+        ask(do="load", rate=500.0)
+        while ask(do="count")["sent"] < 25:
+            pass
+        found = ask(do="finish")
+    server.close()
+    assert found["sent"] >= 25 and found["served"] and found["refused"]
+    assert found["served"] + found["refused"] == found["sent"]  # the one that was cut off was sent again
+    assert (found["closes"], found["connects"], found["open"]) == (1, 6, 5)
--- a/tests/lab/test_scale_records.py
+++ b/tests/lab/scale/test_records.py
@@ -1,4 +1,4 @@
-"""A scale run's document: read back as it was written, and nothing else taken for one."""
+"""A scale run's document: read back as it was written, and nothing else accepted as one."""
 
 import json
 
@@ -17,11 +17,11 @@
 )
 
 
-def test_a_result_is_read_back_as_it_was_written():
+def test_result_is_read_back_as_written():
     assert result_from(RESULT.dump()) == RESULT
 
 
 @pytest.mark.parametrize("change", [{"format": 2}, {"points": [{"vary": "x"}]}, {"slopes": 3}, {"seed": "x"}])
-def test_what_is_no_result_is_named_and_not_taken_for_one(change):
+def test_invalid_result_is_refused(change):
     with pytest.raises(ResultError, match="no scale run's result"):
         result_from(json.dumps(json.loads(RESULT.dump()) | change))
--- /dev/null
+++ b/tests/lab/soak/test_playing.py
@@ -0,0 +1,20 @@
+"""Shrinking a failing schedule."""
+
+from runloft.lab.soak.playing import Player
+from runloft.lab.soak.schedule import draw
+from runloft.lab.soak.seed_result import SeedResult
+from runloft.lab.soak.violations import Rule, Violation
+
+ID = "00000000000000aa"
+
+
+def test_failing_schedule_is_shrunk_to_what_still_fails(monkeypatch):
+    drawn = draw(3, 10, 30.0)
+    culprit = drawn.faults[5]
+
+    def played(_, schedule):
+        broken = (Violation(Rule.UNSAFE_RETRY, ID, ""),) if culprit in schedule.faults else ()
+        return SeedResult(schedule, 1, 1, {}, 0.0, broken)
+
+    monkeypatch.setattr(Player, "play", played)
+    assert Player().shrink(played(None, drawn)).schedule.faults == (culprit,)
--- /dev/null
+++ b/tests/lab/soak/test_run.py
@@ -0,0 +1,24 @@
+"""A short real run.  Its times depend on the machine, and are asserted by longer runs alone."""
+
+import anyio
+import pytest
+
+from runloft.lab.soak.oracles import check
+from runloft.lab.soak.records import (
+    ProcessEventKind,
+)
+from runloft.lab.soak.run import SoakRun
+from runloft.lab.soak.schedule import draw, read_kinds
+from runloft.lab.soak.violations import TIMED_RULES
+
+KINDS = "process-terminate,process-kill,system-accept,system-option,system-open,client-pipeline,node-reset"
+
+
+@pytest.mark.parametrize("seed", [3, 11])
+def test_short_run_of_real_processes_breaks_no_untimed_rule(tmp_path, seed):
+    drawn = draw(seed, 3, 4.0, read_kinds(KINDS))
+    record = anyio.run(SoakRun(drawn, tmp_path).play)
+    found = [one for one in check(record, sorted(tmp_path.glob("*.log"))) if one.rule not in TIMED_RULES]
+    assert found == [] and record.requests and record.attempts
+    exits = [one for one in record.events if one.kind is ProcessEventKind.EXITED]
+    assert len(exits) >= 3 and all(one.exit_code == 0 for one in exits)
