--- a/runloft/lab/load.py
+++ b/runloft/lab/load.py
@@ -16,6 +16,7 @@
 import anyio
 import anyio.abc
 
+from runloft.lab.requests import encode_command, quantile, trace_id
 from runloft.lab.serving import BROKEN, Lines
 
 GRACE_S = 0.25  # for this tool's own event loop: an answer that never arrives is still missed
@@ -24,9 +25,6 @@
 RETRY_INTERVAL_S = 0.1  # before the first retry; it grows by as much with each
 MS_PER_S = 1000
 REQUEST_ID_BITS = 32  # below the seed's
-# Spreads consecutive numbers over 64 bits: trace ids that look random and never repeat.
-TRACE_MULTIPLIER = 2654435761
-TRACE_MODULUS = 1 << 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,12 +123,10 @@
 
     def latency_quantile_s(self, probability: float) -> float:
         """Return a quantile of the served requests' latencies; NaN where none was served."""
-        latencies = sorted(
-            result.latency_s for result in self.results if result.outcome is RequestOutcome.SERVED
-        )
-        if not latencies:
+        served = [result for result in self.results if result.outcome is RequestOutcome.SERVED]
+        if not served:
             return math.nan
-        return latencies[min(len(latencies) - 1, int(probability * len(latencies)))]
+        return quantile([result.latency_s for result in served], probability)
 
 
 def _is_served_within(result: Result, within_s: float) -> bool:
@@ -291,13 +287,13 @@
         )
         words = [
             b"IO.OUT" if request_class.writes else b"IO.IN",
-            b"%016x" % (request_id * TRACE_MULTIPLIER % TRACE_MODULUS),
+            trace_id(request_id),
             b"%016x" % request_id,
             attributes.encode(),
         ]
         if request_class.writes:
             words.append(b"body")
-        return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
+        return encode_command(words)
 
 
 def _retry_after_s(head: bytes) -> float:
--- /dev/null
+++ b/runloft/lab/program_log.py
@@ -0,0 +1,6 @@
+"""The lines of the program's log that the laboratory waits for; the first group is the address."""
+
+import re
+
+SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespFront")
+ADMIN_SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=admin")
--- a/runloft/lab/scale/datapath/client_connection.py
+++ b/runloft/lab/scale/datapath/client_connection.py
@@ -6,8 +6,10 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
+from runloft.lab.requests import encode_command
+
 RECEIVE_BYTES = 65_536
-PING = b"*1\r\n$4\r\nPING\r\n"
+PING = encode_command((b"PING",))
 LINE_END = b"\r\n"
 
 
--- a/runloft/lab/scale/datapath/client_load.py
+++ b/runloft/lab/scale/datapath/client_load.py
@@ -8,6 +8,7 @@
 from random import Random
 
 from runloft.lab.load import GRACE_S
+from runloft.lab.requests import encode_command, quantile, trace_id
 from runloft.lab.scale.datapath.client_connection import (
     PING,
     ClientConnection,
@@ -31,14 +32,10 @@
     send_answer,
 )
 from runloft.lab.scale.datapath.scheduler_files import CLASS_NAME, DEADLINE_S
-from runloft.net import resp2
 
 CONNECTING_AT_ONCE = 64
 MS_PER_S = 1000
 P99 = 0.99
-# Spreads consecutive numbers over 64 bits: trace ids that look random and never repeat.
-TRACE_MULTIPLIER = 2654435761
-TRACE_MODULUS = 1 << 64
 
 
 @dataclass(slots=True)
@@ -205,9 +202,8 @@
             f"c={CLASS_NAME},t=plan-{volume},d={int(DEADLINE_S * MS_PER_S)},volume={volume:016x},"
             f"units=1,shard={shard},hosts={self.shape.hosts}"
         )
-        trace = self.statement_number * TRACE_MULTIPLIER % TRACE_MODULUS
-        words = (b"IO.IN", b"%016x" % trace, b"%016x" % self.statement_number, attributes.encode())
-        return b"".join(resp2.command(*words))
+        number = self.statement_number
+        return encode_command((b"IO.IN", trace_id(number), b"%016x" % number, attributes.encode()))
 
     # Events of connections
 
@@ -308,14 +304,6 @@
                 connects=period.connects,
                 open=period.open,
                 seconds=period.seconds,
-                p99_ms=_p99(self.latencies_s) * MS_PER_S,
+                p99_ms=quantile(self.latencies_s, P99) * MS_PER_S if self.latencies_s else 0.0,
             )
         )
-
-
-def _p99(values: list[float]) -> float:
-    """Return the 99th percentile, 0.0 where there are no values."""
-    if not values:
-        return 0.0
-    ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(P99 * len(ordered)))]
--- a/runloft/lab/scale/datapath/launching.py
+++ b/runloft/lab/scale/datapath/launching.py
@@ -1,7 +1,6 @@
 """Start a scheduler before its stand-ins, and wait until it serves."""
 
 import json
-import re
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,6 +9,7 @@
 
 import tomli_w
 
+from runloft.lab.program_log import ADMIN_SERVING, SERVING
 from runloft.lab.scale.datapath.messages import DiscoveryStarted, Listen, ListNodes, NodeAddresses
 from runloft.lab.scale.datapath.processes import SCHEDULER, ChildProcess, ProcessGroup
 from runloft.lab.scale.datapath.scheduler_files import operator_file, platform_file
@@ -18,8 +18,6 @@
 
 Progress: TypeAlias = Callable[[str], None]
 
-SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespFront")
-ADMIN_SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=admin")
 ADMIN_TABLE = {"listen": "127.0.0.1:0"}
 
 
--- a/runloft/lab/scale/datapath/start_measurement.py
+++ b/runloft/lab/scale/datapath/start_measurement.py
@@ -4,11 +4,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from runloft.lab.program_log import ADMIN_SERVING, SERVING
 from runloft.lab.scale import procfs
 from runloft.lab.scale.datapath.launching import (
-    ADMIN_SERVING,
     ADMIN_TABLE,
-    SERVING,
     Progress,
     start_nodes,
     write_operator_file,
--- a/runloft/lab/sidecars.py
+++ b/runloft/lab/sidecars.py
@@ -1,7 +1,6 @@
 """The sidecars of one arm: the program itself, one process beside each application."""
 
 import os
-import re
 import sys
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -12,12 +11,12 @@
 import anyio.abc
 
 from runloft.lab.errors import LaboratoryError
+from runloft.lab.program_log import SERVING
 
 START_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 10.0
 LOG_POLL_S = 0.05
 LOG_TAIL_CHARACTERS = 2000
-SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespFront")
 
 
 class SidecarError(LaboratoryError, RuntimeError):
--- a/runloft/lab/soak/clients.py
+++ b/runloft/lab/soak/clients.py
@@ -11,6 +11,7 @@
 import anyio
 import anyio.abc
 
+from runloft.lab.requests import encode_command
 from runloft.lab.serving import BROKEN, Lines
 from runloft.lab.soak.records import HALF_COMMAND, RequestOutcome, RequestRecord, RunRecord
 from runloft.lab.soak.schedule import NODES, FaultKind, Schedule
@@ -228,8 +229,7 @@
         if client_class.verb == WRITE_VERB:
             body_bytes = PIPELINED_BODY_BYTES if is_pipelined else self.random.choice(BODY_BYTES)
             words.append(b"b" * body_bytes)
-        encoded = [b"$%d\r\n%s\r\n" % (len(word), word) for word in words]
-        return b"*%d\r\n" % len(words) + b"".join(encoded)
+        return encode_command(words)
 
     async def _disconnect(self, with_reset: bool = False) -> None:
         stream = self.stream
--- a/runloft/lab/soak/processes.py
+++ b/runloft/lab/soak/processes.py
@@ -2,7 +2,6 @@
 
 import json
 import os
-import re
 import signal
 import sys
 import time
@@ -13,13 +12,13 @@
 import anyio
 import anyio.abc
 
+from runloft.lab.program_log import SERVING
 from runloft.lab.soak.records import ProcessEventKind, RunRecord
 from runloft.lab.soak.schedule import MAX_PAUSE_S, SYSTEM_KINDS, Schedule
 from runloft.lab.soak.scheduler_settings import ConfigDocument, process_document
 from runloft.lab.soak.shim import FaultWindow, environment
 
 SHIM = "runloft.lab.soak.shim"
-SERVING = re.compile(r"serving .*front=RespFront")
 START_TIMEOUT_S = 10.0
 EXIT_TIMEOUT_S = 3.4  # SIGKILL may come 0.7 s after the longest deadline, 2.5 s here
 LOG_POLL_S = 0.02
--- a/tests/lab/scale/datapath/test_processes.py
+++ b/tests/lab/scale/datapath/test_processes.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 
-from runloft.lab.scale.datapath.launching import SERVING
+from runloft.lab.program_log import SERVING
 from runloft.lab.scale.datapath.processes import ChildError, process_group
 
 
--- a/tests/support/lab.py
+++ b/tests/support/lab.py
@@ -33,17 +33,15 @@
 
 
 class Redis:
-    """The laboratory's store with a life of its own."""
+    """The laboratory's store in a thread of its own, until it is closed."""
 
     def __init__(self):
         self.server = RedisStandIn()
         self._running = running(self.server)
         self._running.__enter__()
-        self.address, self.data, self.connections = (
-            self.server.address,
-            self.server.keys.data,
-            self.server.streams,
-        )
+        self.address = self.server.address
+        self.data = self.server.keys.data
+        self.connections = self.server.streams
 
     def close(self):
         if self._running is not None:
