--- /dev/null
+++ b/tests/core/test_golden_sequence.py
@@ -0,0 +1,242 @@
+"""Seeded random sequences of events through the reducer: the outcome is the same to the digit.
+
+Each sequence's outcome (effects, permits, what the scheduler and the observer are handed, counters, sizes of
+the state) is rendered by value and compared by its digest.  The expected digests come from version 9c33a60,
+before its names and modules were changed.  Names of classes and fields don't show in the rendering: what
+builds and reads them is in ``tests/support/core_vocabulary.py``.
+"""
+
+import hashlib
+from random import Random
+
+import pytest
+
+from tests.support import core_vocabulary as core_api
+from tests.support.core_vocabulary import MS, SECOND
+
+STEPS = 1500
+UIDS = [f"node-{number}" for number in range(8)]
+WIRES = ["http", "resp"]
+
+# (seed, whether actions are random): the digest.  With random actions the scheduler's own decisions don't
+# show, and what a sensible scheduler would never ask for is asked for too.
+EXPECTED = {
+    (1, False): "7472455bd3cc756376645e1d898f83b02d819ce9054ae69545a5212009aec83a",
+    (2, False): "e658357d4256633010f2a8bd155684db28fadddc142918a576526b3ae350a3a6",
+    (3, False): "421baea157dc2704de2eb248154bb6849ff100d3975543c7bc24b56869095bbf",
+    (4, False): "71b5d5f8d8179a5d8095806f7231852323fb9eeadb8f25a97c9cd66b6b7e9bcb",
+    (1, True): "4d802653eca30a533d0325eea971ce87a190b714628d82f71ffb2e0f5a0218a7",
+    (2, True): "53c801d7d86969dff7ec7a76720ab0fdc0b0e3d24aa14f8508ab1f1e45c12f7f",
+    (3, True): "b5c43d7ed7f746c62b9ae94251cade07f6443604757ba57f1c1de540b94ff223",
+    (4, True): "8534c578d5855ca85276051ce5ba227e972eb9b46ec6cfab70ccd9d7b1964278",
+}
+
+
+class Sequence:
+    """Draws events from a seed, feeds them to a core and keeps what came of each step."""
+
+    def __init__(self, seed, random_actions):
+        self.random = Random(seed)
+        self.now = 1000 * SECOND
+        self.off_ns = self.random.choice([0, 0, 40 * SECOND, -40 * SECOND])  # the wall clock, to discovery's
+        decide = self.random_actions if random_actions else None
+        self.core = core_api.new_core(core_api.golden_settings(), seed, self.now, decide)
+        self.serial = 0
+        self.ids = []
+        self.attempts = {}  # number -> whether its first byte has left
+        self.finished = []
+        self.nodes = {}
+        self.lines = []
+        self.counters = core_api.CounterReading()
+
+    def run(self):
+        self.step([self.full_list()])
+        for number in range(STEPS):
+            self.now += int(self.random.expovariate(1 / (4 * MS)))
+            if self.random.random() < 0.01:
+                self.now += self.random.randrange(3 * SECOND)
+            if number == STEPS * 2 // 3:
+                core_api.mark_wall_clock_unreliable(self.core)
+            self.step([event for event in (self.event() for _ in range(self.count())) if event])
+        self.step([core_api.closing()])
+        for _ in range(300):
+            self.now += 20 * MS
+            self.step([])
+        self.lines.append(core_api.rendered(self.counters.since()))
+        return hashlib.sha256("\n".join(self.lines).encode()).hexdigest()
+
+    def count(self):
+        return self.random.choice([0, 1, 1, 1, 2, 3, 5])
+
+    def step(self, events):
+        scheduler, observer = self.core.scheduler, self.core.observer
+        effects = self.core.step(self.now, events)
+        for effect in effects:
+            if (sent := core_api.dispatched(effect)) is not None:
+                self.attempts[sent[0]] = False
+            if (aborted := core_api.aborted(effect)) is not None:
+                self.attempts.pop(aborted, None)
+                self.finished.append(aborted)
+        outcome = [effects, scheduler.calls, observer.calls, core_api.state(self.core)]
+        self.lines.append(core_api.rendered(outcome))
+        scheduler.calls, observer.calls = [], []
+        self.let_first_bytes_go()
+
+    def let_first_bytes_go(self):
+        """Ask for attempts' first bytes, now or some steps later, as connections do when they are up."""
+        if self.attempts and self.random.random() < 0.3:
+            any_attempt = self.random.choice(list(self.attempts))
+            self.lines.append(core_api.permit_first_byte(self.core, any_attempt, self.now)[0])
+        for attempt, begun in list(self.attempts.items()):
+            if begun or self.random.random() < 0.4:
+                continue
+            permit, wait_ns = core_api.permit_first_byte(self.core, attempt, self.now)
+            self.lines.append(permit)
+            if wait_ns is not None:
+                core_api.begin_attempt(self.core, attempt, wait_ns, self.now)
+                self.attempts[attempt] = True
+
+    def event(self):
+        kinds = [
+            (self.request, 30),
+            (self.finish, 26),
+            (self.withdraw, 3),
+            (self.written, 8),
+            (self.start_stream, 5),
+            (self.buffer_response, 3),
+            (self.disconnect, 4),
+            (self.node_delta, 4),
+            (self.full_list, 0.5),
+            (self.failed_list, 0.3),
+            (self.reconfigure, 0.7),
+            (self.call_later, 1),
+        ]
+        makers, weights = zip(*kinds, strict=True)
+        return self.random.choices(makers, weights)[0]()
+
+    def request(self):
+        self.serial += 1
+        wire = self.random.choice(WIRES)
+        known = self.ids and self.random.random() < 0.1
+        id_ = self.random.choice(self.ids[-20:]) if known else b"id-%d" % self.serial
+        if self.random.random() < 0.3:
+            id_ = b""
+        else:
+            self.ids.append(id_)
+        return core_api.request_received(
+            core_api.Sink(self.serial),
+            core_api.Payload(self.serial, wire, self.random.choice([10, 100, 400])),
+            request_class=self.random.randrange(core_api.class_count(self.core)),
+            plan=self.random.randrange(2),
+            volume=self.random.randrange(6),
+            units=self.random.choice([0.5, 1.0, 3.0]),
+            time_left_ns=self.random.choice([5, 60, 300, 900]) * MS,
+            shard=self.random.choice([None, 0, 1, 2, 3, 4, 9]),
+            key=self.random.randrange(6),
+            id_=id_,
+            write=self.random.random() < 0.3,
+        )
+
+    def any_attempt(self, begun=True):
+        """Pick an attempt that is out, or at times one that has ended or never was."""
+        if self.finished and self.random.random() < 0.05:
+            return self.random.choice(self.finished)
+        numbers = [number for number, has_begun in self.attempts.items() if has_begun is begun]
+        return self.random.choice(numbers) if numbers else self.random.randrange(1, 2000)
+
+    def end(self, attempt):
+        self.attempts.pop(attempt, None)
+        self.finished.append(attempt)
+
+    def finish(self):
+        attempt = self.any_attempt(begun=self.random.random() < 0.9)
+        succeeds = self.random.random() < 0.6
+        outcome = core_api.OUTCOME_OK if succeeds else self.random.choice(core_api.OUTCOMES)
+        self.end(attempt)
+        value = b"value-%d" % attempt if outcome is core_api.OUTCOME_OK else None
+        used_percent = self.random.choice([None, 10, 95])
+        elsewhere_units = self.random.choice([0, 0, 2])
+        return core_api.attempt_finished(attempt, outcome, value, used_percent, elsewhere_units)
+
+    def withdraw(self):
+        attempt = self.any_attempt(begun=False)
+        self.end(attempt)
+        return core_api.attempt_withdrawn(attempt)
+
+    def written(self):
+        return core_api.written(self.any_attempt())
+
+    def start_stream(self):
+        attempt = self.any_attempt()
+        return core_api.stream_started(attempt, b"head-%d" % attempt)
+
+    def buffer_response(self):
+        streaming = [number for number in self.attempts if core_api.is_streaming(self.core, number)]
+        return core_api.response_buffered(self.random.choice(streaming) if streaming else self.any_attempt())
+
+    def disconnect(self):
+        sinks = core_api.open_sinks(self.core)
+        gone = not sinks or self.random.random() < 0.1
+        return core_api.client_disconnected(core_api.Sink(0) if gone else self.random.choice(sinks))
+
+    def node(self, uid):
+        shard = UIDS.index(uid) % 6
+        endpoint = f"127.0.0.1:{9000 + shard + (100 if self.random.random() < 0.05 else 0)}"
+        states = core_api.NODE_STATES
+        node_state = self.random.choices(states, (16, 3, 3))[0]
+        old = self.nodes.get(uid)
+        started_ns = old if old is not None and self.random.random() < 0.7 else self.start_ns()
+        self.nodes[uid] = started_ns
+        rating = self.random.choice([1.0, 0.5])
+        return core_api.node(uid, endpoint, shard, node_state, started_ns, shard % 2, rating)
+
+    def start_ns(self):
+        ago = self.random.choice([0, 500 * MS, 2 * SECOND, 20 * SECOND, 3600 * SECOND])
+        return 0 if self.random.random() < 0.2 else self.now + self.off_ns - ago
+
+    def node_delta(self):
+        chosen = self.random.sample(UIDS, self.random.choice([0, 1, 1, 2]))
+        nodes = [self.node(uid) for uid in chosen]
+        heard_before = self.random.choice([0, self.now - 200 * MS])
+        return core_api.node_list(core_api.LIST_DELTA, nodes, heard_before)
+
+    def full_list(self):
+        kind = self.random.choice(core_api.LIST_KINDS[1:3])
+        return core_api.node_list(kind, [self.node(uid) for uid in UIDS if self.random.random() < 0.9], 0)
+
+    def failed_list(self):
+        return core_api.node_list(core_api.LIST_KINDS[3], [self.node(UIDS[0])], 0)
+
+    def reconfigure(self):
+        more = (core_api.fast_class(),) if core_api.class_count(self.core) > 7 else ()
+        if self.random.random() < 0.3:
+            more = (core_api.fast_class(),)
+        conf = core_api.golden_settings(self.random.choice([2, 3, 4]), more)
+        requests, held_bytes = self.random.choice([(60, 6000), (30, 3000), (8, 900)])
+        plans = [1] if self.random.random() < 0.1 else []
+        volumes = self.random.sample(range(6), self.random.choice([0, 0, 2]))
+        return core_api.reconfigured(conf, requests, held_bytes, plans, volumes)
+
+    def call_later(self):
+        number = self.serial
+        at_ns = self.now + self.random.randrange(50) * MS
+        core_api.schedule_call(self.core, at_ns, lambda: self.lines.append(f"called {number}"))
+
+    def random_actions(self, now, events):
+        ids = core_api.open_request_ids(self.core)
+        nodes = core_api.node_ids(self.core)
+        actions = [core_api.final_action(self.random, id_) for id_ in ids[:2] if len(ids) > 12]
+        for _ in range(self.random.choice([0, 1, 2, 4])):
+            request = self.random.choice(ids[-8:]) if ids and self.random.random() < 0.97 else 9999
+            if self.random.random() < 0.9:
+                chosen = core_api.node_of_request(self.core, request)
+            else:
+                chosen = self.random.choice(nodes) if nodes and self.random.random() < 0.8 else 999
+            index = self.random.choice([0, 0, 1, 2])
+            actions.append(core_api.random_action(self.random, now, request, index, chosen))
+        return actions
+
+
+@pytest.mark.parametrize("seed, random_actions", EXPECTED)
+def test_outcome_of_a_seeded_sequence_is_the_same_as_in_the_version_before(seed, random_actions):
+    assert Sequence(seed, random_actions).run() == EXPECTED[seed, random_actions]
--- /dev/null
+++ b/tests/support/core_vocabulary.py
@@ -0,0 +1,337 @@
+"""The names that the golden sequence needs of the reducer: the one place to adapt when they change.
+
+Everything here builds a value or reads one.  The digests in ``tests/core/test_golden_sequence.py`` depend
+on values and on the order of enum members, union members and fields; on no name.
+"""
+
+from dataclasses import dataclass, fields, is_dataclass
+from enum import Enum
+from typing import get_args
+
+from runloft.core import model
+from runloft.core.counters import COUNTERS, Counted
+from runloft.core.reducer import Core
+from runloft.core.timers import TimerQueue
+from runloft.decisions import contract
+from runloft.decisions.contract import (
+    ClassSettings,
+    Effect,
+    Ending,
+    Group,
+    ListKind,
+    NodeState,
+    PlanSettings,
+    Settings,
+)
+
+MS = 1_000_000
+SECOND = 1000 * MS
+
+# Position in these, not the name, stands for a type in what is rendered.
+TYPES = [
+    *get_args(model.Effect),
+    *get_args(model.Reply),
+    *get_args(contract.Event),
+    *get_args(contract.Action),
+    model.NodeUpdate,
+    contract.NodeEntry,
+    contract.Settings,
+    contract.ClassSettings,
+    contract.PlanSettings,
+]
+OBSERVER_METHODS = [name for name in vars(model.Observer) if not name.startswith("_")]
+
+
+@dataclass(eq=False)
+class Sink:
+    """A client's side of a request, known by its number."""
+
+    number: int
+
+
+@dataclass(frozen=True)
+class Payload:
+    """What a connection would write, known by its request's number."""
+
+    number: int
+    wire: str
+    held_bytes: int
+
+
+class RecordingObserver:
+    """Keeps each call as the method's position and its arguments."""
+
+    def __init__(self):
+        self.calls = []
+
+    def __getattr__(self, name):
+        position = OBSERVER_METHODS.index(name)
+        return lambda *arguments: self.calls.append((position, *arguments))
+
+
+class RecordingScheduler:
+    """Keeps what a scheduler is handed and asks for; ``decide`` may ask in the scheduler's place."""
+
+    def __init__(self, scheduler, decide=None):
+        self.scheduler = scheduler
+        self.decide = decide
+        self.calls = []
+
+    def handle(self, now, events):
+        events = list(events)
+        decide = self.decide or self.scheduler.handle
+        actions = list(decide(now, events))
+        self.calls.append((events, actions))
+        return actions
+
+
+def rendered(value):
+    """Render a value without the name of any class or field."""
+    if is_dataclass(value) and not isinstance(value, Sink | Payload):
+        content = ",".join(rendered(getattr(value, field.name)) for field in fields(value))
+        return f"<{TYPES.index(type(value)) if type(value) in TYPES else '?'}:{content}>"
+    match value:
+        case Sink(number) | Payload(number):
+            return f"#{number}"
+        case Enum() if isinstance(value, str):
+            return repr(str(value))
+        case Enum():
+            return f"@{list(type(value)).index(value)}"
+        case dict():
+            return "{" + ",".join(f"{rendered(k)}={rendered(v)}" for k, v in sorted(value.items())) + "}"
+        case frozenset():
+            return rendered(sorted(value))
+        case tuple() | list():
+            return "[" + ",".join(rendered(item) for item in value) + "]"
+        case None | bool() | int() | float() | str() | bytes():
+            return repr(value)
+    raise TypeError(f"no rendering for {type(value)}")
+
+
+def golden_settings(max_attempts=4, more_classes=()):
+    """Build settings with a class for each effect and group, a streamed and an in-order one."""
+    classes = [
+        ClassSettings(80 * MS, 700 * MS, 1.0, 0.3, Effect.SAFE),
+        ClassSettings(90 * MS, 900 * MS, 3.0, 0.0, Effect.UNSAFE),
+        ClassSettings(300 * MS, 4000 * MS, 1.0, 0.0, Effect.SAFE, streamed=True),
+        ClassSettings(70 * MS, 600 * MS, 2.0, 0.0, Effect.KEYED, Group.ALL, 250 * MS, in_order=True),
+    ]
+    classes += [
+        ClassSettings(60 * MS, 800 * MS, 1.0, 0.1, Effect.KEYED, group, 40 * MS, writes=True)
+        for group in Group
+    ]
+    return Settings(
+        classes=(*classes, *more_classes),
+        plans=(
+            PlanSettings(rate=20.0, reserve=40.0),
+            PlanSettings(rate=5.0, reserve=10.0, limit=60.0, limit_burst=40.0, limit_slack=4.0),
+        ),
+        tick_ns=2 * MS,
+        max_units=8.0,
+        cold_units=12.0,
+        cold_from=0.2,
+        cold_ns=3 * SECOND,
+        fall_multiple=2.0,
+        fall_ns=SECOND,
+        settle_ns=80 * MS,
+        budget_free=3.0,
+        budget_share=0.2,
+        budget_window_ns=2 * SECOND,
+        max_attempts=max_attempts,
+        connect_timeout_ns=40 * MS,
+        max_retry_after_ns=600 * MS,
+        may_cancel=True,
+    )
+
+
+def fast_class():
+    """Build a class that a reconfiguration adds."""
+    return ClassSettings(20 * MS, 200 * MS, 1.0, 0.0, Effect.SAFE)
+
+
+def class_is_streamed(core, number):
+    return core.settings.classes[number].streamed
+
+
+def class_count(core):
+    return len(core.settings.classes)
+
+
+def new_core(settings, seed, now, decide=None):
+    """Build a core whose scheduler and observer record what they are handed."""
+    core = Core(settings, seed, now, TimerQueue(), model.Bounds(60, 6000))
+    core.scheduler = RecordingScheduler(core.scheduler, decide)
+    core.observer = RecordingObserver()
+    return core
+
+
+def schedule_call(core, at_ns, call):
+    """Let the core's timers call a function, as connections and discovery do."""
+    return core.deadlines.add(at_ns, call)
+
+
+def open_sinks(core):
+    """Return the sinks that are owed an answer."""
+    return list(core.by_asker)
+
+
+def open_request_ids(core):
+    return list(core.requests)
+
+
+def node_ids(core):
+    return list(core.nodes)
+
+
+def node_of_request(core, request):
+    """Return a node that has the request's shard, or a number that is no node's."""
+    shard = core.requests[request].ask.shard if request in core.requests else None
+    return next((id_ for id_, node_ in core.nodes.items() if shard in (None, node_.shard)), 999)
+
+
+def is_streaming(core, attempt):
+    return core.attempts[attempt].request.streaming if attempt in core.attempts else False
+
+
+def mark_wall_clock_unreliable(core):
+    core.clock_in_doubt = True
+
+
+def state(core):
+    """Return what the core holds, by sizes and numbers."""
+    return [
+        len(core.requests),
+        len(core.by_asker),
+        len(core.attempts),
+        len(core.deadlines),
+        sorted(core.node_numbers.items()),
+        sorted(core.nodes),
+        len(core.ids),
+        [[wire, *use] for wire, use in sorted(core.use.items()) if any(use)],
+        core.start_times.shift_ns,
+        core.next_at(core.now),
+    ]
+
+
+class CounterReading:
+    """What the process's counters have gone up by since this was made."""
+
+    def __init__(self):
+        self._started = COUNTERS.requests_started
+        self._before = {what: COUNTERS.by[what].copy() for what in Counted}
+
+    def since(self):
+        rows = [sorted((str(k), n) for k, n in (COUNTERS.by[w] - self._before[w]).items()) for w in Counted]
+        return [COUNTERS.requests_started - self._started, rows]
+
+
+# Events.
+
+
+def request_received(
+    sink, payload, *, request_class, plan, volume, units, time_left_ns, shard, key, id_, write
+):
+    request = model.RequestSpec(
+        request_class, plan, volume, units, time_left_ns, shard, payload, key, 2.0, write, key % 2 == 1, id_
+    )
+    return model.Taken(sink, request)
+
+
+def client_disconnected(sink):
+    return model.Left(sink)
+
+
+def stream_started(attempt, value):
+    return model.Began(attempt, value)
+
+
+def response_buffered(attempt):
+    return model.Held(attempt)
+
+
+def attempt_finished(attempt, outcome, value, used_percent, elsewhere_units):
+    return model.Ended(attempt, outcome, value, used_percent, elsewhere_units)
+
+
+def attempt_withdrawn(attempt):
+    return model.AttemptWithdrawn(attempt)
+
+
+def written(attempt):
+    return model.Written(attempt)
+
+
+def node(uid, endpoint, shard, state_, started_ns, zone, rating):
+    return model.NodeUpdate(uid, endpoint, shard, state_, started_ns, zone, rating)
+
+
+def node_list(kind, nodes, heard_before):
+    return model.NodeListUpdate(kind, tuple(nodes), heard_before)
+
+
+def reconfigured(settings, requests, held_bytes, plans, volumes):
+    suspended = model.SuspendedVolumes(frozenset(plans), frozenset(volumes))
+    return model.Reconfigured(settings, model.Bounds(requests, held_bytes), suspended)
+
+
+def closing():
+    return model.Closing()
+
+
+OUTCOMES = list(Ending)
+OUTCOME_OK = Ending.OK
+LIST_DELTA = ListKind.DELTA
+LIST_KINDS = list(ListKind)
+NODE_STATES = list(NodeState)
+
+
+# Effects of the reducer, and actions of a scheduler.
+
+
+def dispatched(effect):
+    """Return the attempt's number, its node's id and its wait where the effect sends one."""
+    match effect:
+        case model.Dispatch(attempt, node_, _, wait_ns):
+            return attempt, node_.uid, wait_ns
+    return None
+
+
+def aborted(effect):
+    """Return the attempt's number where the effect closes its connection."""
+    match effect:
+        case model.AbortAttempt(attempt):
+            return attempt
+    return None
+
+
+def permit_first_byte(core, attempt, now):
+    """Return the whole permit, as rendered, and whether the first byte may leave."""
+    permit = core.permit_first_byte(attempt, now)
+    return rendered([permit.wait_ns, permit.refusal, permit.verify]), permit.wait_ns if permit else None
+
+
+def begin_attempt(core, attempt, wait_ns, now):
+    core.begin_attempt(attempt, wait_ns, now)
+
+
+def final_action(random, request):
+    """Build an action that ends a request."""
+    return contract.Fail(request) if random.random() < 0.3 else contract.Refuse(request, 20 * MS)
+
+
+def random_action(random, now, request, attempt_index, node_):
+    """Build an action that a scheduler may or may not sensibly ask for."""
+    match random.choices(range(7), (40, 8, 8, 8, 6, 1, 1))[0]:
+        case 0:
+            return contract.Send(request, node_, random.choice([0, 30 * MS, 120 * MS]))
+        case 1:
+            return contract.Refuse(request, random.choice([0, 50 * MS]))
+        case 2:
+            return contract.Fail(request)
+        case 3:
+            return contract.Cancel(request, attempt_index)
+        case 4:
+            return contract.Timer(now + random.randrange(-5, 60) * MS, random.randrange(9))
+        case 5:
+            return contract.Forget(node_)
+    return random.choice([contract.Probe(node_), contract.Subscribe()])
