--- a/runloft/accounts/ledger.py
+++ b/runloft/accounts/ledger.py
@@ -9,7 +9,7 @@
 
 from runloft.accounts.node import NodeLog
 from runloft.accounts.parts import Account, Part
-from runloft.decisions.contract import Ending, Settings
+from runloft.decisions.contract import AttemptOutcome, Settings
 
 MOST_VOLUMES = 10_000
 MOST_NAMED = 16  # of those a volume waited for
@@ -103,11 +103,11 @@
 
     def configured(self, settings: Settings) -> None:
         """Go by these classes' aims; classes keep their numbers, more may come."""
-        self.aims_ns = tuple(klass.aim_ns for klass in settings.classes)
+        self.aims_ns = tuple(request_class.latency_objective_ns for request_class in settings.classes)
 
-    def taken(self, id_: int, now: int, volume: int, klass: int, plan: int, units: float) -> None:
+    def taken(self, id_: int, now: int, volume: int, request_class: int, plan: int, units: float) -> None:
         """Note that a request was taken."""
-        self.open[id_] = Account(volume, klass, plan, units, now)
+        self.open[id_] = Account(volume, request_class, plan, units, now)
 
     def held(self, id_: int, now: int, node: int | None, why: str) -> None:
         """Note that it is held here, for this node where it is known for which."""
@@ -144,19 +144,19 @@
         if (account := self.open.get(id_)) is not None:
             account.turn(now, Part.READER)
 
-    def returned(self, attempt: int, now: int, ending: Ending) -> None:
+    def returned(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
         """Note that an attempt is over, whether its request still waits or not."""
         known = self._attempts.pop(attempt, None)
         if known is None:
             return
         id_, node, volume, units = known
-        served = ending in (Ending.OK, Ending.ERROR)
+        served = outcome in (AttemptOutcome.OK, AttemptOutcome.ERROR)
         if (log := self.nodes.get(node)) is not None:
             log.returned(now, volume, units, served)
         account = self.open.get(id_)
         if account is None:
             return
-        account.turn(now, Part.READER if ending is Ending.OK else Part.BETWEEN)
+        account.turn(now, Part.READER if outcome is AttemptOutcome.OK else Part.BETWEEN)
 
     def over(self, id_: int, now: int, served: bool) -> None:
         """Note that it has its final answer, or that its client is gone."""
@@ -165,7 +165,7 @@
             return
         account.end(now)
         totals = self._totals(account.volume)
-        late = served and account.whole > self.aims_ns[account.klass]
+        late = served and account.whole > self.aims_ns[account.request_class]
         totals.add(account, served, late)
         self._settle(id_, account, account.since)
 
--- a/runloft/accounts/parts.py
+++ b/runloft/accounts/parts.py
@@ -26,7 +26,7 @@
     """The time of one request, from when it was taken to its last byte."""
 
     volume: int
-    klass: int
+    request_class: int
     plan: int
     units: float
     began: int
--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -15,8 +15,8 @@
 from runloft.core.model import Bounds, SuspendedVolumes
 from runloft.decisions import contract
 
-EFFECTS = {"retryable": contract.Effect.SAFE, "dedup": contract.Effect.KEYED}
-GROUPS = {"all": contract.Group.ALL, "zone": contract.Group.ZONE}
+EFFECTS = {"retryable": contract.Effect.IDEMPOTENT, "dedup": contract.Effect.IDEMPOTENT_WITH_KEY}
+GROUPS = {"all": contract.IdempotencyScope.ALL, "zone": contract.IdempotencyScope.ZONE}
 REPORT_FIELDS = {
     "rif": "inflight",
     "q": "queue",
@@ -203,11 +203,11 @@
         faults.append("settings.Classes: at least one class is wanted")
     if not settings.plans:
         faults.append("settings.ServiceLevels: at least one plan is wanted")
-    for index, klass in enumerate(settings.classes):
+    for index, request_class in enumerate(settings.classes):
         path = f"settings.Classes.{index}"
-        if klass.deadline_ns <= 0:
+        if request_class.deadline_ns <= 0:
             faults.append(f"{path}.HardLimit: a positive time is wanted")
-        if klass.aim_ns <= 0:
+        if request_class.latency_objective_ns <= 0:
             faults.append(f"{path}.Target: a positive time is wanted")
         if pairs.get(f"Classes.{index}.Effect") not in (*EFFECTS, "fragile", None):
             faults.append(f"{path}.Effect: one of {', '.join(EFFECTS)}, fragile is wanted")
@@ -359,13 +359,13 @@
         deadline = integer(path + "HardLimit")
         classes.append(
             contract.ClassSettings(
-                aim_ns=integer(path + "Target", deadline),
+                latency_objective_ns=integer(path + "Target", deadline),
                 deadline_ns=deadline,
-                worth=number(path + "Importance", 1.0),
-                late_worth=number(path + "LateValue"),
-                effect=EFFECTS.get(raw.get(path + "Effect", ""), contract.Effect.UNSAFE),
-                group=GROUPS.get(raw.get(path + "Group", ""), contract.Group.SHARD),
-                window_ns=integer(path + "Window"),
+                priority_weight=number(path + "Importance", 1.0),
+                late_priority_weight=number(path + "LateValue"),
+                effect=EFFECTS.get(raw.get(path + "Effect", ""), contract.Effect.NOT_IDEMPOTENT),
+                group=GROUPS.get(raw.get(path + "Group", ""), contract.IdempotencyScope.SHARD),
+                idempotency_window_ns=integer(path + "Window"),
                 in_order=flag(path + "InTurn"),
                 streamed=flag(path + "Streamed"),
                 writes=index < len(writes) and writes[index] == "true",
@@ -394,26 +394,26 @@
         tick_ns=integer("Tick", 1_000_000),
         mean_units=number("Extra.UsualUnits", 1.0),
         max_units=number("Extra.MaxUnits", 1.0),
-        share_worth=number("Extra.WithinShare", 1.0),
-        spare_worth=number("Extra.BeyondShare", 1.0),
-        cold_units=number("Extra.ColdUnits"),
-        cold_from=number("Safety.ColdFrom", 1.0),
-        cold_ns=integer("Safety.Cold"),
-        fall_multiple=number("Safety.FallMultiple", 1.0),
-        fall_ns=integer("Safety.Fall"),
-        settle_ns=integer("Safety.SettleAfterDoubt"),
-        budget_free=number("Safety.ExtraFloor"),
-        budget_share=number("Safety.ResendRatio"),
-        budget_window_ns=integer("Safety.LookBack"),
+        within_quota_factor=number("Extra.WithinShare", 1.0),
+        beyond_quota_factor=number("Extra.BeyondShare", 1.0),
+        slow_start_units=number("Extra.ColdUnits"),
+        slow_start_initial_fraction=number("Safety.ColdFrom", 1.0),
+        slow_start_ns=integer("Safety.Cold"),
+        overload_multiple=number("Safety.FallMultiple", 1.0),
+        overload_window_ns=integer("Safety.Fall"),
+        ambiguity_wait_ns=integer("Safety.SettleAfterDoubt"),
+        retry_budget_base=number("Safety.ExtraFloor"),
+        retry_budget_ratio=number("Safety.ResendRatio"),
+        retry_budget_window_ns=integer("Safety.LookBack"),
         max_attempts=integer("Limits.AttemptsCap", 1),
         connect_timeout_ns=integer("Limits.ConnectTimeout"),
         max_retry_after_ns=integer("Limits.MaxRetryAfter"),
         may_cancel=flag("Limits.Cancel"),
-        may_probe=flag("Limits.MayProbe"),
-        may_duplicate=flag("Limits.MayDuplicate"),
-        list_is_asked_for=raw.get("Discovery") == "subscribe",
-        ask_every_ns=integer("Safety.AskEvery"),
-        meter_ns=integer("Extra.UsePeriod"),
-        tells_elsewhere=flag("Extra.TellsElsewhere"),
+        may_health_check=flag("Limits.MayProbe"),
+        may_hedge=flag("Limits.MayDuplicate"),
+        list_is_polled=raw.get("Discovery") == "subscribe",
+        poll_interval_ns=integer("Safety.AskEvery"),
+        load_report_interval_ns=integer("Extra.UsePeriod"),
+        reports_load_elsewhere=flag("Extra.TellsElsewhere"),
         report_fields=tuple(REPORT_FIELDS.get(name, name) for name in names if name),
     )
--- a/runloft/core/guard.py
+++ b/runloft/core/guard.py
@@ -94,11 +94,11 @@
 
 
 def permit_start(
-    open_requests: int, held_bytes: int, size: int, bounds: Bounds, id_known: bool, suspended: bool
+    open_requests: int, buffered_bytes: int, size: int, bounds: Bounds, id_known: bool, suspended: bool
 ) -> StartRefusal | None:
-    """Say why a request that was read may not be taken on; ``size`` and ``held_bytes`` are bytes."""
+    """Say why a request that was read may not be taken on; ``size`` and ``buffered_bytes`` are bytes."""
     full = open_requests >= WIRE_PART * bounds.requests
-    if full or held_bytes + size > WIRE_PART * bounds.held_bytes:
+    if full or buffered_bytes + size > WIRE_PART * bounds.buffered_bytes:
         return StartRefusal.NO_ROOM  # memory, whatever the clients do
     if suspended:
         return StartRefusal.SUSPENDED
@@ -109,11 +109,11 @@
     """Say why no further attempt may leave for a request of which one may have run."""
     if request.doubt_at is None:
         return None
-    klass = settings.classes[request.ask.klass]
-    if klass.effect is Effect.UNSAFE:
+    request_class = settings.classes[request.ask.request_class]
+    if request_class.effect is Effect.NOT_IDEMPOTENT:
         return SendRefusal.MAY_HAVE_RUN
-    closes_at = request.doubt_at + klass.window_ns
-    if klass.effect is Effect.KEYED and now + settings.tick_ns >= closes_at:
+    closes_at = request.doubt_at + request_class.idempotency_window_ns
+    if request_class.effect is Effect.IDEMPOTENT_WITH_KEY and now + settings.tick_ns >= closes_at:
         return SendRefusal.REPEAT_WINDOW_CLOSED
     return None
 
@@ -130,7 +130,7 @@
         return SendRefusal.NO_ATTEMPTS_LEFT
     if request.ask.shard not in (None, node.shard):
         return SendRefusal.OTHER_SHARD
-    if request.out and not settings.may_duplicate:
+    if request.out and not settings.may_hedge:
         return SendRefusal.ANOTHER_IS_OUT
     if node.state is NodeState.GONE:
         return SendRefusal.NODE_GONE
@@ -155,7 +155,7 @@
         return SendPermit(refusal=SendRefusal.TIME_IS_UP)
     request = attempt.request
     seen_now = now - request.received_at <= VERIFY_AFTER_NS
-    return SendPermit(wait_ns, verify=None if seen_now else request.asker)
+    return SendPermit(wait_ns, verify=None if seen_now else request.sink)
 
 
 def _node_refusal(then: NodeUpdate, now: NodeUpdate | None) -> SendRefusal | None:
--- a/runloft/core/invariants.py
+++ b/runloft/core/invariants.py
@@ -54,7 +54,7 @@
             self.violated(Violation.SENT_AFTER_CLIENT_LEFT, request=request.id, attempt=attempt.number)
         if told_ns > request.deadline - now + TOLD_SLACK_NS:
             self.violated(Violation.TOLD_TOO_MUCH, request=request.id, attempt=attempt.number)
-        if len(request.out) > 1 and not settings.may_duplicate:
+        if len(request.out) > 1 and not settings.may_hedge:
             self.violated(Violation.SECOND_COPY, request=request.id, attempt=attempt.number)
         if node is None or node.state is not NodeState.READY:
             self.violated(Violation.SENT_TO_DRAINING, request=request.id, attempt=attempt.number)
--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from runloft.decisions.contract import Ending, ListKind, NodeState, Settings
+from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState, Settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,10 +14,10 @@
     """What may be held at once; it follows the limits that the scheduler is given."""
 
     requests: int = 2048
-    held_bytes: int = 48 << 20  # of bodies together
+    buffered_bytes: int = 48 << 20  # of bodies together
 
 
-HELD_NS = 1_000_000_000  # when to come back to what is held
+SUSPENDED_RETRY_AFTER_NS = 1_000_000_000  # when to come back to what is held
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
         """The name of the link that can write it."""
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """How much memory it holds while its request is open."""
 
 
@@ -48,7 +48,7 @@
 class RequestSpec:
     """A request as its front read it."""
 
-    klass: int
+    request_class: int
     plan: int
     volume: int
     units: float
@@ -89,31 +89,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Shed:
     """Not served, and trying again is harmless; 0: no time named.
 
     ``cause``: how the last attempt ended, TIMEOUT also where the request's time has run out.
     """
 
     retry_after_ns: int = 0
-    cause: Ending | None = None
+    cause: AttemptOutcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
     """Not served; ``cause`` is how the last attempt ended, if there was one."""
 
-    cause: Ending | None = None
+    cause: AttemptOutcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Rejected:
+class InvalidRequest:
     """Not a request that can be taken: it is an error and nothing of it has run."""
 
     reason: str
 
 
-Reply = Served | Refused | Failed | Rejected
+Reply = Served | Shed | Failed | InvalidRequest
 
 
 class ResponseSink(Protocol):
@@ -125,7 +125,7 @@
     def begin(self, value: object, node: str, shard: int) -> None:
         """Take the start of a streamed answer; its end comes as the final answer."""
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Look whether its client has gone, without waiting for the loop to notice."""
 
 
@@ -133,22 +133,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class RequestReceived:
     """A request was read whole."""
 
-    asker: ResponseSink
+    sink: ResponseSink
     ask: RequestSpec
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class ClientDisconnected:
     """The client of a request went away."""
 
-    asker: ResponseSink
+    sink: ResponseSink
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class StreamStarted:
     """An attempt's answer began and is passed on as it comes."""
 
     attempt: int
@@ -156,18 +156,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class ResponseBuffered:
     """A streamed answer waits for its client: the node's work on it no longer shows in the time."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptFinished:
     """An attempt is over and its connection carries nothing of it any more."""
 
     attempt: int
-    ending: Ending
+    outcome: AttemptOutcome
     value: object = None
     used_percent: int | None = None
     elsewhere_units: int = 0
@@ -181,7 +181,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class RequestWritten:
     """An attempt's last byte has left; links tell it where accounts are kept."""
 
     attempt: int
@@ -206,12 +206,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class ShutdownStarted:
     """The scheduler is about to exit: what is open gets its final answer now."""
 
 
 Event = (
-    Taken | Left | Began | Held | Ended | AttemptWithdrawn | Written | NodeListUpdate | Reconfigured | Closing
+    RequestReceived
+    | ClientDisconnected
+    | StreamStarted
+    | ResponseBuffered
+    | AttemptFinished
+    | AttemptWithdrawn
+    | RequestWritten
+    | NodeListUpdate
+    | Reconfigured
+    | ShutdownStarted
 )
 
 
@@ -221,7 +230,7 @@
     def configured(self, settings: Settings) -> None:
         """Go by these classes from now on; what is open keeps its numbers."""
 
-    def taken(self, id_: int, now: int, volume: int, klass: int, plan: int, units: float) -> None:
+    def taken(self, id_: int, now: int, volume: int, request_class: int, plan: int, units: float) -> None:
         """Note that a request was taken."""
 
     def held(self, id_: int, now: int, node: int | None, why: str) -> None:
@@ -236,7 +245,7 @@
     def reading(self, attempt: int, now: int) -> None:
         """Note that the node has served it, and from here on it waits for its own client."""
 
-    def returned(self, attempt: int, now: int, ending: Ending) -> None:
+    def returned(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
         """Note that the attempt is over."""
 
     def over(self, id_: int, now: int, served: bool) -> None:
@@ -270,21 +279,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class SendResponse:
     """Give a request its final answer."""
 
-    asker: ResponseSink
+    sink: ResponseSink
     reply: Reply
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class StartResponse:
     """Give a request the start of its streamed answer."""
 
-    asker: ResponseSink
+    sink: ResponseSink
     value: object
     node: str
     shard: int
 
 
-Effect = Dispatch | AbortAttempt | Answer | Begin
+Effect = Dispatch | AbortAttempt | SendResponse | StartResponse
--- a/runloft/core/records.py
+++ b/runloft/core/records.py
@@ -4,7 +4,7 @@
 
 from runloft.core.model import NodeUpdate, RequestSpec, ResponseSink
 from runloft.core.timers import TimerHandle
-from runloft.decisions.contract import Ending
+from runloft.decisions.contract import AttemptOutcome
 
 
 @dataclass(slots=True, eq=False)
@@ -12,7 +12,7 @@
     """A request until it is answered and none of its attempts is out."""
 
     id: int
-    asker: ResponseSink
+    sink: ResponseSink
     ask: RequestSpec
     deadline: int
     received_at: int = 0
@@ -20,7 +20,7 @@
     out: dict[int, int] = field(default_factory=dict)  # its number of an attempt -> the attempt
     over: bool = False
     streaming: bool = False
-    last: Ending | None = None
+    last: AttemptOutcome | None = None
     doubt_at: int | None = None  # when the first attempt left that may have run
 
 
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -16,44 +16,47 @@
 from runloft.core.guard import SendPermit, SendRefusal, StartRefusal
 from runloft.core.invariants import INVARIANTS
 from runloft.core.model import (
-    HELD_NS,
+    SUSPENDED_RETRY_AFTER_NS,
     AbortAttempt,
-    Answer,
+    AttemptFinished,
     AttemptWithdrawn,
-    Began,
-    Begin,
     Bounds,
-    Closing,
+    ClientDisconnected,
     Dispatch,
     Effect,
-    Ended,
     Event,
     Failed,
-    Held,
-    Left,
+    InvalidRequest,
     NodeListUpdate,
     NodeUpdate,
     Observer,
     Reconfigured,
-    Refused,
-    Rejected,
+    RequestReceived,
     RequestSpec,
+    RequestWritten,
+    ResponseBuffered,
     ResponseSink,
+    SendResponse,
     Served,
+    Shed,
+    ShutdownStarted,
+    StartResponse,
+    StreamStarted,
     SuspendedVolumes,
-    Taken,
-    Written,
 )
 from runloft.core.records import Attempt, PendingRequest
 from runloft.core.start_times import StartTimes
 from runloft.core.timers import TimerQueue
 from runloft.core.trace import trace
 from runloft.decisions import contract
-from runloft.decisions.contract import Ending, ListKind, NodeState, Settings
+from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState, Settings
 from runloft.decisions.policy import NEVER_RAN, Scheduler
 
 log = structlog.get_logger()
-UNANSWERED = (Ending.TIMEOUT, Ending.CANCELLED)  # endings that are ours: the node may have nothing of it
+UNANSWERED = (
+    AttemptOutcome.TIMEOUT,
+    AttemptOutcome.CANCELLED,
+)  # endings that are ours: the node may have nothing of it
 USED_NS = 2_000_000_000  # so long an id that is no longer open is still known
 
 
@@ -77,7 +80,7 @@
         self.now = now
         self.scheduler = Scheduler(settings, seed, now)
         self.requests: dict[int, PendingRequest] = {}
-        self.by_asker: dict[ResponseSink, PendingRequest] = {}
+        self.by_sink: dict[ResponseSink, PendingRequest] = {}
         self.attempts: dict[int, Attempt] = {}
         self.nodes: dict[int, NodeUpdate] = {}
         self.start_times = StartTimes()
@@ -116,22 +119,29 @@
         told, self._next_turn = self._next_turn, []
         for event in events:
             match event:
-                case Taken(asker, ask):
-                    self._take(asker, ask, now, told, effects)
-                case Left(asker):
-                    self._leave(asker, told, effects)
-                case Began(attempt, value):
+                case RequestReceived(sink, ask):
+                    self._take(sink, ask, now, told, effects)
+                case ClientDisconnected(sink):
+                    self._leave(sink, told, effects)
+                case StreamStarted(attempt, value):
                     self._began(attempt, value, told, effects)
-                case Held(attempt):
+                case ResponseBuffered(attempt):
                     self._held(attempt, now, told)
                 case AttemptWithdrawn(attempt) if attempt in self.attempts:
                     # Guards the node's record: that nothing was sent says nothing of it.
                     gone = self.attempts[attempt].request.over
-                    self._ended(Ended(attempt, Ending.CANCELLED if gone else Ending.MOOT), now, told, effects)
-                case Written(attempt):
+                    self._ended(
+                        AttemptFinished(
+                            attempt, AttemptOutcome.CANCELLED if gone else AttemptOutcome.NOT_SENT
+                        ),
+                        now,
+                        told,
+                        effects,
+                    )
+                case RequestWritten(attempt):
                     if self.observer is not None:
                         self.observer.written(attempt, now)
-                case Ended():
+                case AttemptFinished():
                     self._ended(event, now, told, effects)
                 case NodeListUpdate():
                     told.append(self._listed(event, now))
@@ -140,8 +150,8 @@
                     if self.observer is not None:
                         self.observer.configured(settings)
                     told.append(contract.NewSettings(settings))
-                case Closing():
-                    told.append(contract.Closing())
+                case ShutdownStarted():
+                    told.append(contract.ShutdownStarted())
         for item in self.deadlines.sweep(now):
             match item:
                 case contract.TimerFired():
@@ -149,7 +159,7 @@
                 case AttemptDue(attempt) if attempt in self.attempts:
                     # Closed before the module hears of it: no resend can pass a copy that is still out.
                     effects.append(AbortAttempt(attempt))
-                    self._ended(Ended(attempt, Ending.TIMEOUT), now, told, effects)
+                    self._ended(AttemptFinished(attempt, AttemptOutcome.TIMEOUT), now, told, effects)
                 case _ if callable(item):
                     item()
         if told:
@@ -159,13 +169,13 @@
 
     def _take(
         self,
-        asker: ResponseSink,
+        sink: ResponseSink,
         ask: RequestSpec,
         now: int,
         told: list[contract.Event],
         effects: list[Effect],
     ) -> None:
-        size, use = ask.payload.held_bytes, self.use.setdefault(ask.payload.wire, [0, 0])
+        size, use = ask.payload.buffered_bytes, self.use.setdefault(ask.payload.wire, [0, 0])
         name = (ask.payload.wire, ask.id)
         refusal = guard.permit_start(
             use[0],
@@ -177,22 +187,22 @@
         )
         if refusal is not None:
             COUNTERS.add(Counted.NOT_STARTED, refusal)
-            effects.append(Answer(asker, self._not_started(refusal)))
+            effects.append(SendResponse(sink, self._not_started(refusal)))
             return
         COUNTERS.requests_started += 1
         self.ids.add(name)
         use[0], use[1] = use[0] + 1, use[1] + size
-        request = PendingRequest(next(self._request_ids), asker, ask, now + ask.time_left_ns, now)
-        self.requests[request.id] = self.by_asker[asker] = request
+        request = PendingRequest(next(self._request_ids), sink, ask, now + ask.time_left_ns, now)
+        self.requests[request.id] = self.by_sink[sink] = request
         if self.observer is not None:
-            self.observer.taken(request.id, now, ask.volume, ask.klass, ask.plan, ask.units)
+            self.observer.taken(request.id, now, ask.volume, ask.request_class, ask.plan, ask.units)
             self.observer.held(request.id, now, *self._why(ask.shard, now))
         if trace.enabled:
             trace("request", request=request.id, id=ask.id, time_left_ms=ask.time_left_ns // 1_000_000)
         told.append(
             contract.Request(
                 id=request.id,
-                klass=ask.klass,
+                request_class=ask.request_class,
                 plan=ask.plan,
                 volume=ask.volume,
                 units=ask.units,
@@ -205,13 +215,17 @@
             )
         )
 
-    def _not_started(self, refusal: StartRefusal) -> Refused | Rejected:
+    def _not_started(self, refusal: StartRefusal) -> Shed | InvalidRequest:
         match refusal:
             case StartRefusal.ID_IN_USE:  # a node would take the second request for a copy of the first
-                return Rejected("this id is another request's")
+                return InvalidRequest("this id is another request's")
             case StartRefusal.SUSPENDED:
-                return Refused(min(HELD_NS, self.settings.max_retry_after_ns or HELD_NS))
-        return Refused()
+                return Shed(
+                    min(
+                        SUSPENDED_RETRY_AFTER_NS, self.settings.max_retry_after_ns or SUSPENDED_RETRY_AFTER_NS
+                    )
+                )
+        return Shed()
 
     def _why(self, shard: int | None, now: int) -> tuple[int | None, str]:
         """Say which node a request waits for, and why it may not leave at once."""
@@ -222,10 +236,10 @@
         if news.state is not NodeState.READY:
             return node, "drain"
         started_ns = self.start_times.own_ns(news.uid)
-        return node, "cold" if now - started_ns < self.settings.cold_ns else "bound"
+        return node, "cold" if now - started_ns < self.settings.slow_start_ns else "bound"
 
-    def _leave(self, asker: ResponseSink, told: list[contract.Event], effects: list[Effect]) -> None:
-        request = self.by_asker.get(asker)
+    def _leave(self, sink: ResponseSink, told: list[contract.Event], effects: list[Effect]) -> None:
+        request = self.by_sink.get(sink)
         if request is None or request.over:
             return
         COUNTERS.add(Counted.CANCELLED, SendRefusal.CLIENT_LEFT)
@@ -236,9 +250,9 @@
             for attempt in list(request.out.values()):
                 effects.append(AbortAttempt(attempt))
                 if self.observer is not None:
-                    self.observer.returned(attempt, self.now, Ending.CANCELLED)
+                    self.observer.returned(attempt, self.now, AttemptOutcome.CANCELLED)
                 if not self.attempts[attempt].told:
-                    self._next_turn.append(self._outcome(self.attempts[attempt], Ending.CANCELLED, 0))
+                    self._next_turn.append(self._outcome(self.attempts[attempt], AttemptOutcome.CANCELLED, 0))
                 self._forget(self.attempts[attempt])
         told.append(contract.ClientGone(request.id))
         self._tidy(request)
@@ -251,7 +265,7 @@
         self.deadlines.discard(attempt.due)
         request.streaming, attempt.due = True, None
         told.append(contract.StreamStarted(request.id, self._index(attempt), attempt.node))
-        effects.append(Begin(request.asker, value, news.uid, news.shard))
+        effects.append(StartResponse(request.sink, value, news.uid, news.shard))
 
     def _held(self, number: int, now: int, told: list[contract.Event]) -> None:
         """Tell the module that the node has served.
@@ -265,47 +279,54 @@
         attempt.told = True
         if self.observer is not None:
             self.observer.reading(number, now)
-        outcome = self._outcome(attempt, Ending.OK, now - attempt.sent_at)
-        told.append(replace(outcome, complete=True))
+        result = self._outcome(attempt, AttemptOutcome.OK, now - attempt.sent_at)
+        told.append(replace(result, complete=True))
 
-    def _ended(self, event: Ended, now: int, told: list[contract.Event], effects: list[Effect]) -> None:
+    def _ended(
+        self, event: AttemptFinished, now: int, told: list[contract.Event], effects: list[Effect]
+    ) -> None:
         attempt = self.attempts.get(event.attempt)
         if attempt is None:
             return  # late news of what has ended
         request, news = attempt.request, attempt.news
-        request.last = event.ending
-        never_began = event.ending in UNANSWERED and not attempt.begun
-        if event.ending not in NEVER_RAN and not never_began and request.doubt_at is None:
+        request.last = event.outcome
+        never_started = event.outcome in UNANSWERED and not attempt.begun
+        if event.outcome not in NEVER_RAN and not never_started and request.doubt_at is None:
             request.doubt_at = attempt.sent_at
         if trace.enabled:
-            trace("attempt over", request=request.id, attempt=attempt.number, ending=event.ending.value)
+            trace("attempt over", request=request.id, attempt=attempt.number, outcome=event.outcome.value)
         if self.observer is not None:
-            self.observer.returned(event.attempt, now, event.ending)
-        if not request.over and event.ending is Ending.OK:
+            self.observer.returned(event.attempt, now, event.outcome)
+        if not request.over and event.outcome is AttemptOutcome.OK:
             self._over(request)
             if trace.enabled:
                 trace("request served", request=request.id, id=request.ask.id, node=news.uid)
-            effects.append(Answer(request.asker, Served(event.value, news.uid, news.shard)))
+            effects.append(SendResponse(request.sink, Served(event.value, news.uid, news.shard)))
         elif not request.over and request.streaming:  # the client has part of it: this is the end
             self._over(request)
-            effects.append(Answer(request.asker, Failed(event.ending)))
+            effects.append(SendResponse(request.sink, Failed(event.outcome)))
         if not attempt.told:
             told.append(
                 self._outcome(
-                    attempt, event.ending, now - attempt.sent_at, event.used_percent, event.elsewhere_units
+                    attempt, event.outcome, now - attempt.sent_at, event.used_percent, event.elsewhere_units
                 )
             )
         self._forget(attempt)
         self._tidy(request)
 
     def _outcome(
-        self, attempt: Attempt, ending: Ending, latency: int, used: int | None = None, elsewhere: int = 0
-    ) -> contract.Outcome:
+        self,
+        attempt: Attempt,
+        outcome: AttemptOutcome,
+        latency: int,
+        used: int | None = None,
+        elsewhere: int = 0,
+    ) -> contract.AttemptResult:
         request = attempt.request
         index = self._index(attempt)
-        never_began = ending in UNANSWERED and not attempt.begun
-        return contract.Outcome(
-            request.id, index, attempt.node, ending, request.over, latency, used, elsewhere, never_began
+        never_started = outcome in UNANSWERED and not attempt.begun
+        return contract.AttemptResult(
+            request.id, index, attempt.node, outcome, request.over, latency, used, elsewhere, never_started
         )
 
     def _index(self, attempt: Attempt) -> int:
@@ -321,15 +342,15 @@
         """Note that the client has its final answer or is gone; nothing is owed from here on."""
         request.over = True
         if self.observer is not None:
-            self.observer.over(request.id, self.now, request.last is Ending.OK)
-        del self.by_asker[request.asker]
+            self.observer.over(request.id, self.now, request.last is AttemptOutcome.OK)
+        del self.by_sink[request.sink]
 
     def _tidy(self, request: PendingRequest) -> None:
         if request.over and not request.out and request.id in self.requests:
             del self.requests[request.id]
             use, payload = self.use[request.ask.payload.wire], request.ask.payload
             self._used.append((self.now, (payload.wire, request.ask.id)))
-            use[0], use[1] = use[0] - 1, use[1] - payload.held_bytes
+            use[0], use[1] = use[0] - 1, use[1] - payload.buffered_bytes
 
     def _listed(self, event: NodeListUpdate, now: int) -> contract.NodeList:
         kind, changed = event.kind, {}
@@ -367,35 +388,37 @@
 
     def _act(self, action: contract.Action, now: int, effects: list[Effect]) -> None:
         match action:
-            case contract.Send(id_, node, timeout_ns):
+            case contract.SendAttempt(id_, node, timeout_ns):
                 self._send(id_, node, timeout_ns, now, effects)
-            case contract.Refuse(id_, retry_after_ns):
-                self._final(id_, Refused(retry_after_ns, self._cause(id_, now)), effects)
-            case contract.Fail(id_):
+            case contract.ShedRequest(id_, retry_after_ns):
+                self._final(id_, Shed(retry_after_ns, self._cause(id_, now)), effects)
+            case contract.FailRequest(id_):
                 cause = self._cause(id_, now)
                 harmless = self._withdraw(id_, now, effects)
-                self._final(id_, Refused(0, cause) if harmless else Failed(cause), effects)
-            case contract.Cancel(id_, index):
+                self._final(id_, Shed(0, cause) if harmless else Failed(cause), effects)
+            case contract.CancelAttempt(id_, index):
                 request = self.requests.get(id_)
                 number = request.out.get(index) if request else None
                 if request and number is not None and not request.streaming:
                     attempt = self.attempts[number]
                     effects.append(AbortAttempt(number))
                     if self.observer is not None:
-                        self.observer.returned(number, now, Ending.CANCELLED)
-                    self._next_turn.append(self._outcome(attempt, Ending.CANCELLED, now - attempt.sent_at))
+                        self.observer.returned(number, now, AttemptOutcome.CANCELLED)
+                    self._next_turn.append(
+                        self._outcome(attempt, AttemptOutcome.CANCELLED, now - attempt.sent_at)
+                    )
                     self._forget(attempt)
                     self._tidy(request)
             case contract.Timer(at_ns, token):
                 self.deadlines.add(max(at_ns, now + 1), contract.TimerFired(token))
-            case contract.Forget(node):
+            case contract.ForgetNode(node):
                 news = self.nodes.pop(node, None)
                 if news is not None:
                     del self.node_numbers[news.uid]
                     self.start_times.forget(news.uid)
                     if self.observer is not None:
                         self.observer.forget(node)
-            case contract.Probe() | contract.Subscribe():
+            case contract.HealthCheck() | contract.WatchNodeList():
                 pass  # nodes may not be probed here, and the watch is always open
 
     def _withdraw(self, id_: int, now: int, effects: list[Effect]) -> bool:
@@ -410,21 +433,23 @@
         for attempt in attempts:
             effects.append(AbortAttempt(attempt.number))
             if self.observer is not None:
-                self.observer.returned(attempt.number, now, Ending.CANCELLED)
-            self._next_turn.append(self._outcome(attempt, Ending.CANCELLED, now - attempt.sent_at))
+                self.observer.returned(attempt.number, now, AttemptOutcome.CANCELLED)
+            self._next_turn.append(self._outcome(attempt, AttemptOutcome.CANCELLED, now - attempt.sent_at))
             self._forget(attempt)
         return True
 
     def _send(self, id_: int, node: int, timeout_ns: int, now: int, effects: list[Effect]) -> None:
         request, news = self.requests.get(id_), self.nodes.get(node)
         if request is None or news is None:
-            self._next_turn.append(contract.Outcome(id_, 0, node, Ending.MOOT, True))
+            self._next_turn.append(contract.AttemptResult(id_, 0, node, AttemptOutcome.NOT_SENT, True))
             return
         refusal = guard.permit_send(request, news, self.settings, now)
         index, request.sends = request.sends, request.sends + 1
         if refusal is not None:
             COUNTERS.add(Counted.NOT_SENT, refusal)
-            self._next_turn.append(contract.Outcome(id_, index, node, Ending.MOOT, request.over))
+            self._next_turn.append(
+                contract.AttemptResult(id_, index, node, AttemptOutcome.NOT_SENT, request.over)
+            )
             return
         if index:
             COUNTERS.add(Counted.RETRIED, request.last.value if request.last else "unknown")
@@ -440,21 +465,21 @@
             trace("attempt", request=request.id, id=request.ask.id, attempt=attempt.number, node=news.uid)
         effects.append(Dispatch(attempt.number, news, request.ask.payload, wait))
 
-    def _cause(self, id_: int, now: int) -> Ending | None:
+    def _cause(self, id_: int, now: int) -> AttemptOutcome | None:
         request = self.requests.get(id_)
         if request is None:
             return None
         expired = now + 2 * self.settings.tick_ns >= request.deadline
-        return Ending.TIMEOUT if expired and request.sends else request.last
+        return AttemptOutcome.TIMEOUT if expired and request.sends else request.last
 
-    def _final(self, id_: int, reply: Refused | Failed, effects: list[Effect]) -> None:
+    def _final(self, id_: int, reply: Shed | Failed, effects: list[Effect]) -> None:
         request = self.requests.get(id_)
         if request is None or request.over:
             return
         self._over(request)
-        what = Counted.REFUSED if isinstance(reply, Refused) else Counted.FAILED
+        what = Counted.REFUSED if isinstance(reply, Shed) else Counted.FAILED
         COUNTERS.add(what, reply.cause.value if reply.cause else "not tried")
         if trace.enabled:
             trace("request over", request=request.id, id=request.ask.id, reply=type(reply).__name__)
-        effects.append(Answer(request.asker, reply))
+        effects.append(SendResponse(request.sink, reply))
         self._tidy(request)
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -11,12 +11,12 @@
 class Effect(Enum):
     """What a repeat of a request may do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class Group(Enum):
+class IdempotencyScope(Enum):
     """Which nodes discard the repeats of a keyed request."""
 
     ALL = "all"
@@ -24,7 +24,7 @@
     SHARD = "shard"
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """How an attempt or a probe ended."""
 
     OK = "ok"
@@ -34,7 +34,7 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
 class NodeState(Enum):
@@ -58,13 +58,13 @@
 class ClassSettings:
     """One class of request."""
 
-    aim_ns: int
+    latency_objective_ns: int
     deadline_ns: int
-    worth: float = 1.0
-    late_worth: float = 0.0
-    effect: Effect = Effect.UNSAFE
-    group: Group = Group.SHARD
-    window_ns: int = 0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    effect: Effect = Effect.NOT_IDEMPOTENT
+    group: IdempotencyScope = IdempotencyScope.SHARD
+    idempotency_window_ns: int = 0
     in_order: bool = False
     streamed: bool = False
     writes: bool = False
@@ -94,27 +94,27 @@
     tick_ns: int = 1_000_000
     mean_units: float = 1.0
     max_units: float = 1.0
-    share_worth: float = 1.0
-    spare_worth: float = 1.0
-    cold_units: float = 0.0
-    cold_from: float = 1.0
-    cold_ns: int = 0
-    fall_multiple: float = 1.0
-    fall_ns: int = 0
-    settle_ns: int = 0
-    budget_free: float = 0.0
-    budget_share: float = 0.0
-    budget_window_ns: int = 0
+    within_quota_factor: float = 1.0
+    beyond_quota_factor: float = 1.0
+    slow_start_units: float = 0.0
+    slow_start_initial_fraction: float = 1.0
+    slow_start_ns: int = 0
+    overload_multiple: float = 1.0
+    overload_window_ns: int = 0
+    ambiguity_wait_ns: int = 0
+    retry_budget_base: float = 0.0
+    retry_budget_ratio: float = 0.0
+    retry_budget_window_ns: int = 0
     max_attempts: int = 1
     connect_timeout_ns: int = 0
     max_retry_after_ns: int = 0
     may_cancel: bool = False
-    may_probe: bool = False
-    may_duplicate: bool = False
-    list_is_asked_for: bool = False
-    ask_every_ns: int = 0
-    meter_ns: int = 0
-    tells_elsewhere: bool = False
+    may_health_check: bool = False
+    may_hedge: bool = False
+    list_is_polled: bool = False
+    poll_interval_ns: int = 0
+    load_report_interval_ns: int = 0
+    reports_load_elsewhere: bool = False
     report_fields: tuple[str, ...] = ()
 
 
@@ -126,7 +126,7 @@
     """A client's request arrived; exactly one final answer is owed."""
 
     id: int
-    klass: int
+    request_class: int
     plan: int
     volume: int
     units: float
@@ -139,18 +139,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptResult:
     """An attempt ended.  ``complete``: the request has its final answer."""
 
     id: int
     attempt: int
     node: int
-    ending: Ending
+    outcome: AttemptOutcome
     complete: bool
     latency_ns: int = 0
     used_percent: int | None = None
     elsewhere_units: int = 0
-    never_began: bool = False  # given up before its first byte left, so that it can't have run
+    never_started: bool = False  # given up before its first byte left, so that it can't have run
     report: tuple[float, ...] = ()
 
 
@@ -191,11 +191,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult:
+class HealthCheckResult:
     """A probe ended."""
 
     node: int
-    ending: Ending
+    outcome: AttemptOutcome
     latency_ns: int = 0
     report: tuple[float, ...] = ()
 
@@ -208,7 +208,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class ShutdownStarted:
     """The host is about to end: what is open gets its final answer now."""
 
 
@@ -221,14 +221,14 @@
 
 Event = (
     Request
-    | Outcome
+    | AttemptResult
     | StreamStarted
     | ClientGone
     | NodeList
-    | ProbeResult
+    | HealthCheckResult
     | TimerFired
     | NewSettings
-    | Closing
+    | ShutdownStarted
 )
 
 
@@ -236,7 +236,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendAttempt:
     """Send the request's next attempt to a node; ``timeout_ns`` 0: until the client gives up."""
 
     id: int
@@ -245,7 +245,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class ShedRequest:
     """Final answer: the client may safely try again, after a while."""
 
     id: int
@@ -253,14 +253,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed, with no word on whether it ran."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for one attempt."""
 
     id: int
@@ -268,7 +268,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class HealthCheck:
     """Ask a node for its load, at a cost to it."""
 
     node: int
@@ -283,15 +283,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
+class WatchNodeList:
     """Ask to be told of changes to the node list from now on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class ForgetNode:
     """A node that is gone is needed no more: should it come back, it comes as a new one."""
 
     node: int
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Timer | Subscribe | Forget
+Action = (
+    SendAttempt | ShedRequest | FailRequest | CancelAttempt | HealthCheck | Timer | WatchNodeList | ForgetNode
+)
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -10,9 +10,10 @@
 from dataclasses import replace
 
 from runloft.decisions.contract import (
-    Action, Cancel, ClientGone, Closing, Effect, Ending, Event, Fail, Forget, Group, ListKind, NewSettings,
-    NodeEntry, NodeList, NodeState, Outcome, PlanSettings, Refuse, Request, Send, Settings, StreamStarted,
-    Subscribe, Timer, TimerFired,
+    Action, AttemptOutcome, AttemptResult, CancelAttempt, ClientGone, Effect, Event, FailRequest,
+    ForgetNode, IdempotencyScope, ListKind, NewSettings, NodeEntry, NodeList, NodeState, PlanSettings,
+    Request, SendAttempt, Settings, ShedRequest, ShutdownStarted, StreamStarted, Timer, TimerFired,
+    WatchNodeList,
 )  # fmt: skip
 from runloft.decisions.state import SlidingSum, Ticket
 
@@ -41,9 +42,9 @@
 MOST_VOLUMES = 4096  # volumes remembered; beyond it the one that was quiet longest is forgotten
 RETRY_SLACK = 0.25  # tightest aims by which tries' waits differ anyway
 WAKE_PART = 0.1  # while anything is held, look again after this part of the tightest aim
-NEVER_RAN = (Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT)
-FAILURES = (Ending.ERROR, Ending.FULL, Ending.CONNECT_FAILED)
-UNSETTLED = (Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED)
+NEVER_RAN = (AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
+FAILURES = (AttemptOutcome.ERROR, AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED)
+UNSETTLED = (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
 FAILED_ALPHA, FAILED_PART = 0.3, 0.25  # weight of the newest answer; part of errors from which a node fails
 FAILED_FOR = 5 * SECOND  # after its last error a node is no longer taken for failing
 SHUT_LEAST, SHUT_MOST = 0.02, 0.5  # tightest aims in which nothing leaves for a node that turned one away
@@ -111,12 +112,12 @@
         self.quiet_since: int | None = None  # tried, with no success, since then
         self.sent_at = self.unanswered = 0
         self.saved, self.saved_from, self.saved_at = 0.0, -1, 0  # while cold: units below a whole request
-        self.served, self.usual = SlidingSum(settings.cold_ns), 0.0  # units served; a second, when warm
-        self.asked = SlidingSum(settings.cold_ns)  # units that clients asked for
+        self.served, self.usual = SlidingSum(settings.slow_start_ns), 0.0  # units served; a second, when warm
+        self.asked = SlidingSum(settings.slow_start_ns)  # units that clients asked for
         self.down_since = self.refused_at = self.gone_at = 0  # refused_at: when it was last found down
         self.failed, self.failed_at = 0.0, 0  # smoothed part of errors among answers; when last
         self.shut, self.shut_until = 0.0, 0  # turned away or not reached: how long nothing leaves, until when
-        self.recent = SlidingSum(settings.fall_ns)
+        self.recent = SlidingSum(settings.overload_window_ns)
 
     def usable(self) -> bool:
         """Guards drains: a node that is draining or gone gets nothing new."""
@@ -167,19 +168,19 @@
         self.saved -= units
 
     def ended(
-        self, now: int, key: tuple[int, int], units: float, ending: Ending, took: int, luck: float
+        self, now: int, key: tuple[int, int], units: float, outcome: AttemptOutcome, took: int, luck: float
     ) -> None:
         """Note an attempt's end; only successes count as finished work, so quick errors raise no rate."""
         # Guards requests' three attempts, and the node: what is full, drains or is gone stays so for a while.
-        if ending in NEVER_RAN and now >= self.shut_until:
+        if outcome in NEVER_RAN and now >= self.shut_until:
             self.shut = min(max(2 * self.shut, SHUT_LEAST), SHUT_MOST)
             self.shut_until = now + int(self.shut * luck * self.aim)
         sent_at = self.release(key)
         # Guards new objects where lists are late: what drains turns all away, what is gone can't be reached.
-        if ending in FAILURES or ending is Ending.OK:
-            self.failed += FAILED_ALPHA * ((ending in FAILURES) - self.failed)
-            self.failed_at = now if ending in FAILURES else self.failed_at
-        if ending is Ending.OK:
+        if outcome in FAILURES or outcome is AttemptOutcome.OK:
+            self.failed += FAILED_ALPHA * ((outcome in FAILURES) - self.failed)
+            self.failed_at = now if outcome in FAILURES else self.failed_at
+        if outcome is AttemptOutcome.OK:
             self.served_up_to = max(self.served_up_to, sent_at)
             self.rate.finish(units, sent_at or now, now)
             self.served.add(now, units)
@@ -189,9 +190,9 @@
             self.quiet_since, self.unanswered = now if self.out else None, len(self.out)
             self.latency += LATENCY_ALPHA * (took - self.latency)
             self.down_since = self.shut = 0
-        elif ending is Ending.TIMEOUT and took < SILENT_AIMS * self.aim:
+        elif outcome is AttemptOutcome.TIMEOUT and took < SILENT_AIMS * self.aim:
             self.unanswered -= 1  # its client had little time: no silence yet
-        elif ending is Ending.CONNECT_FAILED:
+        elif outcome is AttemptOutcome.CONNECT_FAILED:
             # Guards nodes in use: connections break off here and there, but a process that starts was down.
             self.down_since = self.down_since or now
             self.refused_at = now if now >= self.down_since + DOWN else self.refused_at
@@ -240,24 +241,27 @@
         self.most_left: dict[int, int] = {}  # by class: the longest wait that a try brought
         self.mean_price, self.pool = Price(SECOND), ServiceRate(SECOND)
         self._settle(settings)
-        self.taken, self.extra = SlidingSum(settings.budget_window_ns), SlidingSum(settings.budget_window_ns)
+        self.taken, self.extra = (
+            SlidingSum(settings.retry_budget_window_ns),
+            SlidingSum(settings.retry_budget_window_ns),
+        )
         self.lines: dict[int, list[Ticket]] = {}  # by key: requests in order of arrival
         self.rests: dict[int, tuple[int, Ticket]] = {}  # by key: until when, after whose attempt
-        self.actions: list[Action] = [Subscribe()] if settings.list_is_asked_for else []
+        self.actions: list[Action] = [WatchNodeList()] if settings.list_is_polled else []
 
     def _settle(self, settings: Settings) -> None:
         """Go by these settings from now on; what is open and what was learned stay."""
         self.settings, self.many = settings, settings.hosts > FEW_HOSTS
         self.limited = any(plan.limit for plan in settings.plans)
-        self.aim = min((c.aim_ns for c in settings.classes), default=SECOND)
-        self.top_worth = max((c.worth for c in settings.classes), default=1.0)
+        self.aim = min((c.latency_objective_ns for c in settings.classes), default=SECOND)
+        self.top_worth = max((c.priority_weight for c in settings.classes), default=1.0)
         self.top_worth *= max((p.price for p in settings.plans), default=1.0)
         self.pool.window = self.aim
         self.most_left.clear()  # a longer deadline than before would make every try look like a later one
         for node in self.nodes.values():
             node.aim = node.rate.window = self.aim
-            node.served.window = node.asked.window = settings.cold_ns
-            node.recent.window = settings.fall_ns
+            node.served.window = node.asked.window = settings.slow_start_ns
+            node.recent.window = settings.overload_window_ns
         for price in (self.mean_price, *(node.price for node in self.nodes.values())):
             price.fade, price.timely = PRICE_FADE * self.aim, LATE_PART * self.aim
         for store in self.volumes.values():
@@ -272,7 +276,7 @@
             match event:
                 case Request():
                     self._arrive(event, now)
-                case Outcome():
+                case AttemptResult():
                     self._outcome(event, now)
                 case TimerFired():
                     self._timer(event.token, now)
@@ -282,7 +286,7 @@
                     self._client_gone(event.id, now)
                 case NewSettings(settings):
                     self._settle(settings)
-                case Closing():
+                case ShutdownStarted():
                     for ticket in [t for t in self.tickets.values() if not (t.done or t.streaming)]:
                         self._give_up(ticket, now)
                 case StreamStarted(id_) if id_ in self.tickets:
@@ -308,15 +312,17 @@
 
     def _arrive(self, request: Request, now: int) -> None:
         self.taken.add(now, 1)
-        ticket = self.tickets[request.id] = Ticket(request, self.settings.classes[request.klass], now)
+        ticket = self.tickets[request.id] = Ticket(request, self.settings.classes[request.request_class], now)
         ticket.hold_until = now + int(HOLD_PART * request.time_left_ns)
         # Who brings less time than its class's first tries is a later try, and its aim runs from the first.
-        most = self.most_left[request.klass] = max(self.most_left.get(request.klass, 0), request.time_left_ns)
+        most = self.most_left[request.request_class] = max(
+            self.most_left.get(request.request_class, 0), request.time_left_ns
+        )
         if request.time_left_ns < most - RETRY_SLACK * self.aim:
-            ticket.aim_at -= ticket.klass.deadline_ns - request.time_left_ns
+            ticket.objective_at -= ticket.request_class.deadline_ns - request.time_left_ns
         if self.many:
             ticket.luck = self.random.uniform(1 - PRICE_JITTER, 1 + PRICE_JITTER)
-        if ticket.klass.in_order and request.key:
+        if ticket.request_class.in_order and request.key:
             self.lines.setdefault(request.key, []).append(ticket)
         # Guards the final answer: due at a set time, whatever happens to the request until then.
         self.actions.append(Timer(max(now, ticket.deadline - self.settings.tick_ns), ticket.id))
@@ -380,9 +386,13 @@
         store, due = self._volume(ticket, now), 1.0
         if store.reserve < ticket.units:
             fair = store.excess < SHARE_PART * rate / max(store.plan.weight, 1.0)
-            due = self.settings.share_worth if fair else self.settings.spare_worth
-        in_time = 1.0 if node.ready(ticket.units, rate, now) <= ticket.aim_at else ticket.klass.late_worth
-        return ticket.klass.worth * store.plan.price * due * in_time
+            due = self.settings.within_quota_factor if fair else self.settings.beyond_quota_factor
+        in_time = (
+            1.0
+            if node.ready(ticket.units, rate, now) <= ticket.objective_at
+            else ticket.request_class.late_priority_weight
+        )
+        return ticket.request_class.priority_weight * store.plan.price * due * in_time
 
     def _dispatch(self, held: list[Ticket], node: Node, now: int) -> None:
         """Send from one node's held requests, the worthiest first, until its bound is reached."""
@@ -395,8 +405,10 @@
         while held and node.has_room(rate, now):
             best, best_rank = None, (False, 0.0, 0)
             for ticket in held:
-                harmless = not suspect or ticket.klass.effect is not Effect.UNSAFE  # as a trial
-                rank = (harmless, self._worth(ticket, node, rate, now), -ticket.aim_at)
+                harmless = (
+                    not suspect or ticket.request_class.effect is not Effect.NOT_IDEMPOTENT
+                )  # as a trial
+                rank = (harmless, self._worth(ticket, node, rate, now), -ticket.objective_at)
                 if (best is None or rank > best_rank) and self._may_send(ticket, node, rate, now):
                     best, best_rank = ticket, rank
             if best is None:
@@ -425,7 +437,9 @@
     def _may_send(self, ticket: Ticket, node: Node, rate: float, now: int) -> bool:
         if self._barred(ticket, node, now) > 0:
             return False
-        late = node.ready(ticket.units, rate, now) > ticket.aim_at and node.latency > AIM_PART * self.aim
+        late = (
+            node.ready(ticket.units, rate, now) > ticket.objective_at and node.latency > AIM_PART * self.aim
+        )
         if late and now < node.sent_at + LATE_GAP * self.aim:
             return False  # late work waits while other hosts' work, maybe in time, fills the node
         allowed = not ticket.attempts or self._may_repeat(ticket, node, now)
@@ -443,30 +457,34 @@
         limit = 0.0 if ticket.attempts else self._volume(ticket, now).wait(ticket.units)
         if node is None or not (price := self._price(node, now) * ticket.luck * self.top_worth):
             return limit
-        worth = max(self._worth(ticket, node, self._rate(node, now), now), 1e-9)
-        return max(limit, math.log(price / worth) * node.price.fade / SECOND)
+        priority_weight = max(self._worth(ticket, node, self._rate(node, now), now), 1e-9)
+        return max(limit, math.log(price / priority_weight) * node.price.fade / SECOND)
 
     def _same_group(self, ticket: Ticket, node: Node) -> bool:
         """Whether a keyed request that may have run would be known there as a repeat."""
-        if ticket.doubt_node is None or ticket.klass.effect is Effect.SAFE:
+        if ticket.doubt_node is None or ticket.request_class.effect is Effect.IDEMPOTENT:
             return True
-        first, group = self.nodes[ticket.doubt_node].entry, ticket.klass.group
-        same = first.zone == node.entry.zone if group is Group.ZONE else first.shard == node.entry.shard
-        return same or group is Group.ALL
+        first, group = self.nodes[ticket.doubt_node].entry, ticket.request_class.group
+        same = (
+            first.zone == node.entry.zone
+            if group is IdempotencyScope.ZONE
+            else first.shard == node.entry.shard
+        )
+        return same or group is IdempotencyScope.ALL
 
     def _in_turn(self, ticket: Ticket, now: int) -> bool:
         """Whether it has the turn and its key has rested from others' open ends."""
-        line = ticket.klass.in_order and self.lines.get(ticket.request.key)
+        line = ticket.request_class.in_order and self.lines.get(ticket.request.key)
         until, owner = self.rests.get(ticket.request.key, (0, ticket))
         return not line or (line[0] is ticket and (owner is ticket or now >= until))
 
-    def _turn_ended(self, ticket: Ticket, ending: Ending | None, now: int) -> None:
+    def _turn_ended(self, ticket: Ticket, outcome: AttemptOutcome | None, now: int) -> None:
         """After an attempt's end or a final answer: start the rest, leave the line when all is over."""
         key, line = ticket.request.key, self.lines.get(ticket.request.key, [])
         if ticket not in line:
             return
-        if ending in UNSETTLED:
-            self.rests[key] = (now + self.settings.settle_ns, ticket)
+        if outcome in UNSETTLED:
+            self.rests[key] = (now + self.settings.ambiguity_wait_ns, ticket)
         if ticket.done and not ticket.out:
             line.remove(ticket)
         if not line:
@@ -475,22 +493,24 @@
 
     def _in_budget(self, now: int) -> bool:
         """Whether one more further attempt fits, counted at its strictest at the window's edges."""
-        room = self.settings.budget_free + self.settings.budget_share * self.taken.total(now, edge=1)
-        return not self.settings.budget_window_ns or self.extra.total(now) + 1 <= room
+        room = self.settings.retry_budget_base + self.settings.retry_budget_ratio * self.taken.total(
+            now, edge=1
+        )
+        return not self.settings.retry_budget_window_ns or self.extra.total(now) + 1 <= room
 
     def _may_repeat(self, ticket: Ticket, node: Node | None, now: int) -> bool:
         """Guards effects and budget: a further attempt goes out only as class, budget and cap allow."""
         if ticket.out or ticket.attempts >= self.settings.max_attempts or not self._in_budget(now):
             return False
-        if ticket.doubt_at is None or ticket.klass.effect is Effect.SAFE:
+        if ticket.doubt_at is None or ticket.request_class.effect is Effect.IDEMPOTENT:
             return True
-        in_window = now + self.settings.tick_ns < ticket.doubt_at + ticket.klass.window_ns
-        keyed = ticket.klass.effect is Effect.KEYED and in_window
+        in_window = now + self.settings.tick_ns < ticket.doubt_at + ticket.request_class.idempotency_window_ns
+        keyed = ticket.request_class.effect is Effect.IDEMPOTENT_WITH_KEY and in_window
         return keyed and node is not None and self._same_group(ticket, node)
 
     def _cold_since(self, node: Node, now: int) -> int | None:
         """When it started, by the list, or by a refused connection until the list could tell."""
-        since, cold = node.entry.started_ns, self.settings.cold_ns
+        since, cold = node.entry.started_ns, self.settings.slow_start_ns
         if since and now < since + cold:
             return since
         # A crowded node refuses too: the guess ends early, and restarts nothing that the list has dated.
@@ -499,22 +519,36 @@
     def _cold_room(self, node: Node, units: float, now: int) -> bool:
         """Guards cold nodes: this host's part of what the node bears in a window, sent or turned away."""
         s, since = self.settings, self._cold_since(node, now)
-        if since is None or not s.fall_ns:
+        if since is None or not s.overload_window_ns:
             return True
-        if now <= self.born + s.fall_ns and since < self.born:
+        if now <= self.born + s.overload_window_ns and since < self.born:
             return False  # a fresh host knows nothing of what it sent before: its first window is spent
         # A part of under one request is saved up to one, from even steps: never more than all parts together.
         if node.saved_from != since:
-            node.saved_from, node.saved_at = since, max(since, min(now, self.born + s.fall_ns))
+            node.saved_from, node.saved_at = since, max(since, min(now, self.born + s.overload_window_ns))
             node.saved = -(1 - s.host_number * GOLDEN % 1.0) * max(units, s.mean_units)
-            node.usual = node.served.total(now) * SECOND / max(1, min(s.cold_ns, now - self.born))
-        warm = s.cold_from + (1 - s.cold_from) * max(0, now - since - s.fall_ns) / max(1, s.cold_ns)
+            node.usual = node.served.total(now) * SECOND / max(1, min(s.slow_start_ns, now - self.born))
+        warm = s.slow_start_initial_fraction + (1 - s.slow_start_initial_fraction) * max(
+            0, now - since - s.overload_window_ns
+        ) / max(1, s.slow_start_ns)
         # All hosts' usual use is at most what a node does when warm; who knows no past goes by what is asked.
-        asked = node.asked.total(now) * SECOND / max(s.fall_ns, min(s.cold_ns, now - self.born))
+        asked = (
+            node.asked.total(now) * SECOND / max(s.overload_window_ns, min(s.slow_start_ns, now - self.born))
+        )
         even = self._rate(node, now) / max(1, s.hosts) * (EVEN_PARTS if self.many else 1)
-        borne = COLD_PART * s.fall_multiple * warm * max(node.usual, min(asked, even)) * s.fall_ns / SECOND
-        part = max((s.cold_units - s.mean_units) / max(1, s.hosts), borne)  # less one: steps are uneven
-        node.saved, node.saved_at = min(0.0, node.saved + part * (now - node.saved_at) / s.fall_ns), now
+        borne = (
+            COLD_PART
+            * s.overload_multiple
+            * warm
+            * max(node.usual, min(asked, even))
+            * s.overload_window_ns
+            / SECOND
+        )
+        part = max((s.slow_start_units - s.mean_units) / max(1, s.hosts), borne)  # less one: steps are uneven
+        node.saved, node.saved_at = (
+            min(0.0, node.saved + part * (now - node.saved_at) / s.overload_window_ns),
+            now,
+        )
         used = max(0.0, node.recent.total(now))
         return used + units <= part or (used < 1e-9 and node.saved >= 0.0)
 
@@ -523,39 +557,43 @@
             self.extra.add(now, 1)
         else:
             self._volume(ticket, now).draw(ticket.units)
-        timeout = int(SILENT_AIMS * self.aim) if suspect and ticket.klass.effect is not Effect.UNSAFE else 0
+        timeout = (
+            int(SILENT_AIMS * self.aim)
+            if suspect and ticket.request_class.effect is not Effect.NOT_IDEMPOTENT
+            else 0
+        )
         if ticket.refusable and self.many:
             # Guards crowded nodes: late work that left before the crowd was known makes all behind it late.
-            timeout = max(ticket.aim_at - now, self.aim)
+            timeout = max(ticket.objective_at - now, self.aim)
         node.sent(now, (ticket.id, ticket.attempts), ticket.units)
         ticket.out[ticket.attempts] = node.entry.node
         ticket.attempts, ticket.sent_at = ticket.attempts + 1, now
-        self.actions.append(Send(ticket.id, node.entry.node, timeout))
+        self.actions.append(SendAttempt(ticket.id, node.entry.node, timeout))
 
-    def _outcome(self, outcome: Outcome, now: int) -> None:
-        ticket = self.tickets.get(outcome.id)
-        sent_to = ticket.out.pop(outcome.attempt, None) if ticket else None
+    def _outcome(self, result: AttemptResult, now: int) -> None:
+        ticket = self.tickets.get(result.id)
+        sent_to = ticket.out.pop(result.attempt, None) if ticket else None
         if ticket is None or sent_to is None:
             return  # late or repeated news of what has ended
-        key = (outcome.id, outcome.attempt)
+        key = (result.id, result.attempt)
         self.touched[self.nodes[sent_to].entry.shard] = True
         luck = self.random.uniform(0.5, 1.5) if self.many else 0.0  # few hosts are no storm
-        self.nodes[sent_to].ended(now, key, ticket.units, outcome.ending, outcome.latency_ns, luck)
-        if self.many and (outcome.ending is Ending.OK or outcome.latency_ns >= self.aim):
+        self.nodes[sent_to].ended(now, key, ticket.units, result.outcome, result.latency_ns, luck)
+        if self.many and (result.outcome is AttemptOutcome.OK or result.latency_ns >= self.aim):
             price, mean = self.nodes[sent_to].price, self.mean_price.now(now)
-            price.learn(now, outcome.latency_ns * self.aim // ticket.klass.aim_ns, mean)
+            price.learn(now, result.latency_ns * self.aim // ticket.request_class.latency_objective_ns, mean)
             self.mean_price.value, self.mean_price.at = mean + PRICE_SPREAD * (price.value - mean), now
-        ticket.reached |= outcome.ending not in (Ending.CONNECT_FAILED, Ending.MOOT)
-        may_have_run = outcome.ending not in NEVER_RAN and not outcome.never_began
+        ticket.reached |= result.outcome not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
+        may_have_run = result.outcome not in NEVER_RAN and not result.never_started
         if may_have_run and ticket.doubt_at is None:
             ticket.doubt_at, ticket.doubt_node = ticket.sent_at, sent_to
-        self._turn_ended(ticket, outcome.ending if may_have_run else Ending.MOOT, now)
-        if ticket.done or outcome.complete:
+        self._turn_ended(ticket, result.outcome if may_have_run else AttemptOutcome.NOT_SENT, now)
+        if ticket.done or result.complete:
             self._finish(ticket, now)
             return
         self._hold(ticket, now)
         node = self.shards.get(ticket.shard)
-        late = outcome.ending is Ending.TIMEOUT and self.many and ticket.refusable
+        late = result.outcome is AttemptOutcome.TIMEOUT and self.many and ticket.refusable
         late = late or (not ticket.reached and now >= ticket.hold_until)  # its timer came while connecting
         if now + self.settings.tick_ns >= ticket.deadline or late or not self._may_repeat(ticket, node, now):
             self._give_up(ticket, now)
@@ -564,7 +602,7 @@
         """Refuse, to come back after the excess; fail where a refusal, 'a repeat is harmless', may lie."""
         harmless = ticket.refusable or (ticket.doubt_at is None and not ticket.out)
         after = int(min((excess or self._come_back(ticket, now)) * SECOND, self.settings.max_retry_after_ns))
-        self.actions.append(Refuse(ticket.id, after) if harmless else Fail(ticket.id))
+        self.actions.append(ShedRequest(ticket.id, after) if harmless else FailRequest(ticket.id))
         self._finish(ticket, now)
 
     def _finish(self, ticket: Ticket, now: int) -> None:
@@ -579,13 +617,13 @@
         ticket = self.tickets.get(id_)
         if ticket and not ticket.done:
             if self.settings.may_cancel and not ticket.streaming:
-                self.actions.extend(Cancel(id_, attempt) for attempt in ticket.out)
+                self.actions.extend(CancelAttempt(id_, attempt) for attempt in ticket.out)
             self._finish(ticket, now)
 
     def _timer(self, token: int, now: int) -> None:
         ticket = self.tickets.get(token)
         if token == SUBSCRIBE:
-            self.actions.append(Subscribe())
+            self.actions.append(WatchNodeList())
         elif ticket and not ticket.done and not ticket.streaming:
             # Guards the client's time: half of it gone and nothing sent, it had better ask again.
             unsent = not ticket.out and not ticket.reached
@@ -595,7 +633,7 @@
     def _list(self, news: NodeList, now: int) -> None:
         if news.kind is ListKind.FAILED:
             # Guards drains where lists are asked for: ask again well before news counts as heard.
-            self.actions.append(Timer(now + max(SECOND, self.settings.ask_every_ns // 10), SUBSCRIBE))
+            self.actions.append(Timer(now + max(SECOND, self.settings.poll_interval_ns // 10), SUBSCRIBE))
             return
         named = {entry.node for entry in news.entries}
         for number in self.nodes.keys() - named if news.kind is not ListKind.DELTA else ():
@@ -618,7 +656,7 @@
             # Guards memory: most go for good; one whose process restarts comes back, cold, within that time.
             if node.gone_at and now >= node.gone_at + KEEP and not node.out and number not in needed:
                 del self.nodes[number]
-                self.actions.append(Forget(number))
+                self.actions.append(ForgetNode(number))
         rank = sorted(self.nodes.values(), key=lambda n: (n.usable(), n.entry.started_ns))
         self.wake_at = now
         self.shards = {node.entry.shard: node for node in rank}  # of several, the newest fit one
--- a/runloft/decisions/state.py
+++ b/runloft/decisions/state.py
@@ -2,20 +2,22 @@
 
 from collections import deque
 
-from runloft.decisions.contract import ClassSettings, Effect, Group, Request
+from runloft.decisions.contract import ClassSettings, Effect, IdempotencyScope, Request
 
 
 class Ticket:
     """A request that this host took, until it is answered and none of its attempts is out."""
 
-    def __init__(self, request: Request, klass: ClassSettings, now: int) -> None:
-        self.request, self.klass = request, klass
+    def __init__(self, request: Request, request_class: ClassSettings, now: int) -> None:
+        self.request, self.request_class = request, request_class
         self.id, self.units, self.shard = request.id, request.units, request.shard
-        self.aim_at = now + min(klass.aim_ns, request.time_left_ns)
+        self.objective_at = now + min(request_class.latency_objective_ns, request.time_left_ns)
         self.deadline = now + request.time_left_ns
         # A repeat is harmless though an attempt may have run, so that a refusal may say so.
-        keyed = klass.effect is Effect.KEYED and klass.group is Group.ALL
-        self.refusable = klass.effect is Effect.SAFE or keyed
+        keyed = (
+            request_class.effect is Effect.IDEMPOTENT_WITH_KEY and request_class.group is IdempotencyScope.ALL
+        )
+        self.refusable = request_class.effect is Effect.IDEMPOTENT or keyed
         self.taken_at = now
         self.hold_until = self.deadline  # when it is given up if nothing of it has left
         self.attempts = 0
--- a/runloft/lab/scale/hollow.py
+++ b/runloft/lab/scale/hollow.py
@@ -132,7 +132,7 @@
         core = Core(config.settings, config.seed, clock(), deadlines, config.bounds)
         core.held = config.held
         self.runner = runner = HollowRunner(core, deadlines, clock)
-        asked = config.settings.list_is_asked_for
+        asked = config.settings.list_is_polled
         watch = Watch(config.discovery, 0, config.zones, runner.post, deadlines, clock, asked=asked)
         self.reload = Reload(None, config, watch, runner.post, [])
         try:
--- a/runloft/listeners/grammar.py
+++ b/runloft/listeners/grammar.py
@@ -27,7 +27,7 @@
         self.classes = {name.encode(): index for index, name in enumerate(config.class_names)}
         self.plans = {name.encode(): index for index, name in enumerate(config.plan_names)}
         self.settings = config.settings
-        self.tells_writes = any(klass.writes for klass in config.settings.classes)
+        self.tells_writes = any(request_class.writes for request_class in config.settings.classes)
 
     def ask(self, words: list[bytes], waited_ns: int = 0) -> RequestSpec:
         """Translate one command that came so long ago."""
@@ -37,10 +37,10 @@
         if not HEX.fullmatch(words[1]) or not HEX.fullmatch(words[2]):
             raise BadCommandError("piece and id take 16 hexadecimal digits")
         pairs, attributes = self._pairs(words[3]), words[3]
-        klass, plan = self.classes.get(pairs[b"c"]), self.plans.get(pairs[b"t"])
-        if klass is None or plan is None:
+        request_class, plan = self.classes.get(pairs[b"c"]), self.plans.get(pairs[b"t"])
+        if request_class is None or plan is None:
             raise BadCommandError("unknown class or plan")
-        if self.tells_writes and self.settings.classes[klass].writes is not is_write:
+        if self.tells_writes and self.settings.classes[request_class].writes is not is_write:
             raise BadCommandError("the class goes with the other command")
         for name in (b"d", b"units", b"hosts"):
             if not FIGURE.fullmatch(pairs[name]) or not float(pairs[name]):
@@ -55,11 +55,13 @@
         if units > max(self.settings.max_units, 1.0):
             raise BadCommandError("units out of range")
         # A client that names more than its class's time is not held to be more patient than that.
-        wait_ns = min(int(float(pairs[b"d"]) * 1_000_000), 2 * self.settings.classes[klass].deadline_ns)
+        wait_ns = min(
+            int(float(pairs[b"d"]) * 1_000_000), 2 * self.settings.classes[request_class].deadline_ns
+        )
         at = 0 if attributes.startswith(b"d=") else attributes.index(b",d=") + 1
         after = attributes.find(b",", at)
         return RequestSpec(
-            klass=klass,
+            request_class=request_class,
             plan=plan,
             volume=int(pairs[b"volume"], 16),
             units=units,
--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -24,9 +24,19 @@
 from runloft.core.counters import COUNTERS, Counted
 from runloft.core.guard import CloseReason
 from runloft.core.invariants import INVARIANTS
-from runloft.core.model import Event, Failed, Left, Refused, Rejected, Reply, RequestSpec, Served, Taken
+from runloft.core.model import (
+    ClientDisconnected,
+    Event,
+    Failed,
+    InvalidRequest,
+    Reply,
+    RequestReceived,
+    RequestSpec,
+    Served,
+    Shed,
+)
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Ending
+from runloft.decisions.contract import AttemptOutcome
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
 from runloft.net.sockets import Budget, close, half_closed, nothing_to_read
 from runloft.net.timing import Clock, pause, within
@@ -145,7 +155,7 @@
         self.stream, self.shard = value, shard
         self.event.set()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Look whether its client ended its sending, whatever is still to be read."""
         return self.sock.fileno() < 0 or bool(half_closed((self.sock,)))
 
@@ -162,17 +172,17 @@
 
 def problem_of(reply: Reply) -> Problem:
     """Translate a final answer that serves nothing."""
-    if isinstance(reply, Rejected):
+    if isinstance(reply, InvalidRequest):
         return Problem(400, "InvalidRequest", reply.reason)
-    if isinstance(reply, Refused):
+    if isinstance(reply, Shed):
         wait, cause = reply.retry_after_ns, reply.cause
     else:
         wait, cause = 0, reply.cause if isinstance(reply, Failed) else None
-    if cause is Ending.TIMEOUT:
+    if cause is AttemptOutcome.TIMEOUT:
         return Problem(504, "GatewayTimeout", "no storage node answered in time", wait)
-    if cause in (Ending.ERROR, Ending.RESET, Ending.CONNECT_FAILED):
+    if cause in (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED):
         return Problem(502, "BadGateway", "the storage node failed", wait)
-    if isinstance(reply, Refused):
+    if isinstance(reply, Shed):
         return Problem(503, "SlowDown", "come again later", wait or 1)
     return Problem(502, "BadGateway", "the storage node failed")
 
@@ -351,12 +361,12 @@
         except StoreDownError as error:
             raise self._store_down(error) from None
         exchange, failure = Exchange(self.sock), None
-        if exchange.has_left():  # while the store was asked: nothing of it is begun
+        if exchange.has_disconnected():  # while the store was asked: nothing of it is begun
             raise ConnectionResetError("the client closed")
         # The client's time runs from its request's last byte, also while the store is asked.
         time_left_ns = ask.time_left_ns - (self.front.clock() - arrived_at)
         ask = replace(ask, time_left_ns=max(time_left_ns, LEAST_TIME_NS))
-        self.front.post(Taken(exchange, ask))
+        self.front.post(RequestReceived(exchange, ask))
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._notice_close, group.cancel_scope)
@@ -372,7 +382,7 @@
         finally:
             # Nothing is owed to a client that has gone: its attempt and connection are freed.
             if exchange.reply is None:
-                self.front.post(Left(exchange))
+                self.front.post(ClientDisconnected(exchange))
         if failure:
             raise failure
         if self.gone:
@@ -408,7 +418,7 @@
             while await stream.next() is not None:
                 pass
             if stream.broken:
-                raise problem_of(exchange.reply or Failed(Ending.RESET))
+                raise problem_of(exchange.reply or Failed(AttemptOutcome.RESET))
         try:
             await self.front.note(asked, stream, exchange.shard, upload, size)
         except StoreDownError as error:
@@ -575,9 +585,9 @@
             target += f"?uploadId={upload}"
         methods = {"get": b"GET", "parts": b"GET", "head": b"HEAD", "put": b"PUT", "part": b"PUT"}
         method = methods.get(asked.name, b"POST" if asked.name in ("create", "complete") else b"DELETE")
-        klass = self.settings.classes[asked.name]
+        request_class = self.settings.classes[asked.name]
         settings = self.config.settings
-        deadline = settings.classes[klass].deadline_ns
+        deadline = settings.classes[request_class].deadline_ns
         wait = headers.get(b"x-expires-in-ms")
         if wait is not None:
             if not (wait.isdigit() and len(wait) < 10 and int(wait)):
@@ -585,7 +595,7 @@
             deadline = min(deadline, int(wait) * 1_000_000)
         units = min(max(1.0, settings.max_units), max(1.0, math.ceil(length / self.settings.unit_bytes)))
         return RequestSpec(
-            klass=klass,
+            request_class=request_class,
             plan=volume.plan,
             volume=volume.id,
             units=units,
--- a/runloft/listeners/resp.py
+++ b/runloft/listeners/resp.py
@@ -17,7 +17,7 @@
 from runloft.core.counters import COUNTERS, Counted
 from runloft.core.guard import CloseReason
 from runloft.core.invariants import INVARIANTS, Violation
-from runloft.core.model import Left, Refused, Rejected, Reply, Served, Taken
+from runloft.core.model import ClientDisconnected, InvalidRequest, Reply, RequestReceived, Served, Shed
 from runloft.core.timers import TimerHandle
 from runloft.core.trace import trace
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
@@ -65,20 +65,20 @@
     def begin(self, value: object, node: str, shard: int) -> None:
         """Pass over: answers of this front come whole."""
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Look whether its client has gone; one that has is closed."""
-        return self.client.has_left()
+        return self.client.has_disconnected()
 
     def answer(self, reply: Reply) -> None:
         """Write the final answer."""
         match reply:
             case Served(value) if isinstance(value, bytes):
                 self.put(*resp2.bulk(value))
-            case Refused(0, _):
+            case Shed(0, _):
                 self.put(b"-BUSY\r\n")
-            case Refused(retry_after_ns, _):
+            case Shed(retry_after_ns, _):
                 self.put(b"-BUSY %d\r\n" % math.ceil(retry_after_ns / 1_000_000))
-            case Rejected(reason):
+            case InvalidRequest(reason):
                 self.client.errors += 1
                 self.put(b"-ERR %s\r\n" % reason.encode())
             case _:
@@ -124,7 +124,7 @@
                 with self._unread():
                     await self.room.wait()
             elif self._commands():
-                if self.has_left():  # it asked for much and went: what is left of it is not begun
+                if self.has_disconnected():  # it asked for much and went: what is left of it is not begun
                     return
                 # Guards the other clients: a flood on one connection gets one turn like all others.
                 slowness = self._slowness()
@@ -232,7 +232,7 @@
             if trace.enabled:
                 trace("command", client=self.number, id=ask.id)
             self.errors = min(self.errors, FREE_ERRORS)
-            self.front.post(Taken(slot, ask))
+            self.front.post(RequestReceived(slot, ask))
         elif name == b"PING":
             slot.put(*(resp2.bulk(words[1]) if len(words) > 1 else (b"+PONG\r\n",)))
         elif name in (b"CLIENT", b"SELECT"):
@@ -314,7 +314,7 @@
         """Whether nothing of it is out, half read or unwritten."""
         return not (self.slots or self.outbox.size or self.inbox.start != self.inbox.end)
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Look whether it ended its sending, whatever is still to be read; it is closed then."""
         if not self.ended and half_closed((self.sock,)):
             self.end(CloseReason.CLIENT_LEFT)
@@ -433,7 +433,7 @@
             self.room.set()
         for slot in self.slots:
             if not slot.answered:
-                self.front.post(Left(slot))
+                self.front.post(ClientDisconnected(slot))
         self.slots.clear()
 
 
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -15,14 +15,14 @@
 from runloft.core.invariants import INVARIANTS
 from runloft.core.model import (
     AbortAttempt,
-    Answer,
-    Begin,
-    Closing,
     Dispatch,
     Effect,
     Event,
     NodeListUpdate,
     NodeUpdate,
+    SendResponse,
+    ShutdownStarted,
+    StartResponse,
 )
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
@@ -156,10 +156,10 @@
                 case AbortAttempt(attempt):
                     for link in self.links.values():
                         link.abandon(attempt)
-                case Answer(asker, reply):
-                    asker.answer(reply)
-                case Begin(asker, value, node, shard):
-                    asker.begin(value, node, shard)
+                case SendResponse(sink, reply):
+                    sink.answer(reply)
+                case StartResponse(sink, value, node, shard):
+                    sink.begin(value, node, shard)
 
 
 async def serve(config: Config, path: str | None = None) -> None:
@@ -243,7 +243,7 @@
             runner.post,
             deadlines,
             clock,
-            asked=config.settings.list_is_asked_for,
+            asked=config.settings.list_is_polled,
         )
         stopped = anyio.Event()
         group.start_soon(runner.run)
@@ -301,7 +301,7 @@
     """
     core, deadlines, clock = runner.core, runner.deadlines, runner.clock
     log.info("stopping", open=len(core.requests))
-    longest = max((klass.deadline_ns for klass in core.settings.classes), default=LONGEST_NS)
+    longest = max((request_class.deadline_ns for request_class in core.settings.classes), default=LONGEST_NS)
     ends = clock() + min(longest, LONGEST_NS)
     await pause(deadlines, clock, GRACE_S)
     for front, listener in zip(fronts, listeners, strict=True):
@@ -309,12 +309,12 @@
         while not front.accept_waiting(listener) and clock() < ends:
             await pause(deadlines, clock, POLL_S)
         close(listener)
-    while core.by_asker or any(front.clients for front in fronts):
+    while core.by_sink or any(front.clients for front in fronts):
         if clock() >= ends:
             for front in fronts:
                 front.stop(last=clock() >= ends + FINISH_NS)
         if clock() >= ends + FINISH_NS:
-            runner.post(Closing())
+            runner.post(ShutdownStarted())
         if clock() >= ends + FINISH_NS + LAST_NS:
             log.warning("connections left at the end", clients=sum(len(front.clients) for front in fronts))
             return  # all is answered; who reads slowly, or goes on sending, is not waited for until SIGKILL
--- a/runloft/simulator/adapter.py
+++ b/runloft/simulator/adapter.py
@@ -14,14 +14,14 @@
 from runloft.simulator import wire as wire
 
 ENDINGS = {
-    200: contract.Ending.OK,
-    500: contract.Ending.ERROR,
-    503: contract.Ending.FULL,
-    504: contract.Ending.TIMEOUT,
-    502: contract.Ending.CONNECT_FAILED,
-    598: contract.Ending.RESET,
-    499: contract.Ending.CANCELLED,
-    410: contract.Ending.MOOT,
+    200: contract.AttemptOutcome.OK,
+    500: contract.AttemptOutcome.ERROR,
+    503: contract.AttemptOutcome.FULL,
+    504: contract.AttemptOutcome.TIMEOUT,
+    502: contract.AttemptOutcome.CONNECT_FAILED,
+    598: contract.AttemptOutcome.RESET,
+    499: contract.AttemptOutcome.CANCELLED,
+    410: contract.AttemptOutcome.NOT_SENT,
 }
 LIST_KINDS = (
     contract.ListKind.DELTA,
@@ -37,10 +37,10 @@
     """Translate one record; None for what the scheduler has no use for."""
     f = record.fields
     if record.code == wire.REQUEST:
-        id_, units, options, key, plan, klass, left, hosts, volume, shard = f
+        id_, units, options, key, plan, request_class, left, hosts, volume, shard = f
         return contract.Request(
             id=id_,
-            klass=klass,
+            request_class=request_class,
             plan=plan,
             volume=volume,
             units=units,
@@ -52,12 +52,12 @@
             is_client_retry=bool(options & IS_RETRY),
         )
     if record.code == wire.OUTCOME:
-        id_, attempt, node, ending, latency, complete, used, elsewhere, count, *load = f
-        return contract.Outcome(
+        id_, attempt, node, outcome, latency, complete, used, elsewhere, count, *load = f
+        return contract.AttemptResult(
             id=id_,
             attempt=attempt,
             node=node,
-            ending=ENDINGS.get(ending, contract.Ending.ERROR),
+            outcome=ENDINGS.get(outcome, contract.AttemptOutcome.ERROR),
             complete=bool(complete),
             latency_ns=latency,
             used_percent=used - 1 if used else None,
@@ -71,9 +71,9 @@
     if record.code == wire.TIMER:
         return contract.TimerFired(token=f[0])
     if record.code == wire.PROBED:
-        node, ending, latency, count, *load = f
-        verdict = ENDINGS.get(ending, contract.Ending.ERROR)
-        return contract.ProbeResult(node, verdict, latency, tuple(load[:count]))
+        node, outcome, latency, count, *load = f
+        verdict = ENDINGS.get(outcome, contract.AttemptOutcome.ERROR)
+        return contract.HealthCheckResult(node, verdict, latency, tuple(load[:count]))
     if record.code == wire.MEMBERS:
         if f[1] >= len(LIST_KINDS):
             raise wire.WireError(f"unknown kind of node list {f[1]}")
@@ -95,21 +95,21 @@
 def action_to_wire(instance: int, action: contract.Action) -> bytes:
     """Translate one action to its record; the simulator is not told what an instance forgets."""
     match action:
-        case contract.Send(id_, node, timeout_ns):
+        case contract.SendAttempt(id_, node, timeout_ns):
             return wire.encode_action(wire.SEND, instance, id_, node, timeout_ns)
-        case contract.Refuse(id_, retry_after_ns):
+        case contract.ShedRequest(id_, retry_after_ns):
             return wire.encode_action(wire.REFUSE, instance, id_, retry_after_ns)
-        case contract.Fail(id_):
+        case contract.FailRequest(id_):
             return wire.encode_action(wire.FAIL, instance, id_)
-        case contract.Cancel(id_, attempt):
+        case contract.CancelAttempt(id_, attempt):
             return wire.encode_action(wire.CANCEL, instance, id_, attempt)
         case contract.Timer(at_ns, token):
             return wire.encode_action(wire.WAKE_AT, instance, at_ns, token)
-        case contract.Probe(node):
+        case contract.HealthCheck(node):
             return wire.encode_action(wire.PROBE, instance, node)
-        case contract.Subscribe():
+        case contract.WatchNodeList():
             return wire.encode_action(wire.WATCH, instance, 1)
-        case contract.Forget():
+        case contract.ForgetNode():
             return b""
 
 
@@ -148,7 +148,7 @@
         for instance, events in todo.items():
             try:
                 actions = self._schedulers[instance].handle(clock, events)
-                told = (action for action in actions if not isinstance(action, contract.Forget))
+                told = (action for action in actions if not isinstance(action, contract.ForgetNode))
                 out.extend(action_to_wire(instance, action) for action in told)
             except Exception as error:
                 faults[instance] = f"{type(error).__name__}: {error}"
--- a/runloft/upstream/http_link.py
+++ b/runloft/upstream/http_link.py
@@ -8,9 +8,9 @@
 import h11
 
 from runloft.core.counters import NodeCloseReason
-from runloft.core.model import Began, Dispatch, Ended, Held
+from runloft.core.model import AttemptFinished, Dispatch, ResponseBuffered, StreamStarted
 from runloft.core.timers import TimerHandle
-from runloft.decisions.contract import Ending
+from runloft.decisions.contract import AttemptOutcome
 from runloft.upstream.links import Connection
 
 READ_AHEAD = 256 << 10  # bytes of an answer held for a client that reads slowly
@@ -28,7 +28,7 @@
     wire: str = "http"
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """Its body and something for the head."""
         return len(self.body) + 1024
 
@@ -81,7 +81,7 @@
     protocol: h11.Connection | None = None
     stream: Stream | None = None
     stall: TimerHandle | None = None
-    not_ran: Ending | None = None
+    not_ran: AttemptOutcome | None = None
 
     def inbox_limit(self) -> int:
         """All that is read goes on to the parser at once."""
@@ -135,7 +135,7 @@
             raise ValueError(str(error)) from error
         if self.stream:
             if self.stream.size > READ_AHEAD and self.order:
-                self.link.post(Held(self.order.attempt))
+                self.link.post(ResponseBuffered(self.order.attempt))
             await self.stream.room()
 
     def eof(self) -> None:
@@ -157,10 +157,10 @@
         assert self.order is not None
         if head.status_code >= 500:
             # 503: turned away unseen, as by a full or draining server; others may have run.
-            self.not_ran = Ending.FULL if head.status_code == 503 else Ending.ERROR
+            self.not_ran = AttemptOutcome.FULL if head.status_code == 503 else AttemptOutcome.ERROR
             return
         self.stream = Stream(head.status_code, list(head.headers.raw_items()))  # names as written
-        self.link.post(Began(self.order.attempt, self.stream))
+        self.link.post(StreamStarted(self.order.attempt, self.stream))
 
     def _whole(self) -> None:
         assert self.order is not None and self.protocol is not None
@@ -168,7 +168,7 @@
         self.link.deadlines.discard(self.stall)
         if stream:
             stream.end(True)
-        ended = Ended(attempt, self.not_ran or Ending.OK, stream)
+        ended = AttemptFinished(attempt, self.not_ran or AttemptOutcome.OK, stream)
         # Guards the next request: what came behind this answer may not answer that one.
         reusable = self.protocol.our_state is h11.DONE and self.protocol.their_state is h11.DONE
         reusable = reusable and not self.protocol.trailing_data[0]
--- a/runloft/upstream/links.py
+++ b/runloft/upstream/links.py
@@ -14,10 +14,10 @@
 from runloft.config.settings import Config, address
 from runloft.core.counters import COUNTERS, Counted, NodeCloseReason
 from runloft.core.guard import SendPermit, SendRefusal
-from runloft.core.model import AttemptWithdrawn, Dispatch, Ended, Event, NodeUpdate, Written
+from runloft.core.model import AttemptFinished, AttemptWithdrawn, Dispatch, Event, NodeUpdate, RequestWritten
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.core.trace import trace
-from runloft.decisions.contract import Ending, NodeState
+from runloft.decisions.contract import AttemptOutcome, NodeState
 from runloft.net import resp2
 from runloft.net.sockets import Budget, Inbox, Outbox, close, connect, connecting, is_quiet
 
@@ -59,7 +59,7 @@
     wire: str = "resp"
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """Its words, bodies above all."""
         return sum(map(len, self.words)) + 256
 
@@ -148,7 +148,7 @@
         """
         permit = self.permit(attempt, self.clock())
         refusal = permit.refusal
-        if refusal is None and permit.verify is not None and permit.verify.has_left():
+        if refusal is None and permit.verify is not None and permit.verify.has_disconnected():
             refusal = SendRefusal.CLIENT_LEFT
         if refusal is not None:
             COUNTERS.add(Counted.NOT_SENT, refusal)
@@ -237,10 +237,10 @@
     def eof(self) -> None:
         """Note that the node ended its sending."""
 
-    def ending(self) -> Ending:
+    def outcome(self) -> AttemptOutcome:
         """Tell how an attempt ends whose connection broke: it never ran before its last byte left."""
         written = self.connected and not self.outbox.parts
-        return Ending.RESET if written else Ending.CONNECT_FAILED
+        return AttemptOutcome.RESET if written else AttemptOutcome.CONNECT_FAILED
 
     def take(self, order: Dispatch) -> None:
         """Carry an attempt."""
@@ -271,7 +271,7 @@
     def _left(self) -> None:
         """Tell that an attempt's last byte has left, where accounts are kept."""
         if self.link.tells_written and self.order is not None:
-            self.link.post(Written(self.order.attempt))
+            self.link.post(RequestWritten(self.order.attempt))
 
     def _flush(self) -> None:
         try:
@@ -341,7 +341,7 @@
             return False
         return True
 
-    def finished(self, ended: Ended | AttemptWithdrawn, reusable: bool = True) -> None:
+    def finished(self, ended: AttemptFinished | AttemptWithdrawn, reusable: bool = True) -> None:
         """Post an attempt's end; the connection waits for the next one, or closes."""
         # Guards the next request: behind the rest of this one, it would get what this one is answered.
         reusable = reusable and not self.outbox.parts
@@ -377,7 +377,7 @@
         order, self.order = self.order, None
         if order is not None:
             self.link.out.pop(order.attempt, None)
-            self.link.post(Ended(order.attempt, self.ending()))
+            self.link.post(AttemptFinished(order.attempt, self.outcome()))
 
 
 class RespConnection(Connection):
@@ -421,10 +421,10 @@
             self.inbox.reserve(size)
 
 
-def outcome(attempt: int, reply: resp2.Reply) -> Ended:
+def outcome(attempt: int, reply: resp2.Reply) -> AttemptFinished:
     """Read a node's reply."""
     used, cost = resp2.usage(reply.usage)
     if reply.error is None:
-        return Ended(attempt, Ending.OK, reply.value, used, cost)
-    ending = Ending.FULL if reply.error == b"BUSY" else Ending.ERROR
-    return Ended(attempt, ending, None, used, cost)
+        return AttemptFinished(attempt, AttemptOutcome.OK, reply.value, used, cost)
+    outcome = AttemptOutcome.FULL if reply.error == b"BUSY" else AttemptOutcome.ERROR
+    return AttemptFinished(attempt, outcome, None, used, cost)
--- a/tests/accounts/test_accounts.py
+++ b/tests/accounts/test_accounts.py
@@ -9,8 +9,24 @@
 from runloft.accounts.ledger import MOST_NAMED, OTHERS, Largest, Ledger, VolumeTotals
 from runloft.accounts.node import NodeLog
 from runloft.accounts.parts import Account, Part
-from runloft.core.model import Began, Ended, Held, Left, NodeListUpdate, NodeUpdate, Written
-from runloft.decisions.contract import Ending, Fail, Forget, ListKind, NodeState, Refuse, Send
+from runloft.core.model import (
+    AttemptFinished,
+    ClientDisconnected,
+    NodeListUpdate,
+    NodeUpdate,
+    RequestWritten,
+    ResponseBuffered,
+    StreamStarted,
+)
+from runloft.decisions.contract import (
+    AttemptOutcome,
+    FailRequest,
+    ForgetNode,
+    ListKind,
+    NodeState,
+    SendAttempt,
+    ShedRequest,
+)
 from tests.core.test_core import Turns
 from tests.support.driver import MS
 from tests.support.driver import settings as driver_settings
@@ -148,12 +164,12 @@
 def test_a_request_tried_again_counts_from_its_first_try():
     turns, ledger = kept()
     turns.take()
-    turns.step(NUDGE, after=30, plan=[Send(1, 1, 50 * MS)])
-    turns.step(Written(1), after=5)
+    turns.step(NUDGE, after=30, plan=[SendAttempt(1, 1, 50 * MS)])
+    turns.step(RequestWritten(1), after=5)
     turns.step(after=45)  # given up
-    turns.step(NUDGE, after=10, plan=[Send(1, 1)])
-    turns.step(Written(2), after=2)
-    turns.step(Ended(2, Ending.OK, b"v"), after=40)
+    turns.step(NUDGE, after=10, plan=[SendAttempt(1, 1)])
+    turns.step(RequestWritten(2), after=2)
+    turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=40)
     assert parts(ledger) == {"HELD_BOUND": 30, "CONNECTING": 7, "OUT": 85, "BETWEEN": 10}
     totals = ledger.totals[1]
     assert (totals.requests, totals.served, totals.late, totals.whole_ns) == (1, 1, 1, 132 * MS)
@@ -163,11 +179,11 @@
 
 def test_a_flood_is_named_by_those_who_wait_behind_it():
     turns, ledger = kept()
-    turns.take([Send(1, 1)], volume=7)
-    turns.take([Send(2, 1)], volume=7)
-    turns.take([Send(3, 1)], volume=1)
+    turns.take([SendAttempt(1, 1)], volume=7)
+    turns.take([SendAttempt(2, 1)], volume=7)
+    turns.take([SendAttempt(3, 1)], volume=1)
     for attempt in (1, 2, 3):
-        turns.step(Ended(attempt, Ending.OK, b"v"), after=20)
+        turns.step(AttemptFinished(attempt, AttemptOutcome.OK, b"v"), after=20)
     assert ledger.totals[1].waited_for.amounts == {7: 40 * MS, 1: 20 * MS}
     assert ledger.totals[7].waited_for.amounts == {7: 60 * MS}
 
@@ -183,38 +199,38 @@
 def test_what_is_never_sent_says_why_it_was_held(state, shard, part):
     turns, ledger = kept(state)
     turns.take(shard=shard)
-    turns.step(NUDGE, after=80, plan=[Refuse(1, 5)])
+    turns.step(NUDGE, after=80, plan=[ShedRequest(1, 5)])
     assert parts(ledger) == {part: 80}
     assert ledger.totals[1].idle_ns == (80 * MS if shard == 0 else 0)
 
 
 def test_a_slow_reader_is_its_own_account_and_not_the_nodes():
     turns, ledger = kept()
-    turns.take([Send(1, 1)])
-    turns.step(Written(1))
-    turns.step(Began(1, "head"), after=10)
-    turns.step(Held(1))
-    turns.step(Ended(1, Ending.OK, "stream"), after=500)
+    turns.take([SendAttempt(1, 1)])
+    turns.step(RequestWritten(1))
+    turns.step(StreamStarted(1, "head"), after=10)
+    turns.step(ResponseBuffered(1))
+    turns.step(AttemptFinished(1, AttemptOutcome.OK, "stream"), after=500)
     assert parts(ledger) == {"OUT": 10, "READER": 500}
     assert ledger.totals[1].waited_for.amounts == {1: 10 * MS}
 
 
 def test_an_attempt_that_outlives_its_client_is_still_the_nodes_work():
     turns, ledger = kept()
-    asker, _ = turns.take([Send(1, 1)], volume=7)
-    turns.step(Left(asker), after=5)
-    turns.take([Send(2, 1)], volume=1)
-    turns.step(Ended(1, Ending.OK, b"v"), after=20)
-    turns.step(Ended(2, Ending.OK, b"v"), after=10)
+    sink, _ = turns.take([SendAttempt(1, 1)], volume=7)
+    turns.step(ClientDisconnected(sink), after=5)
+    turns.take([SendAttempt(2, 1)], volume=1)
+    turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=20)
+    turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=10)
     assert ledger.totals[1].waited_for.amounts == {7: 20 * MS, 1: 10 * MS}
     assert ledger.totals[7].whole_ns == 5 * MS and not ledger._attempts
 
 
 def test_a_client_that_leaves_its_stream_leaves_nothing_open():
     turns, ledger = kept()
-    asker, _ = turns.take([Send(1, 1)])
-    turns.step(Began(1, "head"), after=10)
-    turns.step(Left(asker), after=10)
+    sink, _ = turns.take([SendAttempt(1, 1)])
+    turns.step(StreamStarted(1, "head"), after=10)
+    turns.step(ClientDisconnected(sink), after=10)
     assert not ledger.open and not ledger._attempts and not ledger._waits
     assert ledger.nodes[1].out == 0
 
@@ -222,6 +238,6 @@
 def test_a_node_that_is_forgotten_ends_what_waited_for_it():
     turns, ledger = kept()
     turns.take()
-    turns.step(NUDGE, after=10, plan=[Forget(1)])
-    turns.step(NUDGE, after=10, plan=[Fail(1)])
+    turns.step(NUDGE, after=10, plan=[ForgetNode(1)])
+    turns.step(NUDGE, after=10, plan=[FailRequest(1)])
     assert ledger.totals[1].idle_ns == 20 * MS and not ledger.nodes
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -11,25 +11,25 @@
 from runloft.config.settings import config_from_json
 from runloft.core.model import (
     AbortAttempt,
-    Answer,
+    AttemptFinished,
+    ClientDisconnected,
     Dispatch,
-    Ended,
     Failed,
-    Left,
+    InvalidRequest,
     NodeListUpdate,
     NodeUpdate,
-    Refused,
-    Rejected,
+    RequestReceived,
+    SendResponse,
     Served,
-    Taken,
+    Shed,
 )  # fmt: skip
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Effect, Ending, Group, ListKind, NodeState
+from runloft.decisions.contract import AttemptOutcome, Effect, IdempotencyScope, ListKind, NodeState
 from runloft.listeners.grammar import Translator
 from tests.support.driver import MS, SECOND
 
-DOUBTFUL = (Ending.ERROR, Ending.RESET, Ending.TIMEOUT)
+DOUBTFUL = (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)
 TIMES = st.sampled_from([5, 20, 60, 150, 400, 1300, 5000, 30_000, 240_000])  # ms
 LETTER = st.characters(codec="utf-8", exclude_categories=("C", "Z"), exclude_characters=",")
 NAME = st.text(LETTER, min_size=1)
@@ -46,7 +46,7 @@
         "HardLimit": TIMES.map(lambda t: t * MS),
         "Effect": st.sampled_from(["retryable", "dedup", "fragile"]),
     },
-    Group=st.sampled_from(["all", "zone", "cell"]),
+    IdempotencyScope=st.sampled_from(["all", "zone", "cell"]),
     Window=TIMES.map(lambda t: t * MS),
     InTurn=st.booleans(),
     Importance=st.sampled_from([0, 0.5, 7]),
@@ -76,7 +76,7 @@
             table(
                 {},
                 AttemptsCap=st.integers(1, 4),
-                Cancel=st.booleans(),
+                CancelAttempt=st.booleans(),
                 MaxRetryAfter=st.sampled_from([0, 2 * SECOND]),
                 ConnectTimeout=TIMES.map(lambda t: t * MS),
             )
@@ -107,7 +107,7 @@
 
     def run(self):
         self.step(NodeListUpdate(ListKind.CACHED, tuple(self.nodes.values())))
-        span = max(klass.deadline_ns for klass in self.settings.classes)
+        span = max(request_class.deadline_ns for request_class in self.settings.classes)
         for _ in range(40):
             self.at(self.now + int(self.random.random() * min(span, 3 * SECOND)), self.ask)
         for _ in range(4):
@@ -127,30 +127,30 @@
         assert not self.open, "no final answer"
 
     def ask(self):
-        name, klass = self.random.choice(self.names)
-        facts = self.settings.classes[klass]
+        name, request_class = self.random.choice(self.names)
+        facts = self.settings.classes[request_class]
         time = max(30, facts.deadline_ns // MS)
         piece = self.random.randrange(3)  # 0: no key
         plan = self.random.choice(self.plans)  # each plan has a volume of its own
         attributes = f"c={name},t={plan},d={time},volume={self.plans.index(plan):016x}"
         attributes += f",units={self.random.randint(1, 8)},shard={self.random.randint(-1, 3)},hosts=1"
         words = [b"IO.IN", b"%016x" % piece, b"%016x" % next(self.serial), attributes.encode()]
-        asker = ResponseSink()
+        sink = ResponseSink()
         ask = self.translator.ask(words)
-        self.open[asker] = self.now + ask.time_left_ns
-        asker.ask, asker.klass = ask, facts
+        self.open[sink] = self.now + ask.time_left_ns
+        sink.ask, sink.request_class = ask, facts
         self.taken_at.append(self.now)
         if facts.in_order and ask.key:
-            self.lines[ask.key].append(asker)
+            self.lines[ask.key].append(sink)
         if self.random.random() < 0.2:
-            self.at(self.now + int(self.random.random() * ask.time_left_ns), lambda: self.leave(asker))
-        return Taken(asker, ask)
+            self.at(self.now + int(self.random.random() * ask.time_left_ns), lambda: self.leave(sink))
+        return RequestReceived(sink, ask)
 
-    def leave(self, asker):
-        if self.open.pop(asker, None) is None:
+    def leave(self, sink):
+        if self.open.pop(sink, None) is None:
             return None
-        asker.over = True
-        return Left(asker)
+        sink.over = True
+        return ClientDisconnected(sink)
 
     def news(self):
         uid = self.random.choice(list(self.nodes))
@@ -162,77 +162,90 @@
 
     def step(self, *events):
         for event in events:
-            if isinstance(event, Ended):
-                self.ended(event.attempt, event.ending)
+            if isinstance(event, AttemptFinished):
+                self.ended(event.attempt, event.outcome)
         for effect in self.core.step(self.now, events):
             if isinstance(effect, Dispatch):
                 self.dispatched(effect)
             elif isinstance(effect, AbortAttempt):
-                self.ended(effect.attempt, Ending.TIMEOUT)
-            elif isinstance(effect, Answer):
-                self.answered(effect.asker, effect.reply)
-
-    def answered(self, asker, reply):
-        assert self.now <= self.open.pop(asker) + self.settings.tick_ns
-        assert not isinstance(reply, Rejected)
-        asker.over = True
-        keyed = asker.klass.effect is Effect.KEYED and asker.klass.group is Group.ALL
-        if isinstance(reply, Refused):
-            harmless = asker.klass.effect is Effect.SAFE or keyed
-            assert harmless or (asker.doubt_at is None and not asker.out)
-        assert isinstance(reply, Served | Failed | Refused)
-
-    def ended(self, number, ending):
+                self.ended(effect.attempt, AttemptOutcome.TIMEOUT)
+            elif isinstance(effect, SendResponse):
+                self.answered(effect.sink, effect.reply)
+
+    def answered(self, sink, reply):
+        assert self.now <= self.open.pop(sink) + self.settings.tick_ns
+        assert not isinstance(reply, InvalidRequest)
+        sink.over = True
+        keyed = (
+            sink.request_class.effect is Effect.IDEMPOTENT_WITH_KEY
+            and sink.request_class.group is IdempotencyScope.ALL
+        )
+        if isinstance(reply, Shed):
+            harmless = sink.request_class.effect is Effect.IDEMPOTENT or keyed
+            assert harmless or (sink.doubt_at is None and not sink.out)
+        assert isinstance(reply, Served | Failed | Shed)
+
+    def ended(self, number, outcome):
         if number not in self.attempts:
             return
-        asker, at = self.attempts.pop(number)
-        asker.out.discard(number)
-        if ending in DOUBTFUL and asker.doubt_at is None:
-            asker.doubt_at = at
-        if ending in (Ending.TIMEOUT, Ending.RESET):
-            self.rest[asker.ask.key] = (self.now + self.settings.settle_ns, asker)
+        sink, at = self.attempts.pop(number)
+        sink.out.discard(number)
+        if outcome in DOUBTFUL and sink.doubt_at is None:
+            sink.doubt_at = at
+        if outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET):
+            self.rest[sink.ask.key] = (self.now + self.settings.ambiguity_wait_ns, sink)
 
     def dispatched(self, order):
         attempt = self.core.attempts[order.attempt]
-        asker, klass, conf = attempt.request.asker, attempt.request.asker.klass, self.settings
-        assert not asker.over and not asker.out and asker.sends < conf.max_attempts
+        sink, request_class, conf = attempt.request.sink, attempt.request.sink.request_class, self.settings
+        assert not sink.over and not sink.out and sink.sends < conf.max_attempts
         assert self.nodes[order.node.uid].state is NodeState.READY
-        assert asker.ask.shard in (None, order.node.shard)
-        assert 0 < order.wait_ns <= self.open[asker] - self.now
-        if asker.doubt_at is not None:
-            assert klass.effect is not Effect.UNSAFE
-            if klass.effect is Effect.KEYED:
-                assert self.now < asker.doubt_at + klass.window_ns
-                first = self.nodes[asker.first]
-                same = {Group.ALL: True, Group.ZONE: first.zone == order.node.zone}
-                assert same.get(klass.group, first.shard == order.node.shard)
-        if klass.in_order and asker.ask.key:
-            ahead = self.lines[asker.ask.key][: self.lines[asker.ask.key].index(asker)]
+        assert sink.ask.shard in (None, order.node.shard)
+        assert 0 < order.wait_ns <= self.open[sink] - self.now
+        if sink.doubt_at is not None:
+            assert request_class.effect is not Effect.NOT_IDEMPOTENT
+            if request_class.effect is Effect.IDEMPOTENT_WITH_KEY:
+                assert self.now < sink.doubt_at + request_class.idempotency_window_ns
+                first = self.nodes[sink.first]
+                same = {IdempotencyScope.ALL: True, IdempotencyScope.ZONE: first.zone == order.node.zone}
+                assert same.get(request_class.group, first.shard == order.node.shard)
+        if request_class.in_order and sink.ask.key:
+            ahead = self.lines[sink.ask.key][: self.lines[sink.ask.key].index(sink)]
             assert all(other.over and not other.out for other in ahead)
-            until, owner = self.rest.get(asker.ask.key, (0, asker))
-            if owner.klass.in_order and owner is not asker:
+            until, owner = self.rest.get(sink.ask.key, (0, sink))
+            if owner.request_class.in_order and owner is not sink:
                 assert self.now >= until
-        if asker.sends:
+        if sink.sends:
             self.extra_at.append(self.now)
-            if window := conf.budget_window_ns:
+            if window := conf.retry_budget_window_ns:
                 both = (self.extra_at, self.taken_at)
                 extra, taken = (sum(t > self.now - window for t in at) for at in both)
-                assert extra <= conf.budget_free + conf.budget_share * taken
-        elif (plan := conf.plans[asker.ask.plan]).limit:
-            level, at = self.stores.get(asker.ask.plan, (plan.limit_burst, self.now))
-            level = min(plan.limit_burst, level + plan.limit * (self.now - at) / SECOND) - asker.ask.units
+                assert extra <= conf.retry_budget_base + conf.retry_budget_ratio * taken
+        elif (plan := conf.plans[sink.ask.plan]).limit:
+            level, at = self.stores.get(sink.ask.plan, (plan.limit_burst, self.now))
+            level = min(plan.limit_burst, level + plan.limit * (self.now - at) / SECOND) - sink.ask.units
             assert level >= -plan.limit_slack
-            self.stores[asker.ask.plan] = (level, self.now)
-        if not asker.sends:
-            asker.first = order.node.uid
-        asker.sends += 1
-        asker.out.add(order.attempt)
-        self.attempts[order.attempt] = (asker, self.now)
+            self.stores[sink.ask.plan] = (level, self.now)
+        if not sink.sends:
+            sink.first = order.node.uid
+        sink.sends += 1
+        sink.out.add(order.attempt)
+        self.attempts[order.attempt] = (sink, self.now)
         self.core.begin_attempt(order.attempt, order.wait_ns, self.now)
-        endings = [Ending.OK, Ending.ERROR, Ending.FULL, Ending.CONNECT_FAILED, Ending.RESET, None]
-        if (ending := self.random.choice(endings)) is not None:
-            delay = int(self.random.random() ** 3 * 2 * klass.aim_ns)
-            self.at(self.now + delay, Ended(order.attempt, ending, b"v" if ending is Ending.OK else None))
+        outcomes = [
+            AttemptOutcome.OK,
+            AttemptOutcome.ERROR,
+            AttemptOutcome.FULL,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.RESET,
+            None,
+        ]
+        if (outcome := self.random.choice(outcomes)) is not None:
+            delay = int(self.random.random() ** 3 * 2 * request_class.latency_objective_ns)
+            self.at(
+                self.now + delay,
+                AttemptFinished(order.attempt, outcome, b"v" if outcome is AttemptOutcome.OK else None),
+            )
 
 
 class ResponseSink:
--- a/tests/core/test_golden_sequence.py
+++ b/tests/core/test_golden_sequence.py
@@ -212,10 +212,10 @@
         if self.random.random() < 0.3:
             more = (core_api.fast_class(),)
         conf = core_api.golden_settings(self.random.choice([2, 3, 4]), more)
-        requests, held_bytes = self.random.choice([(60, 6000), (30, 3000), (8, 900)])
+        requests, buffered_bytes = self.random.choice([(60, 6000), (30, 3000), (8, 900)])
         plans = [1] if self.random.random() < 0.1 else []
         volumes = self.random.sample(range(6), self.random.choice([0, 0, 2]))
-        return core_api.reconfigured(conf, requests, held_bytes, plans, volumes)
+        return core_api.reconfigured(conf, requests, buffered_bytes, plans, volumes)
 
     def call_later(self):
         number = self.serial
--- a/tests/core/test_guard.py
+++ b/tests/core/test_guard.py
@@ -14,7 +14,7 @@
 from runloft.core.model import Bounds, NodeUpdate, RequestSpec
 from runloft.core.records import Attempt, PendingRequest
 from runloft.decisions.contract import Effect, NodeState
-from tests.support.driver import MS, SECOND, klass, settings
+from tests.support.driver import MS, SECOND, request_class, settings
 
 NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
 EFFECTS = st.sampled_from(Effect)
@@ -26,8 +26,8 @@
     return PendingRequest(1, "asker", ask, SECOND, **more)
 
 
-def conf(effect=Effect.SAFE, **more):
-    return settings(klass(effect, deadline=1000, window_ns=500 * MS), **more)
+def conf(effect=Effect.IDEMPOTENT, **more):
+    return settings(request_class(effect, deadline=1000, idempotency_window_ns=500 * MS), **more)
 
 
 @given(
@@ -46,8 +46,8 @@
     if refusal is None:
         assert not over and not out and now < request.deadline and sends < rules.max_attempts
         assert state is not NodeState.GONE
-        assert doubt_at is None or effect is not Effect.UNSAFE
-        assert doubt_at is None or effect is Effect.SAFE or now < doubt_at + 500 * MS
+        assert doubt_at is None or effect is not Effect.NOT_IDEMPOTENT
+        assert doubt_at is None or effect is Effect.IDEMPOTENT or now < doubt_at + 500 * MS
     else:
         assert isinstance(refusal, SendRefusal)
 
@@ -62,7 +62,7 @@
     assert bool(permit) is (permit.refusal is None) is (permit.wait_ns > 0)
     if permit:
         assert state is NodeState.READY and permit.wait_ns == due - now
-        assert doubt_at is None or effect is not Effect.UNSAFE
+        assert doubt_at is None or effect is not Effect.NOT_IDEMPOTENT
         assert permit.verify is (None if now - seen <= guard.VERIFY_AFTER_NS else "asker")
 
 
@@ -83,7 +83,7 @@
 
 @given(st.integers(0, 200), st.integers(0, 200), st.integers(0, 200), st.booleans(), st.booleans())
 def test_a_request_is_started_within_its_bounds_or_told_why_not(open_, held, size, known, suspended):
-    bounds = Bounds(requests=100, held_bytes=200)
+    bounds = Bounds(requests=100, buffered_bytes=200)
     refusal = guard.permit_start(open_, held, size, bounds, known, suspended)
     room = open_ < 50 and held + size <= 100
     wanted = StartRefusal.NO_ROOM if not room else None
--- a/tests/core/test_start_times.py
+++ b/tests/core/test_start_times.py
@@ -11,7 +11,7 @@
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import ListKind
 from runloft.service.runner import Clock
-from tests.support.driver import MS, SECOND, klass, settings
+from tests.support.driver import MS, SECOND, request_class, settings
 
 HOUR = 3600 * SECOND
 COLD = 18 * SECOND
@@ -23,7 +23,13 @@
 
     def __init__(self, off=0):
         self.off, self.now = off, NOW
-        conf = settings(klass(), cold_ns=COLD, cold_from=0.2, fall_ns=2 * SECOND, cold_units=12.0)
+        conf = settings(
+            request_class(),
+            slow_start_ns=COLD,
+            slow_start_initial_fraction=0.2,
+            overload_window_ns=2 * SECOND,
+            slow_start_units=12.0,
+        )
         self.core = Core(conf, 1, self.now + off, TimerQueue())
 
     def tell(self, kind=ListKind.DELTA, **started):
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -6,20 +6,20 @@
 import pytest
 
 from runloft.decisions.contract import (
+    AttemptOutcome,
+    AttemptResult,
     ClientGone,
     Effect,
-    Ending,
-    Fail,
+    FailRequest,
     NodeEntry,
     NodeState,
-    Outcome,
     PlanSettings,
-    Refuse,
-    Send,
+    SendAttempt,
+    ShedRequest,
     TimerFired,
 )
 from runloft.decisions.policy import MOST_VOLUMES
-from tests.support.driver import MS, NODE, SECOND, Host, gone, klass, settings
+from tests.support.driver import MS, NODE, SECOND, Host, gone, request_class, settings
 
 ROOT = Path(__file__).parents[2]
 
@@ -38,18 +38,18 @@
 
 
 def test_a_forecast_past_the_deadline_is_refused_on_arrival_with_the_excess():
-    host = Host(settings(klass(aim=100, deadline=600)))
+    host = Host(settings(request_class(aim=100, deadline=600)))
     host.serve(40, latency=50)  # about 20 units a second
     ids = [host.ask() for _ in range(30)]
     refused = [a for i in ids for t, a in host.answers(i) if t == host.now]
-    assert refused and all(isinstance(a, Refuse) for a in refused)
+    assert refused and all(isinstance(a, ShedRequest) for a in refused)
     assert 0 < refused[0].retry_after_ns < 200 * MS
     assert refused[0].retry_after_ns <= refused[-1].retry_after_ns <= SECOND
     assert len(ids) - len(refused) >= 5  # what can leave in its time is taken
 
 
 def test_units_out_stay_under_rate_times_part_of_the_aim_and_the_cap():
-    host = Host(settings(klass(aim=100)))
+    host = Host(settings(request_class(aim=100)))
     for _ in range(60):  # about 1000 units a second, always busy
         ids = [host.ask(units=5) for _ in range(2)]
         host.wait(10)
@@ -73,7 +73,7 @@
 
 def test_a_surging_volume_crowds_out_only_itself():
     plan = PlanSettings(rate=2, reserve=3, weight=1)
-    conf = settings(klass(deadline=2000), plan=plan, share_worth=0.3, spare_worth=0.1)
+    conf = settings(request_class(deadline=2000), plan=plan, within_quota_factor=0.3, beyond_quota_factor=0.1)
     host = Host(conf)
     host.serve(20, latency=20, volume=9)
     for _ in range(20):
@@ -88,26 +88,26 @@
 
 
 def test_a_silent_node_gets_one_trial_at_a_time_and_recovers():
-    host = Host(settings(klass(aim=100, deadline=2000)))
+    host = Host(settings(request_class(aim=100, deadline=2000)))
     host.serve(30)
     for _ in range(6):
         host.ask()
     host.wait(1000)
     before = len(host.sends())
     for id_ in sorted(host.open):  # lost: the node hangs
-        host.end(id_, Ending.TIMEOUT, latency=1000)
+        host.end(id_, AttemptOutcome.TIMEOUT, latency=1000)
     assert len(host.open) <= 1
     for _ in range(5):
         host.ask()
     assert len(host.sends()) - before <= 2
-    trial = host.log[-1][1] if isinstance(host.log[-1][1], Send) else host.sends()[-1][1]
+    trial = host.log[-1][1] if isinstance(host.log[-1][1], SendAttempt) else host.sends()[-1][1]
     assert 0 < trial.timeout_ns < 2000 * MS
     host.end_all()  # it answers again
     assert len({a.id for _, a in host.sends()}) >= 36
 
 
 def test_silence_raises_the_forecast():
-    host = Host(settings(klass(aim=100, deadline=600)))
+    host = Host(settings(request_class(aim=100, deadline=600)))
     host.serve(30)
     host.ask()
     host.wait(500)
@@ -117,7 +117,7 @@
 
 def test_one_attempt_without_answer_makes_no_suspect_of_a_seldom_used_node():
     """Full size: a request every few seconds; by time alone a single lost answer blamed the node."""
-    host = Host(settings(klass(aim=100, deadline=600)))
+    host = Host(settings(request_class(aim=100, deadline=600)))
     host.serve(5)
     node = host.scheduler.nodes[10]
     host.ask()
@@ -128,12 +128,12 @@
 
 
 def test_a_time_out_of_a_client_with_little_time_is_no_silence():
-    host = Host(settings(klass(aim=100, deadline=600)))
+    host = Host(settings(request_class(aim=100, deadline=600)))
     host.serve(5)
     for _ in range(3):
         id_ = host.ask(left=60)
         host.wait(60)
-        host.end(id_, Ending.TIMEOUT, latency=60)
+        host.end(id_, AttemptOutcome.TIMEOUT, latency=60)
     host.wait(400)
     assert not host.scheduler.nodes[10].suspect(host.now)
 
@@ -142,43 +142,43 @@
     """Full size: a trial of each host every 1.5 aims was more than a crowded node can serve."""
 
     def trials(hosts: int) -> int:
-        host = Host(settings(klass(aim=100, deadline=2000), hosts=hosts))
+        host = Host(settings(request_class(aim=100, deadline=2000), hosts=hosts))
         host.serve(30)
         for _ in range(2):
-            host.end(host.ask(), Ending.TIMEOUT, latency=1000)
+            host.end(host.ask(), AttemptOutcome.TIMEOUT, latency=1000)
         host.wait(1000)
         before = len(host.sends())
         for _ in range(40):
             host.ask()
             host.wait(50)
-            host.end_all(Ending.RESET)
+            host.end_all(AttemptOutcome.RESET)
         return len(host.sends()) - before
 
     assert 1 <= trials(60) < trials(4) / 4
 
 
 def test_a_host_that_stood_still_takes_the_answer_before_the_timer():
-    host = Host(settings(klass(aim=100, deadline=600)))
+    host = Host(settings(request_class(aim=100, deadline=600)))
     id_ = host.ask()
     host.now += 700 * MS
-    host.see(TimerFired(id_), Outcome(id_, 0, 10, Ending.OK, True, 20 * MS))
+    host.see(TimerFired(id_), AttemptResult(id_, 0, 10, AttemptOutcome.OK, True, 20 * MS))
     assert not host.answers(id_)
 
 
 def test_quick_errors_raise_no_rate():
-    host = Host(settings(klass(aim=100, deadline=600), max_attempts=1))
+    host = Host(settings(request_class(aim=100, deadline=600), max_attempts=1))
     host.serve(30, latency=20)
     before = host.scheduler.nodes[10].rate.z
     for _ in range(200):
         host.ask()
         host.wait(1)
-        host.end_all(Ending.ERROR)
+        host.end_all(AttemptOutcome.ERROR)
     assert host.scheduler.nodes[10].rate.z <= before
 
 
 def test_many_hosts_floors_give_way_where_answers_are_slow():
     """Incident i8680d3: many hosts' floors together outlasted the aim."""
-    host = Host(settings(klass(aim=100)))
+    host = Host(settings(request_class(aim=100)))
     host.serve(30, latency=70)
     host.wait(500)
     for _ in range(3):
@@ -188,7 +188,7 @@
 
 def test_late_work_leaves_a_busy_node_to_timely_work():
     """Incident i8680d3: half of what was served was late, and kept timely work of other hosts waiting."""
-    host = Host(settings(klass(aim=100, deadline=3000)))
+    host = Host(settings(request_class(aim=100, deadline=3000)))
     host.serve(30, latency=70)
     host.wait(500)
     first, late = host.ask(), host.ask()
@@ -202,7 +202,7 @@
 
 def test_a_swallowed_attempt_keeps_no_place_and_no_trial_waits_for_it():
     """Incident i86f02a: a fifth of the attempts was never answered, on every node."""
-    host = Host(settings(klass(aim=100, deadline=4000)), at=SECOND)
+    host = Host(settings(request_class(aim=100, deadline=4000)), at=SECOND)
     host.serve(30, latency=10)
     host.wait(200)
     swallowed = host.ask()
@@ -218,11 +218,13 @@
 
 
 def test_news_of_what_has_ended_or_was_never_known_is_passed_over():
-    host = Host(settings(klass(Effect.UNSAFE)))
+    host = Host(settings(request_class(Effect.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.end(id_)
     host.end(id_)
-    host.see(Outcome(999, 0, 10, Ending.OK, True), ClientGone(999), TimerFired(999), ClientGone(id_))
+    host.see(
+        AttemptResult(999, 0, 10, AttemptOutcome.OK, True), ClientGone(999), TimerFired(999), ClientGone(id_)
+    )
     host.wait(1000)
     assert not host.answers(id_) and len(host.sends(id_)) == 1
 
@@ -259,7 +261,7 @@
 
 
 def test_a_held_request_that_can_end_in_time_no_more_is_refused_then_and_told_when_to_come_back():
-    host = Host(settings(klass(aim=100, deadline=3000)), at=SECOND)
+    host = Host(settings(request_class(aim=100, deadline=3000)), at=SECOND)
     host.serve(30, latency=50)  # about 20 units a second
     host.wait(500)
     out = host.ask(units=20)  # a second of work
@@ -268,21 +270,21 @@
     host.wait(1150)  # before its hold time
     ((at, answer),) = host.answers(held)
     assert at < asked + 2600 * MS - 1400 * MS  # well before its deadline
-    assert isinstance(answer, Refuse) and answer.retry_after_ns > 0 and out in host.open
+    assert isinstance(answer, ShedRequest) and answer.retry_after_ns > 0 and out in host.open
 
 
 def test_what_has_not_left_by_its_hold_time_is_given_up_then_and_what_a_node_has_seen_is_not():
-    host = Host(settings(klass(aim=100, deadline=1000)), nodes=())
+    host = Host(settings(request_class(aim=100, deadline=1000)), nodes=())
     unsent = host.ask()
     host.wait(449)
     assert not host.answers(unsent)
     host.wait(1)
     ((_, answer),) = host.answers(unsent)
-    assert isinstance(answer, Refuse) and answer.retry_after_ns > 0
+    assert isinstance(answer, ShedRequest) and answer.retry_after_ns > 0
     host.tell(NODE)
     seen = host.ask()
     host.tell(gone(10, state=NodeState.DRAINING))
-    host.end(seen, Ending.RESET)
+    host.end(seen, AttemptOutcome.RESET)
     host.wait(900)
     assert not host.answers(seen)
     host.wait(98)
@@ -290,12 +292,12 @@
 
 
 def test_a_refusal_after_a_failed_attempt_says_when_to_come_back():
-    host = Host(settings(klass(aim=100, deadline=600), max_attempts=1))
+    host = Host(settings(request_class(aim=100, deadline=600), max_attempts=1))
     host.serve(30, latency=20)
     id_ = host.ask()
-    host.end(id_, Ending.ERROR)
+    host.end(id_, AttemptOutcome.ERROR)
     ((at, answer),) = host.answers(id_)
-    assert at == host.now and isinstance(answer, Refuse) and 0 < answer.retry_after_ns <= SECOND
+    assert at == host.now and isinstance(answer, ShedRequest) and 0 < answer.retry_after_ns <= SECOND
 
 
 def test_a_request_for_an_unknown_shard_is_told_when_to_come_back():
@@ -306,48 +308,52 @@
 
 
 def test_a_keyed_request_past_its_window_fails_then_and_is_not_held_to_its_deadline():
-    keyed_class = klass(Effect.KEYED, aim=100, deadline=3000, window_ns=200 * MS)
-    host = Host(settings(keyed_class, klass(aim=100, deadline=3000, worth=5.0)))
-    host.serve(30, latency=50, klass=1)
+    keyed_class = request_class(
+        Effect.IDEMPOTENT_WITH_KEY, aim=100, deadline=3000, idempotency_window_ns=200 * MS
+    )
+    host = Host(settings(keyed_class, request_class(aim=100, deadline=3000, priority_weight=5.0)))
+    host.serve(30, latency=50, request_class=1)
     asked, keyed = host.now, host.ask()
-    host.ask(klass=1)  # worth more: takes the only place when the first attempt ends
-    host.end(keyed, Ending.RESET)
+    host.ask(request_class=1)  # worth more: takes the only place when the first attempt ends
+    host.end(keyed, AttemptOutcome.RESET)
     host.wait(400)
     ((at, answer),) = host.answers(keyed)
-    assert len(host.sends(keyed)) == 1 and isinstance(answer, Fail) and at <= asked + 300 * MS
+    assert len(host.sends(keyed)) == 1 and isinstance(answer, FailRequest) and at <= asked + 300 * MS
 
 
 # Many hosts: a price where others crowd a node.
 
 
-def crowded(hosts: int, ending=Ending.OK) -> Host:
+def crowded(hosts: int, outcome=AttemptOutcome.OK) -> Host:
     """A host that saw a node answer late, or not at all; it has a dear class and a cheap one."""
-    dear, cheap = (klass(aim=100, deadline=3000, worth=w, late_worth=0.5) for w in (4.0, 1.0))
+    dear, cheap = (
+        request_class(aim=100, deadline=3000, priority_weight=w, late_priority_weight=0.5) for w in (4.0, 1.0)
+    )
     host = Host(settings(dear, cheap, hosts=hosts), nodes=[NodeEntry(10, 0), NodeEntry(11, 1)])
-    for _ in range(6 if ending is Ending.OK else 3):
+    for _ in range(6 if outcome is AttemptOutcome.OK else 3):
         host.wait(400)
-        id_, latency = host.ask(), 90 if ending is Ending.OK else 150
+        id_, latency = host.ask(), 90 if outcome is AttemptOutcome.OK else 150
         host.wait(latency)
-        host.end(id_, ending, latency=latency)
+        host.end(id_, outcome, latency=latency)
     host.wait(400)
     return host
 
 
-@pytest.mark.parametrize("ending", [Ending.OK, Ending.TIMEOUT])
-def test_many_hosts_keep_what_earns_least_from_a_crowded_node(ending):
+@pytest.mark.parametrize("ending", [AttemptOutcome.OK, AttemptOutcome.TIMEOUT])
+def test_many_hosts_keep_what_earns_least_from_a_crowded_node(outcome):
     """Issue 11: 213 hosts with one request each filled every node for seconds, for clients who had left."""
     for hosts, leaves in ((200, False), (4, True)):
-        host = crowded(hosts, ending)
-        cheap = host.ask(klass=1)
+        host = crowded(hosts, outcome)
+        cheap = host.ask(request_class=1)
         assert bool(host.sends(cheap)) is leaves
-    host = crowded(200, ending)
-    assert host.sends(host.ask(klass=0))
+    host = crowded(200, outcome)
+    assert host.sends(host.ask(request_class=0))
 
 
 def test_timely_answers_lower_the_price_again():
     host = crowded(200)
     host.serve(40, latency=5)
-    assert host.sends(host.ask(klass=1))
+    assert host.sends(host.ask(request_class=1))
 
 
 def test_what_other_nodes_show_holds_at_a_node_not_heard():
@@ -360,10 +366,10 @@
 
 def test_a_node_that_started_anew_has_no_price_and_no_silence():
     """Its queue died with the process; what the dead one showed kept requests away for seconds."""
-    host = crowded(200, Ending.TIMEOUT)
-    assert not host.sends(host.ask(klass=1))
+    host = crowded(200, AttemptOutcome.TIMEOUT)
+    assert not host.sends(host.ask(request_class=1))
     host.tell(NodeEntry(10, 0, started_ns=host.now))
-    assert host.sends(host.ask(klass=1))
+    assert host.sends(host.ask(request_class=1))
 
 
 def test_an_attempt_at_a_crowded_node_ends_with_its_use_and_is_answered_then():
@@ -374,12 +380,12 @@
     host.wait(300)
     ((_, send),) = host.sends(id_)
     assert 0 < send.timeout_ns <= 2 * 100 * MS
-    host.end(id_, Ending.TIMEOUT, latency=100)
+    host.end(id_, AttemptOutcome.TIMEOUT, latency=100)
     assert [a.retry_after_ns > 0 for _, a in host.answers(id_)] == [True]
 
 
 def test_volumes_that_were_quiet_longest_are_forgotten():
-    host = Host(settings(klass()))
+    host = Host(settings(request_class()))
     for volume in range(MOST_VOLUMES + 5):
         host.ask(volume=volume)
         host.wait(1)
@@ -388,7 +394,7 @@
 
 
 def test_a_later_try_counts_its_aim_from_the_first():
-    host = Host(settings(klass(aim=100, deadline=2000, late_worth=0.1)))
+    host = Host(settings(request_class(aim=100, deadline=2000, late_priority_weight=0.1)))
     host.serve(20, latency=20)
     out = [host.ask() for _ in range(4)]
     later, first = host.ask(left=1500), host.ask()
@@ -401,10 +407,10 @@
 
 
 def test_new_objects_leave_a_node_that_fails_quickly_until_it_has_not_failed_for_a_while():
-    host = Host(settings(klass(), max_attempts=1), nodes=(NODE, NodeEntry(11, 1)))
+    host = Host(settings(request_class(), max_attempts=1), nodes=(NODE, NodeEntry(11, 1)))
     for _ in range(20):  # one in three is served there, so that it is never silent
-        for ending in (Ending.ERROR, Ending.ERROR, Ending.OK):
-            host.end(host.ask(shard=0), ending, latency=1)
+        for outcome in (AttemptOutcome.ERROR, AttemptOutcome.ERROR, AttemptOutcome.OK):
+            host.end(host.ask(shard=0), outcome, latency=1)
             host.wait(5)
             host.end(host.ask(shard=1), latency=20)
             host.wait(5)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from runloft.decisions.contract import Effect, Ending, Group, NodeEntry, NodeState
-from tests.support.driver import MS, NODE, SECOND, Host, klass, settings
+from runloft.decisions.contract import AttemptOutcome, Effect, IdempotencyScope, NodeEntry, NodeState
+from tests.support.driver import MS, NODE, SECOND, Host, request_class, settings
 from tests.support.fleet import CONNECT, Fleet, fleet_settings
 
 
@@ -41,13 +41,13 @@
     assert 5 < scheduler._rate(scheduler.nodes[0], host.now) < 20
 
 
-@pytest.mark.parametrize("ending", [Ending.FULL, Ending.CONNECT_FAILED])
-def test_new_objects_leave_a_node_that_drained_or_went_before_the_list_tells(ending):
+@pytest.mark.parametrize("ending", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
+def test_new_objects_leave_a_node_that_drained_or_went_before_the_list_tells(outcome):
     """Day herd+vast: lists came six seconds late, and new objects went on to nodes that turned all away."""
     host = Host(fleet_settings(40, 0, max_attempts=1), nodes=(NODE, NodeEntry(11, 1)))
     for shard in (0, 1):
         host.serve(2, latency=20, shard=shard)
-    host.end(host.ask(shard=0), ending, latency=1)
+    host.end(host.ask(shard=0), outcome, latency=1)
     host.wait(100)
     placed = []
     for _ in range(6):
@@ -58,19 +58,22 @@
 
 def test_an_answer_in_its_classs_own_aim_raises_no_price():
     """A long class's answers, as slow as they may be, made every node look crowded to the tight classes."""
-    quick, slow = klass(aim=100, deadline=3000), klass(aim=1000, deadline=3000, worth=0.5)
+    quick, slow = (
+        request_class(aim=100, deadline=3000),
+        request_class(aim=1000, deadline=3000, priority_weight=0.5),
+    )
     host = Host(settings(quick, slow, hosts=40))
     for _ in range(6):
-        host.end(host.ask(klass=1), latency=300)
+        host.end(host.ask(request_class=1), latency=300)
         host.wait(100)
     assert host.scheduler._price(host.scheduler.nodes[10], host.now) == 0
-    host.end(host.ask(klass=0), latency=300)
+    host.end(host.ask(request_class=0), latency=300)
     assert host.scheduler._price(host.scheduler.nodes[10], host.now) > 0
 
 
 def test_a_crowd_that_is_over_is_forgotten_after_a_few_timely_answers():
     """Large fleet: nodes that answered in 30 to 60 ms stayed dear, with one answer in two seconds each."""
-    host = Host(settings(klass(aim=1000, deadline=6000), hosts=40), at=SECOND)
+    host = Host(settings(request_class(aim=1000, deadline=6000), hosts=40), at=SECOND)
     node = host.scheduler.nodes[10]
     for _ in range(2):
         host.end(host.ask(), latency=1000)
@@ -82,16 +85,16 @@
     assert dear > 0 and host.scheduler._price(node, host.now) < dear / 4
 
 
-@pytest.mark.parametrize("ending", [Ending.FULL, Ending.CONNECT_FAILED])
-def test_a_request_waits_a_while_where_a_node_turned_it_away_and_keeps_its_attempts(ending):
+@pytest.mark.parametrize("ending", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
+def test_a_request_waits_a_while_where_a_node_turned_it_away_and_keeps_its_attempts(outcome):
     """Day herd+vast: three attempts within 15 ms, a thousand refused connects a second over the fleet."""
-    host = Host(settings(klass(aim=1000, deadline=6000), hosts=40, max_attempts=3), at=SECOND)
+    host = Host(settings(request_class(aim=1000, deadline=6000), hosts=40, max_attempts=3), at=SECOND)
     id_ = host.ask()
-    host.end(id_, ending, latency=1)
+    host.end(id_, outcome, latency=1)
     assert len(host.sends(id_)) == 1 and not host.answers(id_)
     host.wait(200)
     assert len(host.sends(id_)) == 2
-    host.end(id_, ending, latency=1)
+    host.end(id_, outcome, latency=1)
     gaps = [host.sends(id_)[1][0] - host.sends(id_)[0][0]]
     host.wait(200)
     gaps.append(host.sends(id_)[2][0] - host.sends(id_)[1][0])
@@ -102,9 +105,9 @@
 
 def test_few_hosts_try_again_at_once_where_a_node_turned_one_away():
     """Simulated big-1: seven hosts are no storm, and resting cost them requests that the next try served."""
-    host = Host(settings(klass(aim=1000, deadline=6000), hosts=7, max_attempts=3), at=SECOND)
+    host = Host(settings(request_class(aim=1000, deadline=6000), hosts=7, max_attempts=3), at=SECOND)
     id_ = host.ask()
-    host.end(id_, Ending.FULL, latency=1)
+    host.end(id_, AttemptOutcome.FULL, latency=1)
     assert len(host.sends(id_)) == 2
 
 
@@ -140,7 +143,7 @@
 
 def sends_to_a_cold_node(latency):
     """Count those of a host that asks for a unit a second, in the first 14 s of a node."""
-    host = Host(fleet_settings(200, 0, cold_units=0.0), at=SECOND)
+    host = Host(fleet_settings(200, 0, slow_start_units=0.0), at=SECOND)
 
     def ask(times, answered):
         for _ in range(times):
@@ -164,13 +167,15 @@
 
 
 @pytest.mark.parametrize(
-    "hosts, nodes, capacity, load, zones, klass",
+    "hosts, nodes, capacity, load, zones, request_class",
     [(*size, zones, {}) for size in SIZES for zones in (2, 3)]
-    + [(*SIZES[0], 3, {"effect": Effect.UNSAFE}), (*SIZES[0], 3, {"aim": 3000, "deadline": 12000})],
+    + [(*SIZES[0], 3, {"effect": Effect.NOT_IDEMPOTENT}), (*SIZES[0], 3, {"aim": 3000, "deadline": 12000})],
 )
-def test_after_a_cut_the_nodes_that_were_silent_soon_serve(hosts, nodes, capacity, load, zones, klass):
+def test_after_a_cut_the_nodes_that_were_silent_soon_serve(
+    hosts, nodes, capacity, load, zones, request_class
+):
     """Day split+mass: time without an answer looked like a slow node, and forecasts refused what came."""
-    fleet = Fleet(hosts, nodes, capacity, one_class=klass)
+    fleet = Fleet(hosts, nodes, capacity, one_class=request_class)
     fleet.run(10, load)
     before = fleet.served / fleet.asked
     fleet.zones, fleet.cut_zone = zones, 0
@@ -182,13 +187,19 @@
     assert (fleet.served - served) / (fleet.asked - asked) >= 0.88 * before
 
 
-KEYED = {"effect": Effect.KEYED, "group": Group.ALL, "window_ns": 20 * SECOND}
+IDEMPOTENT_WITH_KEY = {
+    "effect": Effect.IDEMPOTENT_WITH_KEY,
+    "group": IdempotencyScope.ALL,
+    "idempotency_window_ns": 20 * SECOND,
+}
 
 
-@pytest.mark.parametrize("hosts, nodes, klass", [(40, 30, {}), (40, 30, KEYED), (200, 60, {})])
-def test_after_a_flood_what_is_within_its_reserve_is_served_again(hosts, nodes, klass):
+@pytest.mark.parametrize(
+    "hosts, nodes, request_class", [(40, 30, {}), (40, 30, IDEMPOTENT_WITH_KEY), (200, 60, {})]
+)
+def test_after_a_flood_what_is_within_its_reserve_is_served_again(hosts, nodes, request_class):
     """Day split+mass, seed 2: late work of a burst kept all nodes late, and prices kept idle ones shut."""
-    fleet = Fleet(hosts, nodes, one_class=klass)
+    fleet = Fleet(hosts, nodes, one_class=request_class)
     fleet.run(6, 14.0, flood=6.0)
     before = fleet.served / fleet.asked
     fleet.run(6, 14.0, flood=80.0)
--- a/tests/listeners/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -12,7 +12,7 @@
 
 from runloft.config.settings import config_from_json
 from runloft.core.guard import CloseReason
-from runloft.core.model import Left, Served, Taken
+from runloft.core.model import ClientDisconnected, RequestReceived, Served
 from runloft.core.timers import TimerQueue
 from runloft.listeners.resp import IDLE_NS, LINGER_NS, PIPELINED, RespFront
 from runloft.net.sockets import connecting
@@ -48,10 +48,10 @@
         return sock
 
     def taken(self):
-        return [event.asker for event in self.posted if isinstance(event, Taken)]
+        return [event.sink for event in self.posted if isinstance(event, RequestReceived)]
 
     def left(self):
-        return [event.asker for event in self.posted if isinstance(event, Left)]
+        return [event.sink for event in self.posted if isinstance(event, ClientDisconnected)]
 
     def wait(self, milliseconds):
         self.now += int(milliseconds * MS)
@@ -161,8 +161,8 @@
         scene.front.stop(last=True)
         await anyio.wait_all_tasks_blocked()
         sock.sendall(read_command(0))
-        for asker in scene.taken():
-            asker.answer(Served(b"ok"))
+        for sink in scene.taken():
+            sink.answer(Served(b"ok"))
         await scene.until(lambda: scene.wait(10) or any(client.lingering for client in scene.front.clients))
         assert len(scene.taken()) == 2
         answers = b""
@@ -291,8 +291,8 @@
             if number % 4 < 2:
                 (reset if number % 4 else socket.socket.close)(socks[-1])
             scene.wait(100)
-        for asker in set(scene.taken()) - set(scene.left()):
-            asker.answer(Served(b"ok"))
+        for sink in set(scene.taken()) - set(scene.left()):
+            sink.answer(Served(b"ok"))
         for sock in socks:
             sock.close()
         await scene.until(lambda: scene.wait(50) or not scene.front.clients)
@@ -374,8 +374,8 @@
         client = next(iter(scene.front.clients))
         assert client.inbox.end > client.inbox.start
         scene.front.stop(last=True)
-        for asker in scene.taken():
-            asker.answer(Served(b"ok"))
+        for sink in scene.taken():
+            sink.answer(Served(b"ok"))
         await scene.until(lambda: scene.wait(10) or client.lingering)
         answers = b""
         while got := sock.recv(65536):
@@ -406,8 +406,8 @@
         await scene.until(lambda: len(scene.taken()) == 4)
         scene.front.stop()
         assert not client.ended and not client.closing
-        for asker in scene.taken()[1:]:
-            asker.answer(Served(b"ok"))
+        for sink in scene.taken()[1:]:
+            sink.answer(Served(b"ok"))
         scene.front.stop(last=True)
         wanted = len(value) + len(b"$4194304\r\n\r\n") + 3 * len(b"$2\r\nok\r\n")
 
--- a/tests/listeners/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -6,7 +6,7 @@
 import pytest
 
 from runloft.config.settings import config_from_json
-from runloft.core.model import Served, Taken
+from runloft.core.model import RequestReceived, Served
 from runloft.core.timers import TimerQueue
 from runloft.listeners.objects import FREE_ERRORS, LINGER_S, ObjectFront
 from runloft.sharing.places import Place
@@ -54,7 +54,7 @@
         return sock, client
 
     def asked(self):
-        return [event.asker for event in self.posted if isinstance(event, Taken)]
+        return [event.sink for event in self.posted if isinstance(event, RequestReceived)]
 
     async def answer(self, client, exchange):
         """Answer it; all of the answer is the system's then, and the most of it not the client's yet."""
--- a/tests/listeners/test_told_wait.py
+++ b/tests/listeners/test_told_wait.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 
-from runloft.core.model import Served, Taken
+from runloft.core.model import RequestReceived, Served
 from runloft.listeners.resp import PIPELINED
 from tests.discovery.test_discovery import read_command
 from tests.listeners.test_leaving import BAD, play
@@ -26,7 +26,7 @@
 
 def left_ms(scene):
     """Give what each request was taken to have left, in the order of taking."""
-    return [event.ask.time_left_ns / MS for event in scene.posted if isinstance(event, Taken)]
+    return [event.ask.time_left_ns / MS for event in scene.posted if isinstance(event, RequestReceived)]
 
 
 async def waited(scene, milliseconds):
@@ -37,8 +37,8 @@
 
 async def answered(scene, count):
     """Answer the first request, and go on until so many have been taken."""
-    for asker in scene.taken():
-        asker.answer(Served(b"ok"))
+    for sink in scene.taken():
+        sink.answer(Served(b"ok"))
     await scene.until(lambda: scene.wait(0.01) or len(scene.taken()) >= count)
 
 
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -11,9 +11,9 @@
 import pytest
 
 from runloft.config.settings import config_from_json
-from runloft.core.model import Dispatch, Ended, NodeUpdate, Reconfigured, Refused
+from runloft.core.model import AttemptFinished, Dispatch, NodeUpdate, Reconfigured, Shed
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Ending, ListKind, NewSettings, PlanSettings, Send
+from runloft.decisions.contract import AttemptOutcome, ListKind, NewSettings, PlanSettings, SendAttempt
 from runloft.discovery.watch import Watch
 from runloft.service.reload import Reload, changeable
 from runloft.upstream.links import NodeLink
@@ -134,19 +134,22 @@
 
 def test_new_settings_reach_the_module_and_what_is_open_goes_on():
     turns = Turns()
-    asker, _ = turns.take([Send(1, 1)])
+    sink, _ = turns.take([SendAttempt(1, 1)])
     fresh, bounds = settings(max_attempts=1), replace(turns.core.bounds, requests=2)
     assert turns.step(Reconfigured(fresh, bounds)) == []
     assert isinstance(turns.script.told[-1], NewSettings) and turns.core.settings is fresh
-    assert turns.take()[1][0].reply == Refused()  # by the new bound
-    assert turns.step(Ended(1, Ending.OK, b"v"))[0].asker is asker
+    assert turns.take()[1][0].reply == Shed()  # by the new bound
+    assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].sink is sink
 
 
 def test_the_module_keeps_what_it_learned_and_goes_by_the_new_figures():
     host = Host(settings(plan=PlanSettings(rate=10.0, reserve=1000.0)))
     host.ask()
     host.wait(10)
-    node, fresh = host.scheduler.nodes[10], settings(plan=PlanSettings(reserve=5.0), cold_ns=7, fall_ns=9)
+    node, fresh = (
+        host.scheduler.nodes[10],
+        settings(plan=PlanSettings(reserve=5.0), slow_start_ns=7, overload_window_ns=9),
+    )
     host.see(NewSettings(fresh))
     store = host.scheduler.volumes[1]
     assert host.scheduler.nodes[10] is node and node.out
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -6,14 +6,21 @@
 import anyio
 import pytest
 
-from runloft.core.model import Answer, Closing, NodeListUpdate, NodeUpdate, Refused, Taken
+from runloft.core.model import (
+    NodeListUpdate,
+    NodeUpdate,
+    RequestReceived,
+    SendResponse,
+    Shed,
+    ShutdownStarted,
+)
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
-from runloft.decisions.contract import Effect, Ending, Fail, ListKind, Refuse
+from runloft.decisions.contract import AttemptOutcome, Effect, FailRequest, ListKind, ShedRequest
 from runloft.service.runner import FINISH_NS, Runner, wind_down
 from tests.core.test_core import Turns
-from tests.support.driver import MS, SECOND, Host, klass, settings
+from tests.support.driver import MS, SECOND, Host, request_class, settings
 
 KILL_NS = 700 * MS  # PROTOCOL: SIGKILL comes so long after the longest deadline, counted as 3 s at most
 
@@ -36,15 +43,15 @@
         self.close_if_idle()
 
     def close_if_idle(self):
-        if self.stopped_at and not self.scene.core.by_asker and not self.stays:
+        if self.stopped_at and not self.scene.core.by_sink and not self.stays:
             self.clients.clear()
 
     def turn(self):
         if self.clients and self.scene.now >= self.next_at:
             self.next_at = self.scene.now + self.every
-            payload = SimpleNamespace(wire="resp", held_bytes=1)
+            payload = SimpleNamespace(wire="resp", buffered_bytes=1)
             ask = SimpleNamespace(payload=payload, time_left_ns=self.busy, **ASK)
-            self.scene.runner.post(Taken(ResponseSink(self), ask))
+            self.scene.runner.post(RequestReceived(ResponseSink(self), ask))
 
 
 class ResponseSink:
@@ -57,7 +64,7 @@
             self.front.scene.runner.deadlines.add(self.front.scene.now, self.front.close_if_idle)
 
 
-ASK = {"klass": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0, "key": 0, "volume_hosts": 1.0}
+ASK = {"request_class": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0, "key": 0, "volume_hosts": 1.0}
 ASK |= {"is_write": False, "is_client_retry": False, "id": b""}
 
 
@@ -66,7 +73,7 @@
 
     def __init__(self, deadline, every):
         self.now, deadlines = SECOND, TimerQueue()
-        self.core = Core(settings(klass(deadline=deadline)), 1, self.now, deadlines)
+        self.core = Core(settings(request_class(deadline=deadline)), 1, self.now, deadlines)
         self.runner = Runner(self.core, deadlines, lambda: self.now)
         self.runner.links["resp"] = SimpleNamespace(
             dispatch=lambda order: None, abandon=lambda n: None, listed=lambda n: None
@@ -104,7 +111,7 @@
     assert scene.closed_at == pytest.approx(SECOND + 500 * MS, abs=30 * MS)
     asked = [at for at, _, _ in scene.front.answers]
     assert max(asked) >= SECOND + serves * MS - 100 * MS
-    assert not scene.core.by_asker and len(asked) == len(set(asked))
+    assert not scene.core.by_sink and len(asked) == len(set(asked))
 
 
 def test_what_the_kernel_accepted_waits_for_room_before_the_listener_closes():
@@ -120,7 +127,7 @@
     scene = Scene(2500, every=70 * MS)
     scene.front.stays = True
     assert anyio.run(scene.end) < 2500 * MS + KILL_NS
-    assert not scene.core.by_asker
+    assert not scene.core.by_sink
 
 
 def test_a_client_that_leaves_lets_the_program_end_at_once():
@@ -131,26 +138,31 @@
 
 def test_closing_is_told_to_the_module_and_its_answers_go_out():
     turns = Turns()
-    asker, _ = turns.take([])
-    effects = turns.step(Closing(), plan=[Refuse(1, SECOND)])
-    assert turns.script.told[-1] == contract.Closing()
-    assert effects == [Answer(asker, Refused(SECOND))]
+    sink, _ = turns.take([])
+    effects = turns.step(ShutdownStarted(), plan=[ShedRequest(1, SECOND)])
+    assert turns.script.told[-1] == contract.ShutdownStarted()
+    assert effects == [SendResponse(sink, Shed(SECOND))]
 
 
 @pytest.mark.parametrize(
-    "effect, answer", [(Effect.SAFE, Refuse), (Effect.UNSAFE, Fail), (Effect.KEYED, Fail)]
+    "effect, answer",
+    [
+        (Effect.IDEMPOTENT, ShedRequest),
+        (Effect.NOT_IDEMPOTENT, FailRequest),
+        (Effect.IDEMPOTENT_WITH_KEY, FailRequest),
+    ],
 )
 def test_what_is_open_at_the_end_has_one_answer_that_fits_what_may_have_run(effect, answer):
-    host = Host(settings(klass(effect, aim=1000, deadline=9000)), at=SECOND)
+    host = Host(settings(request_class(effect, aim=1000, deadline=9000)), at=SECOND)
     sent = host.ask()
     held = host.ask(shard=7)  # no node has it
     done = host.ask()
     host.end(done)
-    host.see(contract.Closing())
-    host.see(contract.Closing())
+    host.see(contract.ShutdownStarted())
+    host.see(contract.ShutdownStarted())
     assert [type(a) for _, a in host.answers(sent)] == [answer]
-    assert [type(a) for _, a in host.answers(held)] == [Refuse]
+    assert [type(a) for _, a in host.answers(held)] == [ShedRequest]
     assert host.answers(held)[0][1].retry_after_ns > 0 and not host.answers(done)
-    host.end(sent, Ending.RESET)
+    host.end(sent, AttemptOutcome.RESET)
     host.wait(20_000)
     assert len(host.answers(sent)) == 1 and not host.scheduler.tickets
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from runloft.decisions.contract import Effect, Group
+from runloft.decisions.contract import Effect, IdempotencyScope
 from runloft.simulator import wire as wire
 from runloft.simulator.adapter import Adapter, settings_from_wire
 
@@ -85,9 +85,11 @@
 
 def test_settings_are_translated_and_unknown_keys_passed_over():
     got = settings_from_wire(wire.parse_settings(SETUP.decode()))
-    assert got.classes[0].effect is Effect.KEYED and got.classes[0].group is Group.SHARD
+    assert (
+        got.classes[0].effect is Effect.IDEMPOTENT_WITH_KEY and got.classes[0].group is IdempotencyScope.SHARD
+    )
     assert got.plans[0].rate == 4.5 and got.report_fields == ("inflight", "queue")
-    assert got.budget_window_ns == 0 and got.max_attempts == 4
+    assert got.retry_budget_window_ns == 0 and got.max_attempts == 4
 
 
 def run(stdin: bytes) -> subprocess.CompletedProcess[bytes]:
--- a/tests/support/core_vocabulary.py
+++ b/tests/support/core_vocabulary.py
@@ -14,10 +14,10 @@
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
 from runloft.decisions.contract import (
+    AttemptOutcome,
     ClassSettings,
     Effect,
-    Ending,
-    Group,
+    IdempotencyScope,
     ListKind,
     NodeState,
     PlanSettings,
@@ -55,7 +55,7 @@
 
     number: int
     wire: str
-    held_bytes: int
+    buffered_bytes: int
 
 
 class RecordingObserver:
@@ -111,14 +111,23 @@
 def golden_settings(max_attempts=4, more_classes=()):
     """Build settings with a class for each effect and group, a streamed and an in-order one."""
     classes = [
-        ClassSettings(80 * MS, 700 * MS, 1.0, 0.3, Effect.SAFE),
-        ClassSettings(90 * MS, 900 * MS, 3.0, 0.0, Effect.UNSAFE),
-        ClassSettings(300 * MS, 4000 * MS, 1.0, 0.0, Effect.SAFE, streamed=True),
-        ClassSettings(70 * MS, 600 * MS, 2.0, 0.0, Effect.KEYED, Group.ALL, 250 * MS, in_order=True),
+        ClassSettings(80 * MS, 700 * MS, 1.0, 0.3, Effect.IDEMPOTENT),
+        ClassSettings(90 * MS, 900 * MS, 3.0, 0.0, Effect.NOT_IDEMPOTENT),
+        ClassSettings(300 * MS, 4000 * MS, 1.0, 0.0, Effect.IDEMPOTENT, streamed=True),
+        ClassSettings(
+            70 * MS,
+            600 * MS,
+            2.0,
+            0.0,
+            Effect.IDEMPOTENT_WITH_KEY,
+            IdempotencyScope.ALL,
+            250 * MS,
+            in_order=True,
+        ),
     ]
     classes += [
-        ClassSettings(60 * MS, 800 * MS, 1.0, 0.1, Effect.KEYED, group, 40 * MS, writes=True)
-        for group in Group
+        ClassSettings(60 * MS, 800 * MS, 1.0, 0.1, Effect.IDEMPOTENT_WITH_KEY, group, 40 * MS, writes=True)
+        for group in IdempotencyScope
     ]
     return Settings(
         classes=(*classes, *more_classes),
@@ -128,15 +137,15 @@
         ),
         tick_ns=2 * MS,
         max_units=8.0,
-        cold_units=12.0,
-        cold_from=0.2,
-        cold_ns=3 * SECOND,
-        fall_multiple=2.0,
-        fall_ns=SECOND,
-        settle_ns=80 * MS,
-        budget_free=3.0,
-        budget_share=0.2,
-        budget_window_ns=2 * SECOND,
+        slow_start_units=12.0,
+        slow_start_initial_fraction=0.2,
+        slow_start_ns=3 * SECOND,
+        overload_multiple=2.0,
+        overload_window_ns=SECOND,
+        ambiguity_wait_ns=80 * MS,
+        retry_budget_base=3.0,
+        retry_budget_ratio=0.2,
+        retry_budget_window_ns=2 * SECOND,
         max_attempts=max_attempts,
         connect_timeout_ns=40 * MS,
         max_retry_after_ns=600 * MS,
@@ -146,7 +155,7 @@
 
 def fast_class():
     """Build a class that a reconfiguration adds."""
-    return ClassSettings(20 * MS, 200 * MS, 1.0, 0.0, Effect.SAFE)
+    return ClassSettings(20 * MS, 200 * MS, 1.0, 0.0, Effect.IDEMPOTENT)
 
 
 def class_is_streamed(core, number):
@@ -172,7 +181,7 @@
 
 def open_sinks(core):
     """Return the sinks that are owed an answer."""
-    return list(core.by_asker)
+    return list(core.by_sink)
 
 
 def open_request_ids(core):
@@ -201,7 +210,7 @@
     """Return what the core holds, by sizes and numbers."""
     return [
         len(core.requests),
-        len(core.by_asker),
+        len(core.by_sink),
         len(core.attempts),
         len(core.deadlines),
         sorted(core.node_numbers.items()),
@@ -234,23 +243,23 @@
     request = model.RequestSpec(
         request_class, plan, volume, units, time_left_ns, shard, payload, key, 2.0, write, key % 2 == 1, id_
     )
-    return model.Taken(sink, request)
+    return model.RequestReceived(sink, request)
 
 
 def client_disconnected(sink):
-    return model.Left(sink)
+    return model.ClientDisconnected(sink)
 
 
 def stream_started(attempt, value):
-    return model.Began(attempt, value)
+    return model.StreamStarted(attempt, value)
 
 
 def response_buffered(attempt):
-    return model.Held(attempt)
+    return model.ResponseBuffered(attempt)
 
 
 def attempt_finished(attempt, outcome, value, used_percent, elsewhere_units):
-    return model.Ended(attempt, outcome, value, used_percent, elsewhere_units)
+    return model.AttemptFinished(attempt, outcome, value, used_percent, elsewhere_units)
 
 
 def attempt_withdrawn(attempt):
@@ -258,7 +267,7 @@
 
 
 def written(attempt):
-    return model.Written(attempt)
+    return model.RequestWritten(attempt)
 
 
 def node(uid, endpoint, shard, state_, started_ns, zone, rating):
@@ -275,11 +284,11 @@
 
 
 def closing():
-    return model.Closing()
+    return model.ShutdownStarted()
 
 
-OUTCOMES = list(Ending)
-OUTCOME_OK = Ending.OK
+OUTCOMES = list(AttemptOutcome)
+OUTCOME_OK = AttemptOutcome.OK
 LIST_DELTA = ListKind.DELTA
 LIST_KINDS = list(ListKind)
 NODE_STATES = list(NodeState)
@@ -316,22 +325,22 @@
 
 def final_action(random, request):
     """Build an action that ends a request."""
-    return contract.Fail(request) if random.random() < 0.3 else contract.Refuse(request, 20 * MS)
+    return contract.FailRequest(request) if random.random() < 0.3 else contract.ShedRequest(request, 20 * MS)
 
 
 def random_action(random, now, request, attempt_index, node_):
     """Build an action that a scheduler may or may not sensibly ask for."""
     match random.choices(range(7), (40, 8, 8, 8, 6, 1, 1))[0]:
         case 0:
-            return contract.Send(request, node_, random.choice([0, 30 * MS, 120 * MS]))
+            return contract.SendAttempt(request, node_, random.choice([0, 30 * MS, 120 * MS]))
         case 1:
-            return contract.Refuse(request, random.choice([0, 50 * MS]))
+            return contract.ShedRequest(request, random.choice([0, 50 * MS]))
         case 2:
-            return contract.Fail(request)
+            return contract.FailRequest(request)
         case 3:
-            return contract.Cancel(request, attempt_index)
+            return contract.CancelAttempt(request, attempt_index)
         case 4:
             return contract.Timer(now + random.randrange(-5, 60) * MS, random.randrange(9))
         case 5:
-            return contract.Forget(node_)
-    return random.choice([contract.Probe(node_), contract.Subscribe()])
+            return contract.ForgetNode(node_)
+    return random.choice([contract.HealthCheck(node_), contract.WatchNodeList()])
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -4,21 +4,21 @@
 
 from runloft.decisions.contract import (
     Action,
+    AttemptOutcome,
+    AttemptResult,
     ClassSettings,
     Effect,
-    Ending,
     Event,
-    Fail,
+    FailRequest,
     ListKind,
     NodeEntry,
     NodeList,
     NodeState,
-    Outcome,
     PlanSettings,
-    Refuse,
     Request,
-    Send,
+    SendAttempt,
     Settings,
+    ShedRequest,
     Timer,
     TimerFired,
 )
@@ -28,15 +28,15 @@
 SECOND = 1000 * MS
 
 
-def klass(effect=Effect.SAFE, aim=100, deadline=600, **more) -> ClassSettings:
-    return ClassSettings(aim_ns=aim * MS, deadline_ns=deadline * MS, effect=effect, **more)
+def request_class(effect=Effect.IDEMPOTENT, aim=100, deadline=600, **more) -> ClassSettings:
+    return ClassSettings(latency_objective_ns=aim * MS, deadline_ns=deadline * MS, effect=effect, **more)
 
 
 def settings(*classes: ClassSettings, plan: PlanSettings | None = None, **more) -> Settings:
     more.setdefault("max_attempts", 4)
     more.setdefault("max_retry_after_ns", SECOND)
     return Settings(
-        classes=classes or (klass(),),
+        classes=classes or (request_class(),),
         plans=(plan or PlanSettings(rate=10.0, reserve=1000.0),),
         tick_ns=2 * MS,
         **more,
@@ -66,7 +66,7 @@
             self.log.append((self.now, action))
             if isinstance(action, Timer):
                 heapq.heappush(self.timers, (action.at_ns, action.token))
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
                 self.nodes[action.id] = action.node
                 self.open.add(action.id)
@@ -85,23 +85,23 @@
     def ask(self, **more) -> int:
         """Let a request arrive; give its id."""
         id_, self.next_id = self.next_id, self.next_id + 1
-        index = more.get("klass", 0)
+        index = more.get("request_class", 0)
         left = more.pop("left", self.scheduler.settings.classes[index].deadline_ns // MS)
-        facts = {"klass": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0} | more
+        facts = {"request_class": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0} | more
         self.see(Request(id=id_, time_left_ns=int(left * MS), **facts))
         return id_
 
-    def end(self, id_: int, ending=Ending.OK, latency: float = 10, attempt=None) -> list[Action]:
+    def end(self, id_: int, outcome=AttemptOutcome.OK, latency: float = 10, attempt=None) -> list[Action]:
         """Let the last attempt of a request end."""
         number = self.attempts[id_] if attempt is None else attempt
-        done = ending is Ending.OK
+        done = outcome is AttemptOutcome.OK
         self.open.discard(id_)
-        return self.see(Outcome(id_, number, self.nodes[id_], ending, done, int(latency * MS)))
+        return self.see(AttemptResult(id_, number, self.nodes[id_], outcome, done, int(latency * MS)))
 
-    def end_all(self, ending=Ending.OK, latency: float = 10) -> None:
+    def end_all(self, outcome=AttemptOutcome.OK, latency: float = 10) -> None:
         """Let all that is out end, and what leaves upon that."""
         while self.open:
-            self.end(min(self.open), ending, latency)
+            self.end(min(self.open), outcome, latency)
 
     def serve(self, count: int, latency: float = 10, **more) -> None:
         """Let the node serve some requests, one after another, so that its rate is learned."""
@@ -118,12 +118,12 @@
     def tell(self, *entries: NodeEntry, kind=ListKind.DELTA) -> list[Action]:
         return self.see(NodeList(kind, entries))
 
-    def sends(self, id_: int | None = None, seen: int = 0) -> list[tuple[int, Send]]:
+    def sends(self, id_: int | None = None, seen: int = 0) -> list[tuple[int, SendAttempt]]:
         """Give the sends of one request or all, behind the log's first so many entries."""
-        return [(t, a) for t, a in self.log[seen:] if isinstance(a, Send) and id_ in (None, a.id)]
+        return [(t, a) for t, a in self.log[seen:] if isinstance(a, SendAttempt) and id_ in (None, a.id)]
 
     def answers(self, id_: int) -> list[tuple[int, Action]]:
-        return [(t, a) for t, a in self.log if isinstance(a, Refuse | Fail) and a.id == id_]
+        return [(t, a) for t, a in self.log if isinstance(a, ShedRequest | FailRequest) and a.id == id_]
 
 
 def gone(node: int, shard: int = 0, state=NodeState.GONE) -> NodeEntry:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, replace
 from itertools import count
 
-from runloft.decisions.contract import Ending, NodeEntry, NodeState, PlanSettings
-from tests.support.driver import MS, SECOND, Host, klass, settings
+from runloft.decisions.contract import AttemptOutcome, NodeEntry, NodeState, PlanSettings
+from tests.support.driver import MS, SECOND, Host, request_class, settings
 
 STEP = 5 * MS
 FALL_NS, COLD_NS, COLD_FROM, MULTIPLE = 2 * SECOND, 18 * SECOND, 0.23, 2.0
@@ -16,16 +16,16 @@
 
 def fleet_settings(hosts: int, number: int, one_class=(), **more):
     """Figures like those of a large fleet: a cold node's sure units are fewer than the hosts."""
-    facts = {"cold_units": 3.0, "mean_units": 2.0, "max_units": 6.0} | more
-    facts = {"share_worth": 0.3, "spare_worth": 0.08} | facts
+    facts = {"slow_start_units": 3.0, "mean_units": 2.0, "max_units": 6.0} | more
+    facts = {"within_quota_factor": 0.3, "beyond_quota_factor": 0.08} | facts
     made = settings(
-        klass(**{"aim": 1000, "deadline": 6000, "late_worth": 0.1} | dict(one_class)),
+        request_class(**{"aim": 1000, "deadline": 6000, "late_priority_weight": 0.1} | dict(one_class)),
         hosts=hosts,
         host_number=number,
-        cold_from=COLD_FROM,
-        cold_ns=COLD_NS,
-        fall_ns=FALL_NS,
-        fall_multiple=MULTIPLE,
+        slow_start_initial_fraction=COLD_FROM,
+        slow_start_ns=COLD_NS,
+        overload_window_ns=FALL_NS,
+        overload_multiple=MULTIPLE,
         connect_timeout_ns=CONNECT,
         **facts,
     )
@@ -86,7 +86,7 @@
         self.hosts = [Host(fleet_settings(hosts, n, **more), nodes=entries) for n in range(hosts)]
         self.now, self.serial = 0, count()
         # When, in which order, what ends and how; None: it comes to its node.
-        self.due: list[tuple[int, int, Attempt, Ending | None]] = []
+        self.due: list[tuple[int, int, Attempt, AttemptOutcome | None]] = []
         self.together = 0  # connections come up so seldom: what left since the last time lands at once
         self.zones, self.cut_zone = 1, -1  # a zone that reaches no other: number of a host or node % zones
         self.connected: dict[tuple[int, int], int] = {}  # (host, node): when its connection was used last
@@ -153,21 +153,21 @@
         node = self.nodes[attempt.node]
         node.take(self.now, attempt)
         if len(node.queue) == 1:
-            self._push(node.first_ends(self.now), attempt, Ending.OK)
+            self._push(node.first_ends(self.now), attempt, AttemptOutcome.OK)
 
-    def _push(self, at: int, attempt: Attempt, ending: Ending | None) -> None:
-        heapq.heappush(self.due, (at, next(self.serial), attempt, ending))
+    def _push(self, at: int, attempt: Attempt, outcome: AttemptOutcome | None) -> None:
+        heapq.heappush(self.due, (at, next(self.serial), attempt, outcome))
 
-    def _due(self, attempt: Attempt, ending: Ending | None) -> None:
-        if ending is None:
+    def _due(self, attempt: Attempt, outcome: AttemptOutcome | None) -> None:
+        if outcome is None:
             if not attempt.over:
                 self._land(attempt)
             return
-        if ending is Ending.OK:  # what was given up while it was served has cost the node its time
+        if outcome is AttemptOutcome.OK:  # what was given up while it was served has cost the node its time
             node = self.nodes[attempt.node]
             node.queue.popleft()
             if (ends := node.first_ends(self.now)) is not None:
-                self._push(ends, node.queue[0], Ending.OK)
+                self._push(ends, node.queue[0], AttemptOutcome.OK)
             if self.unreached(attempt.host, attempt.node):
                 return  # the answer is lost, and nothing tells
             self.connected[attempt.host, attempt.node] = self.now
@@ -175,10 +175,10 @@
             return
         attempt.over = True
         host, name = self.hosts[attempt.host], (attempt.host, attempt.id)
-        in_time = ending is Ending.OK and self.now - self.asked_at[name] <= host.scheduler.aim
+        in_time = outcome is AttemptOutcome.OK and self.now - self.asked_at[name] <= host.scheduler.aim
         self.served += in_time and name not in self.floods
         host.now = self.now
-        host.end(attempt.id, ending, latency=(self.now - attempt.sent_at) / MS)
+        host.end(attempt.id, outcome, latency=(self.now - attempt.sent_at) / MS)
         self._collect(attempt.host)
 
     def _collect(self, number: int) -> None:
@@ -187,12 +187,12 @@
             ticket = host.scheduler.tickets[send.id]
             attempt = Attempt(number, send.id, send.node, ticket.units, at)
             due = min(at + (send.timeout_ns or ticket.deadline), ticket.deadline)
-            self._push(due, attempt, Ending.TIMEOUT)
+            self._push(due, attempt, AttemptOutcome.TIMEOUT)
             if not self.unreached(number, send.node):
                 if self.together:
                     self._push(-(-at // self.together) * self.together, attempt, None)
                 else:
                     self._land(attempt)
             elif self.connected.pop((number, send.node), -IDLE) < at - IDLE:
-                self._push(at + CONNECT, attempt, Ending.CONNECT_FAILED)
+                self._push(at + CONNECT, attempt, AttemptOutcome.CONNECT_FAILED)
         self.seen[number] = len(host.log)
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -10,17 +10,17 @@
 from runloft.config.settings import config_from_json
 from runloft.core.model import (
     AttemptWithdrawn,
+    ClientDisconnected,
     Failed,
-    Left,
     NodeListUpdate,
     NodeUpdate,
-    Refused,
+    RequestReceived,
     RequestSpec,
-    Taken,
+    Shed,
 )
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Ending, ListKind, NodeState
+from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState
 from runloft.net.sockets import close, connect, connecting
 from runloft.service.runner import Runner
 from runloft.upstream import links
@@ -39,7 +39,7 @@
     def answer(self, reply):
         self.replies.append(reply)
 
-    def has_left(self):
+    def has_disconnected(self):
         return self.left
 
 
@@ -86,11 +86,11 @@
         self.runner.turn()
 
     def take(self, deadline=2000, id_=ID, *body):
-        asker = ResponseSink()
+        sink = ResponseSink()
         payload = RespPayload((b"IO.IN", b"7f3a9c21e0b4d655", id_, *body), b"d=", b"")
-        self.runner.post(Taken(asker, RequestSpec(0, 0, 1, 1.0, deadline * MS, 0, payload, id=id_)))
+        self.runner.post(RequestReceived(sink, RequestSpec(0, 0, 1, 1.0, deadline * MS, 0, payload, id=id_)))
         self.runner.turn()
-        return asker
+        return sink
 
     def turn(self, after=0):
         self.now += after * MS
@@ -124,7 +124,7 @@
 
 LIMITS = {"Limits": settings()["Limits"] | {"Cancel": False}}
 CROSSINGS = {
-    "its client leaves": lambda scene, asker: scene.runner.post(Left(asker)),
+    "its client leaves": lambda scene, sink: scene.runner.post(ClientDisconnected(sink)),
     "its node is to drain": lambda scene, _: scene.tell(ListKind.DELTA, state=NodeState.DRAINING),
     "its node is gone": lambda scene, _: scene.tell(uid="s-2", endpoint="127.0.0.1:1"),
     "its node starts anew": lambda scene, _: scene.tell(ListKind.DELTA, started_ns=scene.now),
@@ -137,9 +137,9 @@
     """What was decided at the hand-over went out up to a connect time-out later, whatever came between."""
 
     async def story(scene):
-        asker = scene.take()
+        sink = scene.take()
         assert scene.core.attempts
-        CROSSINGS[crossing](scene, asker)
+        CROSSINGS[crossing](scene, sink)
         scene.turn(100)
         scene.up.set()
         conn = await scene.node()
@@ -152,7 +152,7 @@
         # Nothing of it says anything of the node, and what is still wanted is asked again or waits.
         node = next(iter(scene.core.scheduler.nodes.values()))
         assert node.failed == 0 and not node.down_since
-        assert ("leaves" in crossing) == (not scene.core.requests) and not asker.replies
+        assert ("leaves" in crossing) == (not scene.core.requests) and not sink.replies
 
     play(monkeypatch, story, **LIMITS)
 
@@ -206,7 +206,9 @@
         scene.up.set()
         body = b"x" * (8 << 20)  # more than the system takes before the node reads
         payload = RespPayload((b"IO.OUT", b"7f3a9c21e0b4d655", ID, body), b"d=", b"")
-        scene.runner.post(Taken(ResponseSink(), RequestSpec(0, 0, 1, 1.0, 2000 * MS, 0, payload, id=ID)))
+        scene.runner.post(
+            RequestReceived(ResponseSink(), RequestSpec(0, 0, 1, 1.0, 2000 * MS, 0, payload, id=ID))
+        )
         scene.turn()
         conn = await scene.node()
         connection = next(iter(scene.link.open))
@@ -265,10 +267,10 @@
 
     async def story(scene):
         scene.link.most = 0
-        asker = scene.take()
+        sink = scene.take()
         assert scene.link.waiting
         scene.link.most = 8
-        scene.runner.post(Left(asker))
+        scene.runner.post(ClientDisconnected(sink))
         scene.turn()
         scene.turn(10)
         assert not scene.link.waiting and not scene.link.open
@@ -305,9 +307,9 @@
         scene.turn(rested)
         if rested:
             CAME[came](first)
-            asker = scene.take(id_=OTHER)
+            sink = scene.take(id_=OTHER)
         else:
-            asker = scene.take(id_=OTHER)
+            sink = scene.take(id_=OTHER)
             CAME[came](first)
             assert scene.link.waiting
             scene.turn(4)
@@ -316,7 +318,7 @@
         second.sendall(VALUE)
         await until(lambda: scene.runner.events)
         scene.turn()
-        assert [reply.value for reply in asker.replies] == [b"ok"]
+        assert [reply.value for reply in sink.replies] == [b"ok"]
         assert len(scene.link.open) == 1
 
     play(monkeypatch, story)
@@ -327,15 +329,15 @@
 
     async def story(scene):
         scene.up.set()
-        asker = scene.take()
+        sink = scene.take()
         conn = await scene.node()
         conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for n in range(len(VALUE)):
-            assert not asker.replies
+            assert not sink.replies
             conn.sendall(VALUE[n : n + 1])
             await until(lambda: next(iter(scene.link.open)).inbox.end > n or scene.runner.events)  # noqa: B023
             scene.turn(25)
-        assert [reply.value for reply in asker.replies] == [b"ok"] and scene.link.idle
+        assert [reply.value for reply in sink.replies] == [b"ok"] and scene.link.idle
 
     play(monkeypatch, story)
 
@@ -350,7 +352,7 @@
         assert len(scene.link.open) == 1 and not scene.runner.events
         scene.turn(20)
         await until(lambda: scene.runner.events)
-        assert scene.runner.events[0].ending is Ending.CONNECT_FAILED
+        assert scene.runner.events[0].outcome is AttemptOutcome.CONNECT_FAILED
         assert not scene.link.open and not scene.link.out
         scene.turn()
         scene.turn(100)
@@ -365,29 +367,31 @@
     play(monkeypatch, story)
 
 
-UNSAFE = {"Classes": [c | {"Effect": "fragile"} for c in settings()["Classes"]]}
+NOT_IDEMPOTENT = {"Classes": [c | {"Effect": "fragile"} for c in settings()["Classes"]]}
 
 
-@pytest.mark.parametrize("size, sends, ending", [(0, 1, Ending.RESET), (8 << 20, 2, Ending.CONNECT_FAILED)])
-def test_a_reset_before_the_last_byte_proves_that_nothing_ran(monkeypatch, size, sends, ending):
+@pytest.mark.parametrize(
+    "size, sends, ending", [(0, 1, AttemptOutcome.RESET), (8 << 20, 2, AttemptOutcome.CONNECT_FAILED)]
+)
+def test_a_reset_before_the_last_byte_proves_that_nothing_ran(monkeypatch, size, sends, outcome):
     """A class that may not be repeated is sent again then, and fails where all of it had left."""
 
     async def story(scene):
         scene.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         scene.up.set()
-        asker = scene.take(2000, ID, b"x" * size)
+        sink = scene.take(2000, ID, b"x" * size)
         conn = await scene.node()
         assert ID in await scene.read(conn)
         scene.up = anyio.Event()
         reset(conn)
         await until(lambda: scene.runner.events)
-        assert scene.runner.events[0].ending is ending
+        assert scene.runner.events[0].outcome is outcome
         scene.turn()
         scene.turn(100)
-        assert (not asker.replies) == (sends == 2) == bool(scene.core.attempts)
-        assert all(isinstance(reply, Failed) for reply in asker.replies)
+        assert (not sink.replies) == (sends == 2) == bool(scene.core.attempts)
+        assert all(isinstance(reply, Failed) for reply in sink.replies)
 
-    play(monkeypatch, story, **UNSAFE)
+    play(monkeypatch, story, **NOT_IDEMPOTENT)
 
 
 def test_a_further_attempt_tells_its_node_no_more_than_is_left_to_the_client(monkeypatch):
@@ -433,7 +437,7 @@
                 scene.up = anyio.Event()
             askers.append(scene.take(400, b"%016x" % number))
             if number % 7 == 0:
-                scene.runner.post(Left(askers[-1]))
+                scene.runner.post(ClientDisconnected(askers[-1]))
             for _ in range(10):
                 await anyio.sleep(0)
                 look()
@@ -444,7 +448,7 @@
         for _ in range(4):
             await anyio.wait_all_tasks_blocked()
             scene.turn(8000)
-        assert not (scene.core.requests or scene.core.attempts or scene.core.by_asker or scene.runner.events)
+        assert not (scene.core.requests or scene.core.attempts or scene.core.by_sink or scene.runner.events)
         assert not (scene.link.open or scene.link.out or scene.link.idle or scene.link.waiting)
         assert not scene.core.scheduler.tickets and not len(scene.runner.deadlines)
         for conn in connections:
@@ -468,7 +472,7 @@
 
         monkeypatch.setattr(links, "connect", failing)
         scene.up.set()
-        asker = scene.take()
+        sink = scene.take()
         for tries in (1, 2):
             await until(lambda tries=tries: left[0] == 2 - tries and scene.link.waiting)
             assert scene.core.attempts and not scene.link.open
@@ -480,7 +484,7 @@
         conn.sendall(BUSY)
         await until(lambda: scene.runner.events)
         scene.turn()
-        assert not asker.replies  # one attempt of three is used
+        assert not sink.replies  # one attempt of three is used
 
     play(monkeypatch, story)
 
@@ -491,9 +495,9 @@
             raise OSError(errno.EADDRNOTAVAIL, "for good")
 
         monkeypatch.setattr(links, "connect", failing)
-        asker = scene.take()
+        sink = scene.take()
         await until(lambda: scene.link.waiting)
-        scene.runner.post(Left(asker))
+        scene.runner.post(ClientDisconnected(sink))
         scene.turn()
         assert not (scene.link.waiting or scene.link.open or scene.core.attempts)
 
@@ -529,12 +533,12 @@
 
     async def story(scene):
         scene.up.set()
-        asker = scene.take()
+        sink = scene.take()
         conn = await scene.node()
         await scene.read(conn)
         conn.sendall(BUSY)
         await until(lambda: scene.runner.events)
-        asker.left = left
+        sink.left = left
         scene.turn(150)  # the client's end has not been read yet
         scene.turn(60)  # the retry is due
         if left:
@@ -550,11 +554,11 @@
     """A time-out counted as one that may have run, though nothing of it had left."""
 
     async def story(scene):
-        asker = scene.take(deadline=200)
+        sink = scene.take(deadline=200)
         assert scene.core.attempts  # its connection is not up
         scene.turn(198)
         scene.turn(5)
-        assert [type(reply) for reply in asker.replies] == [Refused]
+        assert [type(reply) for reply in sink.replies] == [Shed]
 
     rows = settings()["Classes"]
     classes = [rows[0] | {"Effect": "fragile"}, rows[1]]
