--- a/runloft/accounts/ledger.py
+++ b/runloft/accounts/ledger.py
@@ -94,29 +94,31 @@
 
     def __init__(self, settings: Settings, most_volumes: int = MOST_VOLUMES) -> None:
         self.most_volumes = most_volumes
-        self.configured(settings)
+        self.settings_changed(settings)
         self.open: dict[int, Account] = {}
         self.nodes: dict[int, NodeLog] = {}
         self.totals: dict[int, VolumeTotals] = {}
         self._waits: dict[int, _Wait] = {}
         self._attempts: dict[int, tuple[int, int, int, float]] = {}  # attempt -> request, node, volume, units
 
-    def configured(self, settings: Settings) -> None:
+    def settings_changed(self, settings: Settings) -> None:
         """Go by these classes' aims; classes keep their numbers, more may come."""
         self.aims_ns = tuple(request_class.latency_objective_ns for request_class in settings.classes)
 
-    def taken(self, id_: int, now: int, volume: int, request_class: int, plan: int, units: float) -> None:
+    def request_received(
+        self, id_: int, now: int, volume: int, request_class: int, plan: int, units: float
+    ) -> None:
         """Note that a request was taken."""
         self.open[id_] = Account(volume, request_class, plan, units, now)
 
-    def held(self, id_: int, now: int, node: int | None, why: str) -> None:
+    def request_queued(self, id_: int, now: int, node: int | None, why: str) -> None:
         """Note that it is held here, for this node where it is known for which."""
         if (account := self.open.get(id_)) is None:
             return
         account.turn(now, WHY.get(why, Part.HELD_BOUND))
         self._wait_for(id_, node, now)
 
-    def sent(self, id_: int, attempt: int, now: int, node: int) -> None:
+    def attempt_sent(self, id_: int, attempt: int, now: int, node: int) -> None:
         """Note that an attempt of it leaves."""
         if (account := self.open.get(id_)) is None:
             return
@@ -126,14 +128,14 @@
         self._attempts[attempt] = id_, node, account.volume, account.units
         self.nodes.setdefault(node, NodeLog()).sent(now)
 
-    def written(self, attempt: int, now: int) -> None:
+    def attempt_written(self, attempt: int, now: int) -> None:
         """Note that its last byte is on its way: from here on it is the node's."""
         known = self._attempts.get(attempt)
         account = self.open.get(known[0]) if known else None
         if account is not None and account.part is Part.CONNECTING:
             account.turn(now, Part.OUT)
 
-    def reading(self, attempt: int, now: int) -> None:
+    def response_buffered(self, attempt: int, now: int) -> None:
         """Note that the node has served it, and its own client reads."""
         known = self._attempts.pop(attempt, None)
         if known is None:
@@ -144,7 +146,7 @@
         if (account := self.open.get(id_)) is not None:
             account.turn(now, Part.READER)
 
-    def returned(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
+    def attempt_finished(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
         """Note that an attempt is over, whether its request still waits or not."""
         known = self._attempts.pop(attempt, None)
         if known is None:
@@ -158,7 +160,7 @@
             return
         account.turn(now, Part.READER if outcome is AttemptOutcome.OK else Part.BETWEEN)
 
-    def over(self, id_: int, now: int, served: bool) -> None:
+    def request_completed(self, id_: int, now: int, served: bool) -> None:
         """Note that it has its final answer, or that its client is gone."""
         account = self.open.pop(id_, None)
         if account is None:
@@ -169,7 +171,7 @@
         totals.add(account, served, late)
         self._settle(id_, account, account.since)
 
-    def forget(self, node: int) -> None:
+    def node_forgotten(self, node: int) -> None:
         """Note that a node is gone for good."""
         self.nodes.pop(node, None)
 
--- a/runloft/core/counters.py
+++ b/runloft/core/counters.py
@@ -1,25 +1,25 @@
-"""Why requests and connections ended as they did: bounded counts of one process, for metrics and the log."""
+"""Counts of why requests and connections ended, with bounded labels, for the metrics and the log."""
 
 from collections import Counter
+from collections.abc import Mapping
 from enum import StrEnum
-from typing import Any
 
 
-class Counted(StrEnum):
-    """What is counted; each has its own bounded set of reasons."""
+class CounterName(StrEnum):
+    """What is counted; each has a bounded set of reasons. The value is a label of metrics."""
 
-    CLIENT_CLOSED = "client connections closed"
-    NODE_CLOSED = "node connections closed"
-    NOT_STARTED = "requests not started"
-    NOT_SENT = "attempts not sent"
-    RETRIED = "requests retried"
-    REFUSED = "requests refused"
-    FAILED = "requests failed"
-    CANCELLED = "requests cancelled"
+    CLIENT_CONNECTIONS_CLOSED = "client connections closed"
+    NODE_CONNECTIONS_CLOSED = "node connections closed"
+    REQUESTS_NOT_STARTED = "requests not started"
+    ATTEMPTS_NOT_SENT = "attempts not sent"
+    REQUESTS_RETRIED = "requests retried"
+    REQUESTS_SHED = "requests refused"
+    REQUESTS_FAILED = "requests failed"
+    REQUESTS_CANCELLED = "requests cancelled"
 
 
 class NodeCloseReason(StrEnum):
-    """Why a connection to a node is closed."""
+    """Why a connection to a node is closed; the value is a label of metrics."""
 
     ATTEMPT_ABANDONED = "attempt abandoned"
     BROKEN = "broken"
@@ -27,31 +27,34 @@
     CONNECT_TIMEOUT = "connect timeout"
     STALLED = "stalled"
     NOT_REUSABLE = "not reusable"
-    NOT_QUIET = "not quiet"
+    UNEXPECTED_INPUT = "not quiet"
     IDLE = "idle"
-    MAKE_ROOM = "make room"
+    EVICTED = "make room"
     NODE_CHANGED = "node changed"
     SHUTDOWN = "shutdown"
 
 
+Totals = Mapping[str, int | dict[str, int]]
+
+
 class Counters:
-    """Counts by what and why."""
+    """Counts by name and reason."""
 
     def __init__(self) -> None:
         self.requests_started = 0
-        self.by: dict[Counted, Counter[str]] = {what: Counter() for what in Counted}
+        self.by_name: dict[CounterName, Counter[str]] = {name: Counter() for name in CounterName}
 
-    def add(self, what: Counted, reason: str) -> None:
-        """Count one."""
-        self.by[what][reason] += 1
+    def add(self, name: CounterName, reason: str) -> None:
+        """Count one event of this name and reason."""
+        self.by_name[name][reason] += 1
 
-    def totals(self) -> dict[str, Any]:
-        """Give what has been counted, by names that a log line can carry."""
+    def totals(self) -> Totals:
+        """Return all counts that aren't zero, by names that a log line can carry."""
         return {"requests_started": self.requests_started} | {
-            str(what).replace(" ", "_"): {str(reason): count for reason, count in reasons.items()}
-            for what, reasons in self.by.items()
+            str(name).replace(" ", "_"): {str(reason): count for reason, count in reasons.items()}
+            for name, reasons in self.by_name.items()
             if reasons
         }
 
 
-COUNTERS = Counters()  # one a process, as the metrics show it
+COUNTERS = Counters()  # of this process, as the metrics show it
--- a/runloft/core/invariants.py
+++ b/runloft/core/invariants.py
@@ -1,7 +1,7 @@
-"""The run-time check behind the guard: counts what must never happen, and logs it with ids.
+"""Run-time checks behind the permissions: violations of invariants are counted, and logged with their ids.
 
-It looks at what is about to be done, not at why it was permitted, so a fault in the guard or a way past it
-shows.  Each check costs a few comparisons.
+A check looks at what is about to be done, not at why it was permitted, so that a fault in the permissions, or
+a path that evades them, is found.  Each costs a few comparisons.
 """
 
 from collections import Counter
@@ -15,61 +15,66 @@
 from runloft.decisions.contract import NodeState, Settings
 
 log = structlog.get_logger()
-TOLD_SLACK_NS = 150_000_000  # by which a node may be told more than its client has left
+WAIT_TOLERANCE_NS = 150_000_000  # by which a node may be told a longer wait than its client's
 
 
 class Violation(StrEnum):
-    """What must never happen."""
+    """An invariant that was violated; the value is a label of metrics."""
 
-    SECOND_ANSWER = "second answer"
-    SENT_AFTER_CLIENT_LEFT = "sent after client left"
-    SENT_TO_DRAINING = "sent to draining"
-    SECOND_COPY = "second copy"
-    TOLD_TOO_MUCH = "told too much"
-    DROPPED = "dropped"
-    CLOSED_OVER_INPUT = "closed over input"
+    DUPLICATE_RESPONSE = "second answer"
+    SENT_AFTER_DISCONNECT = "sent after client left"
+    SENT_TO_DRAINING_NODE = "sent to draining"
+    CONCURRENT_ATTEMPTS = "second copy"
+    WAIT_TOO_LONG = "told too much"
+    REQUEST_DROPPED = "dropped"
+    INPUT_DISCARDED = "closed over input"
 
 
 class Invariants:
-    """Counts of violations in this process."""
+    """Counts of violations, by invariant."""
 
     def __init__(self) -> None:
         self.counts: Counter[Violation] = Counter()
 
-    def violated(self, kind: Violation, **ids: Any) -> None:
-        """Count one, and say where."""
-        self.counts[kind] += 1
-        log.error("invariant violated", kind=str(kind), **ids)
+    def record(self, violation: Violation, **ids: Any) -> None:
+        """Count a violation, and log it with its ids."""
+        self.counts[violation] += 1
+        log.error("invariant violated", kind=str(violation), **ids)
 
     def totals(self) -> dict[str, int]:
-        """Give what has been counted."""
-        return {str(kind): count for kind, count in self.counts.items()}
-
-    def first_byte(
-        self, attempt: Attempt, node: NodeUpdate | None, settings: Settings, told_ns: int, now: int
+        """Return the counts by the violation's label."""
+        return {str(violation): count for violation, count in self.counts.items()}
+
+    def check_first_byte(
+        self,
+        attempt: Attempt,
+        node: NodeUpdate | None,
+        settings: Settings,
+        announced_wait_ns: int,
+        now: int,
     ) -> None:
-        """Check an attempt whose first byte leaves now, and for which a node is told this wait."""
+        """Check an attempt whose first byte leaves now, and for which its node is told this wait."""
         request = attempt.request
-        if request.over:
-            self.violated(Violation.SENT_AFTER_CLIENT_LEFT, request=request.id, attempt=attempt.number)
-        if told_ns > request.deadline - now + TOLD_SLACK_NS:
-            self.violated(Violation.TOLD_TOO_MUCH, request=request.id, attempt=attempt.number)
-        if len(request.out) > 1 and not settings.may_hedge:
-            self.violated(Violation.SECOND_COPY, request=request.id, attempt=attempt.number)
+        if request.is_complete:
+            self.record(Violation.SENT_AFTER_DISCONNECT, request=request.id, attempt=attempt.number)
+        if announced_wait_ns > request.deadline - now + WAIT_TOLERANCE_NS:
+            self.record(Violation.WAIT_TOO_LONG, request=request.id, attempt=attempt.number)
+        if len(request.in_flight) > 1 and not settings.may_hedge:
+            self.record(Violation.CONCURRENT_ATTEMPTS, request=request.id, attempt=attempt.number)
         if node is None or node.state is not NodeState.READY:
-            self.violated(Violation.SENT_TO_DRAINING, request=request.id, attempt=attempt.number)
+            self.record(Violation.SENT_TO_DRAINING_NODE, request=request.id, attempt=attempt.number)
 
-    def answered(self, was_answered: bool, **ids: Any) -> None:
+    def check_response(self, was_answered: bool, **ids: Any) -> None:
         """Check a final answer."""
         if was_answered:
-            self.violated(Violation.SECOND_ANSWER, **ids)
+            self.record(Violation.DUPLICATE_RESPONSE, **ids)
 
-    def closed(self, unanswered: int, unread: bool, own_reason: bool, **ids: Any) -> None:
-        """Check the close of a client's connection for a reason that is not the client's own doing."""
-        if own_reason and unanswered:
-            self.violated(Violation.DROPPED, unanswered=unanswered, **ids)
-        elif own_reason and unread:
-            self.violated(Violation.CLOSED_OVER_INPUT, **ids)
+    def check_close(self, unanswered: int, has_unread_input: bool, caused_here: bool, **ids: Any) -> None:
+        """Check the close of a client's connection; ``caused_here``: the client itself didn't cause it."""
+        if caused_here and unanswered:
+            self.record(Violation.REQUEST_DROPPED, unanswered=unanswered, **ids)
+        elif caused_here and has_unread_input:
+            self.record(Violation.INPUT_DISCARDED, **ids)
 
 
-INVARIANTS = Invariants()  # one a process, as the metrics show it
+INVARIANTS = Invariants()  # of this process, as the metrics show it
--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -1,9 +1,10 @@
-"""What the reducer is told (events) and what it asks for (effects), in terms of no wire.
+"""Events that the reducer takes and effects that it returns, independent of any wire protocol.
 
-Times are nanoseconds of the one clock: Unix time at the start plus monotonic progress.
+Times are nanoseconds on the scheduler's own clock: Unix time at its start plus monotonic progress.
 """
 
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Protocol
 
 from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState, Settings
@@ -11,42 +12,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What may be held at once; it follows the limits that the scheduler is given."""
+    """What may be buffered at once, derived from the limits of the process."""
 
     requests: int = 2048
-    buffered_bytes: int = 48 << 20  # of bodies together
+    buffered_bytes: int = 48 << 20  # of all bodies together
 
 
-SUSPENDED_RETRY_AFTER_NS = 1_000_000_000  # when to come back to what is held
+SUSPENDED_RETRY_AFTER_NS = 1_000_000_000  # for requests of suspended volumes
 
 
 @dataclass(frozen=True, slots=True)
 class SuspendedVolumes:
-    """What is not served for now, because nothing in force says how: plans' numbers, volumes' ids."""
+    """Plans (by number) and volumes (by id) not served while no configuration in effect covers them."""
 
     plans: frozenset[int] = frozenset()
     volumes: frozenset[int] = frozenset()
 
     def covers(self, plan: int, volume: int) -> bool:
-        """Say whether a request is refused for it."""
+        """Return whether requests of this plan and volume are shed."""
         return plan in self.plans or volume in self.volumes
 
 
 class Payload(Protocol):
-    """What a link needs to write an attempt; the reducer only carries it."""
+    """What a connection pool needs to write an attempt; the core passes it through."""
 
     @property
     def wire(self) -> str:
-        """The name of the link that can write it."""
+        """The name of the connection pool that can write it."""
 
     @property
     def buffered_bytes(self) -> int:
-        """How much memory it holds while its request is open."""
+        """How much memory it occupies until its request is released."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """A request as its front read it."""
+    """A request as its listener has read it."""
 
     request_class: int
     plan: int
@@ -59,12 +60,12 @@
     volume_hosts: float = 1.0
     is_write: bool = False
     is_client_retry: bool = False
-    id: bytes = b""  # as its client names it, where the wire has ids: no two open requests share one
+    id: bytes = b""  # its client's identifier, where the protocol has them; unique among pending requests
 
 
 @dataclass(frozen=True, slots=True)
 class NodeUpdate:
-    """A storage node as discovery tells of it."""
+    """A storage node as discovery reports it; ``started_ns`` is Unix time, 0 where it was long ago."""
 
     uid: str
     endpoint: str
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The value as a storage node gave it."""
+    """Served, with the value as a storage node has returned it."""
 
     value: object
     node: str = ""
@@ -90,9 +91,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """Not served, and trying again is harmless; 0: no time named.
+    """Not served, and safe to retry after ``retry_after_ns``; 0: no time is named.
 
-    ``cause``: how the last attempt ended, TIMEOUT also where the request's time has run out.
+    ``cause``: how the last attempt ended, or TIMEOUT where the request's time has run out.
     """
 
     retry_after_ns: int = 0
@@ -101,14 +102,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Not served; ``cause`` is how the last attempt ended, if there was one."""
+    """Not served, and it may have executed; ``cause`` is how the last attempt ended, if there was one."""
 
     cause: AttemptOutcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """Not a request that can be taken: it is an error and nothing of it has run."""
+    """Not a valid request; nothing of it has executed."""
 
     reason: str
 
@@ -117,16 +118,16 @@
 
 
 class ResponseSink(Protocol):
-    """Where a request came from; the reducer uses it as a key and hands answers to it."""
+    """Where a request came from and its response goes; the reducer uses it as a key."""
 
     def answer(self, reply: Reply) -> None:
-        """Take the final answer, which comes once."""
+        """Send the final answer, which comes exactly once."""
 
     def begin(self, value: object, node: str, shard: int) -> None:
-        """Take the start of a streamed answer; its end comes as the final answer."""
+        """Start a streamed response; its end comes as the final answer."""
 
     def has_disconnected(self) -> bool:
-        """Look whether its client has gone, without waiting for the loop to notice."""
+        """Return whether the client has disconnected, by a look at its socket."""
 
 
 # Events.
@@ -134,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request was read whole."""
+    """A request was read completely."""
 
     sink: ResponseSink
     ask: RequestSpec
@@ -142,14 +143,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a request went away."""
+    """The client of a request has disconnected."""
 
     sink: ResponseSink
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """An attempt's answer began and is passed on as it comes."""
+    """An attempt's response has started and is forwarded as it arrives."""
 
     attempt: int
     value: object = None
@@ -157,14 +158,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseBuffered:
-    """A streamed answer waits for its client: the node's work on it no longer shows in the time."""
+    """A streamed response waits for its client: from here on its duration says nothing about the node."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt is over and its connection carries nothing of it any more."""
+    """An attempt has ended, and its connection carries nothing of it any more."""
 
     attempt: int
     outcome: AttemptOutcome
@@ -175,39 +176,39 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptWithdrawn:
-    """An attempt's first byte was not let go when its connection was ready; nothing of it has left."""
+    """An attempt's first byte was not permitted when its connection was ready; nothing of it was sent."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestWritten:
-    """An attempt's last byte has left; links tell it where accounts are kept."""
+    """An attempt's last byte has left; reported only where accounts are kept."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class NodeListUpdate:
-    """News of the storage nodes; ``heard_before``: when discovery was last heard before, 0: unknown."""
+    """A list of storage nodes; ``previous_contact_at``: when discovery was in contact before, 0: unknown."""
 
     kind: ListKind
     nodes: tuple[NodeUpdate, ...] = ()
-    heard_before: int = 0
+    previous_contact_at: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Reconfigured:
-    """The operator's file has changed; what is open and what has been learned stay."""
+    """The configuration has changed; pending requests and what was learned about nodes stay."""
 
     settings: Settings
     bounds: Bounds
-    held: SuspendedVolumes = SuspendedVolumes()
+    suspended: SuspendedVolumes = SuspendedVolumes()
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The scheduler is about to exit: what is open gets its final answer now."""
+    """The process is about to exit: pending requests get their final answer now."""
 
 
 Event = (
@@ -224,35 +225,49 @@
 )
 
 
+class QueueReason(StrEnum):
+    """Why a request is queued on this host."""
+
+    CAPACITY = "bound"
+    SLOW_START = "cold"
+    DRAINING = "drain"
+    NO_NODE = "no node"
+
+
 class Observer(Protocol):
-    """Who is told of each step of a request, where accounts are kept; it changes nothing here."""
+    """Who is notified of each step of a request, where accounts are kept; it changes nothing in the core.
+
+    ``now`` is the time of the step in nanoseconds on the scheduler's own clock.
+    """
 
-    def configured(self, settings: Settings) -> None:
-        """Go by these classes from now on; what is open keeps its numbers."""
+    def settings_changed(self, settings: Settings) -> None:
+        """Use these settings from now on; pending requests keep their class and plan numbers."""
 
-    def taken(self, id_: int, now: int, volume: int, request_class: int, plan: int, units: float) -> None:
-        """Note that a request was taken."""
+    def request_received(
+        self, request: int, now: int, volume: int, request_class: int, plan: int, units: float
+    ) -> None:
+        """Record that a request was admitted."""
 
-    def held(self, id_: int, now: int, node: int | None, why: str) -> None:
-        """Note that it waits here for this node; ``why``: bound, cold, drain or no node."""
+    def request_queued(self, request: int, now: int, node: int | None, reason: QueueReason) -> None:
+        """Record that a request is queued on this host, for this node where it is known for which."""
 
-    def sent(self, id_: int, attempt: int, now: int, node: int) -> None:
-        """Note that an attempt of it leaves."""
+    def attempt_sent(self, request: int, attempt: int, now: int, node: int) -> None:
+        """Record that a request's attempt was dispatched to a node."""
 
-    def written(self, attempt: int, now: int) -> None:
-        """Note that the attempt's last byte has left."""
+    def attempt_written(self, attempt: int, now: int) -> None:
+        """Record that an attempt's last byte has left."""
 
-    def reading(self, attempt: int, now: int) -> None:
-        """Note that the node has served it, and from here on it waits for its own client."""
+    def response_buffered(self, attempt: int, now: int) -> None:
+        """Record that a node has served an attempt, which waits for its own client from here on."""
 
-    def returned(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
-        """Note that the attempt is over."""
+    def attempt_finished(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
+        """Record that an attempt has ended."""
 
-    def over(self, id_: int, now: int, served: bool) -> None:
-        """Note that the request has its final answer, or that its client is gone."""
+    def request_completed(self, request: int, now: int, served: bool) -> None:
+        """Record that a request has its final answer, or that its client is gone."""
 
-    def forget(self, node: int) -> None:
-        """Note that a node is gone for good."""
+    def node_forgotten(self, node: int) -> None:
+        """Record that a node is gone for good."""
 
 
 # Effects.
@@ -260,9 +275,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Write an attempt to a node; ``wait_ns`` is how long it will be waited for from now on.
+    """Write an attempt to a node; ``wait_ns`` is how long it is waited for from now on.
 
-    Where its first byte leaves later, ``Core.permit_first_byte`` says whether it still may, and for how long.
+    Where its first byte leaves later, ``Core.permit_first_byte`` returns whether it still may, and how long
+    it may be waited for then.
     """
 
     attempt: int
@@ -280,7 +296,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendResponse:
-    """Give a request its final answer."""
+    """Send a request's final answer to its client."""
 
     sink: ResponseSink
     reply: Reply
@@ -288,7 +304,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartResponse:
-    """Give a request the start of its streamed answer."""
+    """Start the streamed response to a request."""
 
     sink: ResponseSink
     value: object
--- a/runloft/core/records.py
+++ b/runloft/core/records.py
@@ -1,4 +1,7 @@
-"""The reducer's own records: requests that are pending, and attempts that are out."""
+"""The core's records: requests that are pending, and attempts that are in flight.
+
+Times are nanoseconds on the scheduler's own clock.
+"""
 
 from dataclasses import dataclass, field
 
@@ -9,30 +12,34 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request until it is answered and none of its attempts is out."""
+    """A request, until it is complete and none of its attempts is in flight.
+
+    It is complete once its client has the final answer or has disconnected.
+    """
 
     id: int
     sink: ResponseSink
-    ask: RequestSpec
+    spec: RequestSpec
     deadline: int
     received_at: int = 0
-    sends: int = 0
-    out: dict[int, int] = field(default_factory=dict)  # its number of an attempt -> the attempt
-    over: bool = False
-    streaming: bool = False
-    last: AttemptOutcome | None = None
-    doubt_at: int | None = None  # when the first attempt left that may have run
+    attempt_count: int = 0
+    in_flight: dict[int, "Attempt"] = field(default_factory=dict)  # by the attempt's index in the request
+    is_complete: bool = False
+    is_streaming: bool = False
+    last_outcome: AttemptOutcome | None = None
+    ambiguous_since: int | None = None  # when the first attempt that may have executed was dispatched
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send that has left and has no outcome yet."""
+    """An attempt that was handed to a connection pool and has no outcome yet."""
 
     number: int
     request: PendingRequest
-    node: int
-    news: NodeUpdate
-    sent_at: int
-    due: TimerHandle | None = None
-    told: bool = False  # its outcome is out already
-    begun: bool = False  # its first byte was let go
+    node_id: int
+    node: NodeUpdate  # as it was at dispatch
+    dispatched_at: int
+    index: int = 0  # 0 for the request's first attempt
+    timeout: TimerHandle | None = None  # None once its response is streamed
+    outcome_reported: bool = False  # the scheduler has had its result before it ended
+    is_started: bool = False  # its first byte was permitted to leave
--- /dev/null
+++ b/runloft/core/requests.py
@@ -0,0 +1,176 @@
+"""The lifecycle of requests: admitted, completed, released; the reducer's docstring has the states."""
+
+from dataclasses import dataclass
+from itertools import count
+
+from runloft.core import permissions
+from runloft.core.client_ids import ClientRequestId, ClientRequestIds
+from runloft.core.context import StepContext
+from runloft.core.counters import COUNTERS, CounterName
+from runloft.core.endpoints import EndpointTable
+from runloft.core.model import (
+    SUSPENDED_RETRY_AFTER_NS,
+    Failed,
+    InvalidRequest,
+    RequestSpec,
+    ResponseSink,
+    SendResponse,
+    Shed,
+)
+from runloft.core.permissions import SendRefusal, StartRefusal
+from runloft.core.records import PendingRequest
+from runloft.core.trace import trace
+from runloft.decisions import contract
+from runloft.decisions.contract import AttemptOutcome
+
+
+@dataclass(slots=True)
+class WireUsage:
+    """What the pending requests of one protocol occupy."""
+
+    open_requests: int = 0
+    buffered_bytes: int = 0
+
+
+class RequestLifecycle:
+    """All pending requests, what they occupy, and the identifiers that their clients gave them."""
+
+    def __init__(self, context: StepContext, endpoints: EndpointTable) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self.pending: dict[int, PendingRequest] = {}
+        self.by_sink: dict[ResponseSink, PendingRequest] = {}  # those that are not complete
+        self.client_ids = ClientRequestIds()
+        self.usage: dict[str, WireUsage] = {}  # by protocol
+        self._next_ids = count(1)
+
+    def receive(self, sink: ResponseSink, spec: RequestSpec) -> None:
+        """Admit a request and pass it to the scheduler, or answer it at once where it may not start."""
+        usage = self._usage_of(spec.payload.wire)
+        client_id = ClientRequestId(spec.payload.wire, spec.id)
+        refusal = permissions.permit_start(
+            usage.open_requests,
+            usage.buffered_bytes,
+            spec.payload.buffered_bytes,
+            self._context.bounds,
+            id_is_known=bool(spec.id) and client_id in self.client_ids,
+            suspended=self._context.suspended.covers(spec.plan, spec.volume),
+        )
+        if refusal is not None:
+            COUNTERS.add(CounterName.REQUESTS_NOT_STARTED, refusal)
+            self._context.effects.append(SendResponse(sink, self._refusal_reply(refusal)))
+            return
+        COUNTERS.requests_started += 1
+        self.client_ids.add(client_id)
+        usage.open_requests += 1
+        usage.buffered_bytes += spec.payload.buffered_bytes
+        request = self._add(sink, spec)
+        self._report_received(request)
+        self._context.scheduler_events.append(_scheduler_request(request))
+
+    def disconnect(self, sink: ResponseSink) -> PendingRequest | None:
+        """Complete the request of a client that has disconnected; return it unless it is complete."""
+        request = self.by_sink.get(sink)
+        if request is None or request.is_complete:
+            return None
+        COUNTERS.add(CounterName.REQUESTS_CANCELLED, SendRefusal.CLIENT_DISCONNECTED)
+        if trace.enabled:
+            trace("request cancelled", request=request.id, id=request.spec.id)
+        self.complete(request)
+        return request
+
+    def finish(self, request_id: int, reply: Shed | Failed) -> None:
+        """Answer a request that is not served, unless it is complete."""
+        request = self.pending.get(request_id)
+        if request is None or request.is_complete:
+            return
+        self.complete(request)
+        counted = CounterName.REQUESTS_SHED if isinstance(reply, Shed) else CounterName.REQUESTS_FAILED
+        COUNTERS.add(counted, reply.cause.value if reply.cause else "not tried")
+        if trace.enabled:
+            trace("request over", request=request.id, id=request.spec.id, reply=type(reply).__name__)
+        self._context.effects.append(SendResponse(request.sink, reply))
+        self.release(request)
+
+    def complete(self, request: PendingRequest) -> None:
+        """Record that the client has its final answer or is gone; nothing is owed to it any more."""
+        context = self._context
+        request.is_complete = True
+        if context.observer is not None:
+            served = request.last_outcome is AttemptOutcome.OK
+            context.observer.request_completed(request.id, context.now, served)
+        del self.by_sink[request.sink]
+
+    def release(self, request: PendingRequest) -> None:
+        """Remove a request that is complete once none of its attempts is in flight."""
+        if not request.is_complete or request.in_flight or request.id not in self.pending:
+            return
+        del self.pending[request.id]
+        payload = request.spec.payload
+        self.client_ids.release(ClientRequestId(payload.wire, request.spec.id), self._context.now)
+        usage = self.usage[payload.wire]
+        usage.open_requests -= 1
+        usage.buffered_bytes -= payload.buffered_bytes
+
+    def failure_cause(self, request_id: int) -> AttemptOutcome | None:
+        """Return why a request can't be served: how its last attempt ended, or TIMEOUT as its time is up."""
+        request = self.pending.get(request_id)
+        if request is None:
+            return None
+        context = self._context
+        time_is_up = context.now + 2 * context.settings.tick_ns >= request.deadline
+        return AttemptOutcome.TIMEOUT if time_is_up and request.attempt_count else request.last_outcome
+
+    def _usage_of(self, wire: str) -> WireUsage:
+        usage = self.usage.get(wire)
+        if usage is None:
+            usage = WireUsage()
+            self.usage[wire] = usage
+        return usage
+
+    def _refusal_reply(self, refusal: StartRefusal) -> Shed | InvalidRequest:
+        match refusal:
+            case StartRefusal.ID_IN_USE:  # a node would take the second request for a copy of the first
+                return InvalidRequest("this id is another request's")
+            case StartRefusal.SUSPENDED:
+                max_retry_after_ns = self._context.settings.max_retry_after_ns or SUSPENDED_RETRY_AFTER_NS
+                return Shed(min(SUSPENDED_RETRY_AFTER_NS, max_retry_after_ns))
+        return Shed()
+
+    def _add(self, sink: ResponseSink, spec: RequestSpec) -> PendingRequest:
+        now = self._context.now
+        request = PendingRequest(next(self._next_ids), sink, spec, now + spec.time_left_ns, now)
+        self.pending[request.id] = request
+        self.by_sink[sink] = request
+        return request
+
+    def _report_received(self, request: PendingRequest) -> None:
+        context = self._context
+        spec = request.spec
+        if context.observer is not None:
+            context.observer.request_received(
+                request.id, context.now, spec.volume, spec.request_class, spec.plan, spec.units
+            )
+            slow_start_ns = context.settings.slow_start_ns
+            queued_for = self._endpoints.queued_for(spec.shard, context.now, slow_start_ns)
+            context.observer.request_queued(request.id, context.now, queued_for.node_id, queued_for.reason)
+        if trace.enabled:
+            trace("request", request=request.id, id=spec.id, time_left_ms=spec.time_left_ns // 1_000_000)
+
+
+def _scheduler_request(request: PendingRequest) -> contract.Request:
+    """Return the request as the scheduler takes it."""
+    spec = request.spec
+    return contract.Request(
+        id=request.id,
+        request_class=spec.request_class,
+        plan=spec.plan,
+        volume=spec.volume,
+        units=spec.units,
+        time_left_ns=spec.time_left_ns,
+        shard=spec.shard,
+        key=spec.key,
+        volume_hosts=spec.volume_hosts,
+        is_write=spec.is_write,
+        is_client_retry=spec.is_client_retry,
+    )
--- a/runloft/core/start_times.py
+++ b/runloft/core/start_times.py
@@ -1,55 +1,64 @@
 """When storage nodes started, on this process's own clock.
 
-Discovery tells starts in Unix time; this process read the wall clock once, and it may have been off by
-seconds or an hour then.  What can be known without it: a start that is told as a change happened since
-discovery was heard before, and none lies in the future.
+Discovery reports start times in Unix time.  This process read the wall clock once, and it may have been off
+by seconds or an hour then.  Two facts hold without it: a start that is reported as a change happened since
+discovery was last in contact before, and no start lies in the future.
 """
 
 from dataclasses import dataclass
 
-CLOCK_OFF_NS = 30_000_000_000  # a start told by so much too late is no late list: the clock is off
+MAX_REPORT_DELAY_NS = 30_000_000_000  # a start reported later than this means that the wall clock is off
 
 
 @dataclass(slots=True)
 class _Start:
-    """One node's last start."""
+    """A node's last start."""
 
-    told_ns: int  # as discovery tells it, Unix time; 0: long ago
-    first_told_at: int  # own clock
+    reported_ns: int  # as discovery reports it, Unix time; 0: long ago
+    first_reported_at: int  # own clock
     not_before: int  # own clock
 
 
 class StartTimes:
-    """Starts of all nodes; ``shift_ns`` is what has to be added to a told start, as far as is known."""
+    """The last starts of all nodes.
+
+    ``clock_offset_ns`` is what has to be added to a reported start, as far as it is known.
+    """
 
     def __init__(self) -> None:
-        self.shift_ns = 0
+        self.clock_offset_ns = 0
         self._starts: dict[str, _Start] = {}
 
-    def heard(self, uid: str, told_ns: int, now: int, *, changed_since: int | None, in_doubt: bool) -> None:
-        """Take in a node's start.
+    def record(
+        self, uid: str, reported_ns: int, now: int, *, changed_since: int | None, clock_is_unreliable: bool
+    ) -> None:
+        """Record a node's reported start.
 
-        ``changed_since``: where it is news, when discovery was heard before; None: the node may have started
-        at any time.  ``in_doubt``: the wall clock has been seen to step.
+        ``changed_since``: where it is a change, when discovery was in contact before; None: the node may have
+        started at any time.  ``clock_is_unreliable``: the wall clock has been seen to step.
         """
         known = self._starts.get(uid)
-        if known is not None and known.told_ns == told_ns:
+        if known is not None and known.reported_ns == reported_ns:
             return
-        start = self._starts[uid] = _Start(told_ns, now, 0)
-        if not told_ns or changed_since is None or (known is not None and told_ns < known.told_ns):
+        start = _Start(reported_ns, now, 0)
+        self._starts[uid] = start
+        moved_back = known is not None and reported_ns < known.reported_ns
+        if not reported_ns or changed_since is None or moved_back:
             return
-        late_ns = changed_since - (told_ns + self.shift_ns)
-        if late_ns > CLOCK_OFF_NS:
-            self.shift_ns += late_ns
-        if late_ns > CLOCK_OFF_NS or in_doubt:
+        delay_ns = changed_since - (reported_ns + self.clock_offset_ns)
+        clock_is_off = delay_ns > MAX_REPORT_DELAY_NS
+        if clock_is_off:
+            self.clock_offset_ns += delay_ns
+        if clock_is_off or clock_is_unreliable:
             start.not_before = changed_since
 
-    def own_ns(self, uid: str) -> int:
-        """Give a node's start by the own clock; 0 where it was long ago."""
+    def local_start_ns(self, uid: str) -> int:
+        """Return a node's start on the own clock; 0 where it was long ago."""
         start = self._starts.get(uid)
-        if start is None or not start.told_ns:
+        if start is None or not start.reported_ns:
             return 0
-        return max(1, min(max(start.told_ns + self.shift_ns, start.not_before), start.first_told_at))
+        corrected_ns = start.reported_ns + self.clock_offset_ns
+        return max(1, min(max(corrected_ns, start.not_before), start.first_reported_at))
 
     def forget(self, uid: str) -> None:
         """Forget a node that is gone for good."""
--- a/runloft/core/trace.py
+++ b/runloft/core/trace.py
@@ -1,4 +1,4 @@
-"""State transitions by id, at debug level: off unless asked for, and cheap where it is off."""
+"""State transitions by id as log events at debug level; off by default, and cheap where it is off."""
 
 from typing import Any
 
@@ -8,13 +8,13 @@
 
 
 class Trace:
-    """The switch and the line; who traces asks ``enabled`` first, so that nothing is gathered in vain."""
+    """A switch and its log call; callers check ``enabled`` first, so that no fields are built in vain."""
 
     enabled = False
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Log one transition."""
+        """Log one state transition."""
         log.debug(event, **fields)
 
 
-trace = Trace()  # one a process; the command line switches it on
+trace = Trace()  # of this process; the command line switches it on
--- a/runloft/lab/scale/hollow.py
+++ b/runloft/lab/scale/hollow.py
@@ -78,7 +78,7 @@
 
     def has(self, uid: str) -> bool:
         """Say whether a node is in the table and may be sent to."""
-        number = self.core.node_numbers.get(uid)
+        number = self.core.node_ids.get(uid)
         news = self.core.nodes.get(number) if number is not None else None
         return news is not None and news.state is NodeState.READY
 
@@ -130,7 +130,7 @@
             config = self.agreeing.start()
         deadlines = TimerQueue()
         core = Core(config.settings, config.seed, clock(), deadlines, config.bounds)
-        core.held = config.held
+        core.suspended = config.held
         self.runner = runner = HollowRunner(core, deadlines, clock)
         asked = config.settings.list_is_polled
         watch = Watch(config.discovery, 0, config.zones, runner.post, deadlines, clock, asked=asked)
--- a/runloft/listeners/accepting.py
+++ b/runloft/listeners/accepting.py
@@ -10,8 +10,8 @@
 import structlog
 
 from runloft.config.settings import Config
-from runloft.core.guard import CloseReason
 from runloft.core.model import Event
+from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerQueue
 from runloft.net.sockets import no_delay
 from runloft.net.timing import Clock, pause
@@ -102,8 +102,8 @@
         for client in self.spared():
             if closed >= PART_WITH:
                 return
-            if client.may_close(CloseReason.MAKE_ROOM):
-                client.end(CloseReason.MAKE_ROOM)
+            if client.may_close(CloseReason.EVICTED):
+                client.end(CloseReason.EVICTED)
                 closed += 1
 
     async def accept(self, listener: socket.socket) -> None:
--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -20,9 +20,8 @@
 import structlog
 
 from runloft.config.settings import Config, ObjectSettings
-from runloft.core import guard
-from runloft.core.counters import COUNTERS, Counted
-from runloft.core.guard import CloseReason
+from runloft.core import permissions
+from runloft.core.counters import COUNTERS, CounterName
 from runloft.core.invariants import INVARIANTS
 from runloft.core.model import (
     ClientDisconnected,
@@ -35,6 +34,7 @@
     Served,
     Shed,
 )
+from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
@@ -161,7 +161,7 @@
 
     def answer(self, reply: Reply) -> None:
         """Take the final answer."""
-        INVARIANTS.answered(self.reply is not None, front="objects")
+        INVARIANTS.check_response(self.reply is not None, front="objects")
         self.reply = reply
         if isinstance(reply, Served):
             self.shard = reply.shard
@@ -221,7 +221,7 @@
     def may_close(self, reason: CloseReason) -> bool:
         """Ask the guard; what is already here is read first."""
         half_read, unread = len(self.protocol.trailing_data[0]), not nothing_to_read(self.sock)
-        return guard.permit_close(reason, (self,) if self.busy else (), 0, half_read, unread) is None
+        return permissions.permit_close(reason, (self,) if self.busy else (), 0, half_read, unread) is None
 
     def close_if_idle(self) -> None:
         """Close between requests; one that is already here is read first.
@@ -235,14 +235,14 @@
         elif not self.reading.cancel_called:
             self.reading.cancel()
 
-    def end(self, reason: CloseReason = CloseReason.CLIENT_LEFT) -> None:
+    def end(self, reason: CloseReason = CloseReason.CLIENT_DISCONNECTED) -> None:
         """Close."""
         if not self.ended:
             self.ended = True
-            own_reason = reason not in guard.OF_THE_CLIENT
+            own_reason = reason not in permissions.CAUSED_BY_CLIENT
             lost_input = own_reason and not (self.lingers or nothing_to_read(self.sock))
-            INVARIANTS.closed(self.busy, lost_input, own_reason, front="objects", reason=str(reason))
-            COUNTERS.add(Counted.CLIENT_CLOSED, reason)
+            INVARIANTS.check_close(self.busy, lost_input, own_reason, front="objects", reason=str(reason))
+            COUNTERS.add(CounterName.CLIENT_CONNECTIONS_CLOSED, reason)
             close(self.sock)
             self.front.clients.discard(self)
 
--- a/runloft/listeners/resp.py
+++ b/runloft/listeners/resp.py
@@ -13,11 +13,11 @@
 import structlog
 
 from runloft.config.settings import Config
-from runloft.core import guard
-from runloft.core.counters import COUNTERS, Counted
-from runloft.core.guard import CloseReason
+from runloft.core import permissions
+from runloft.core.counters import COUNTERS, CounterName
 from runloft.core.invariants import INVARIANTS, Violation
 from runloft.core.model import ClientDisconnected, InvalidRequest, Reply, RequestReceived, Served, Shed
+from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerHandle
 from runloft.core.trace import trace
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
@@ -56,7 +56,7 @@
     def put(self, *parts: bytes) -> None:
         """Fill the place; what is ready at the head of the line is written."""
         if self.answered:
-            INVARIANTS.violated(Violation.SECOND_ANSWER, client=self.client.number)
+            INVARIANTS.record(Violation.DUPLICATE_RESPONSE, client=self.client.number)
             return
         self.parts, self.answered = parts, True
         self.client.unsent += sum(map(len, parts))
@@ -92,7 +92,7 @@
 
     def __init__(self, front: "RespFront", sock: socket.socket) -> None:
         self.front, self.sock, self.number = front, sock, next(self._numbers)
-        self.over_because = CloseReason.CLIENT_LEFT  # why reading ended, where nothing else says so
+        self.over_because = CloseReason.CLIENT_DISCONNECTED  # why reading ended, where nothing else says so
         self.inbox, self.outbox, self.arrivals = Inbox(COMMAND_LIMIT), Outbox(), ArrivalTimes()
         self.slots: deque[Slot] = deque()
         self.unread_since: int | None = None  # what comes next came then, for all that is known
@@ -317,7 +317,7 @@
     def has_disconnected(self) -> bool:
         """Look whether it ended its sending, whatever is still to be read; it is closed then."""
         if not self.ended and half_closed((self.sock,)):
-            self.end(CloseReason.CLIENT_LEFT)
+            self.end(CloseReason.CLIENT_DISCONNECTED)
         return self.ended
 
     def may_close(self, reason: CloseReason) -> bool:
@@ -326,7 +326,7 @@
         half_read = self.inbox.end - self.inbox.start
         unwritten = self.outbox.size + self.unsent
         unread = not (unanswered or unwritten or half_read) and not nothing_to_read(self.sock)
-        return guard.permit_close(reason, unanswered, unwritten, half_read, unread) is None
+        return permissions.permit_close(reason, unanswered, unwritten, half_read, unread) is None
 
     def close_if_idle(self, reason: CloseReason = CloseReason.SHUTDOWN) -> None:
         """Close between requests; one that is already here is read first."""
@@ -417,10 +417,10 @@
         if self.ended:
             return
         unanswered = sum(not slot.answered for slot in self.slots)
-        own_reason = reason not in guard.OF_THE_CLIENT
+        own_reason = reason not in permissions.CAUSED_BY_CLIENT
         lost_input = own_reason and not (self.lingering or nothing_to_read(self.sock))
-        INVARIANTS.closed(unanswered, lost_input, own_reason, client=self.number, reason=str(reason))
-        COUNTERS.add(Counted.CLIENT_CLOSED, reason)
+        INVARIANTS.check_close(unanswered, lost_input, own_reason, client=self.number, reason=str(reason))
+        COUNTERS.add(CounterName.CLIENT_CONNECTIONS_CLOSED, reason)
         if trace.enabled:
             trace("client closed", client=self.number, reason=str(reason), unanswered=unanswered)
         self.ended = True
@@ -461,7 +461,7 @@
         gone = half_closed(client.sock for client in self.unread)
         for client in list(self.unread):
             if client.sock.fileno() in gone or not client.read_ahead():
-                client.end(CloseReason.CLIENT_LEFT)
+                client.end(CloseReason.CLIENT_DISCONNECTED)
         self.looking = bool(self.unread)
         if self.looking:
             self.deadlines.add(self.clock() + LOOK_NS, self._look)
--- a/runloft/service/admin.py
+++ b/runloft/service/admin.py
@@ -76,7 +76,7 @@
     ended = CounterMetricFamily(
         "runloft_reasons", "Requests, attempts and connections by reason.", labels=["what", "reason"]
     )
-    for what, reasons in COUNTERS.by.items():
+    for what, reasons in COUNTERS.by_name.items():
         for reason, count in tuple(reasons.items()):
             ended.add_metric([str(what), str(reason)], count)
     yield ended
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -111,7 +111,7 @@
         self.events: list[Event] = []
         self._wake = anyio.Event()
         # Guards what is added between turns: without it a time-out of 250 ms waits for the next event.
-        deadlines.on_first = lambda: self._wake.set()
+        deadlines.on_earliest_changed = lambda: self._wake.set()
 
     def post(self, event: Event) -> None:
         """Take an event for the next turn."""
@@ -142,7 +142,7 @@
         events, self.events = self.events, []
         for event in events:
             if isinstance(event, NodeListUpdate):
-                self.core.clock_in_doubt |= abs(self.clock_error_ns()) > CLOCK_STEP_NS
+                self.core.endpoints.wall_clock_is_unreliable |= abs(self.clock_error_ns()) > CLOCK_STEP_NS
                 for link in self.links.values():
                     link.listed(event.nodes)
         self.carry_out(self.core.step(self.clock(), events))
@@ -173,7 +173,7 @@
         agreeing = Agreeing(config.agreement, config, clock)
         config = agreeing.start()
     core = Core(config.settings, config.seed, clock(), deadlines, config.bounds)
-    core.held = config.held
+    core.suspended = config.held
     if config.account_volumes:
         from runloft.accounts.ledger import Ledger
 
--- a/runloft/upstream/links.py
+++ b/runloft/upstream/links.py
@@ -12,9 +12,9 @@
 import structlog
 
 from runloft.config.settings import Config, address
-from runloft.core.counters import COUNTERS, Counted, NodeCloseReason
-from runloft.core.guard import SendPermit, SendRefusal
+from runloft.core.counters import COUNTERS, CounterName, NodeCloseReason
 from runloft.core.model import AttemptFinished, AttemptWithdrawn, Dispatch, Event, NodeUpdate, RequestWritten
+from runloft.core.permissions import SendPermit, SendRefusal
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.core.trace import trace
 from runloft.decisions.contract import AttemptOutcome, NodeState
@@ -122,7 +122,7 @@
                 self._unpool(connection)
                 connection.take(order)
                 return
-            connection.end(NodeCloseReason.NOT_QUIET)
+            connection.end(NodeCloseReason.UNEXPECTED_INPUT)
         if patient and (resting := self.idle.get(place)):  # ready sooner than a new one, at less cost there
             self._wait(order, resting[0].idle_since + REST_NS + 1)
             return
@@ -149,9 +149,9 @@
         permit = self.permit(attempt, self.clock())
         refusal = permit.refusal
         if refusal is None and permit.verify is not None and permit.verify.has_disconnected():
-            refusal = SendRefusal.CLIENT_LEFT
+            refusal = SendRefusal.CLIENT_DISCONNECTED
         if refusal is not None:
-            COUNTERS.add(Counted.NOT_SENT, refusal)
+            COUNTERS.add(CounterName.ATTEMPTS_NOT_SENT, refusal)
             if trace.enabled:
                 trace("attempt not sent", attempt=attempt, reason=str(refusal))
             return 0
@@ -177,7 +177,7 @@
     def _make_room(self) -> bool:
         for pool in self.idle.values():
             if pool:
-                pool[0].end(NodeCloseReason.MAKE_ROOM)
+                pool[0].end(NodeCloseReason.EVICTED)
                 return True
         return False
 
@@ -367,7 +367,7 @@
         if self.ended:
             return
         self.ended = True
-        COUNTERS.add(Counted.NODE_CLOSED, reason)
+        COUNTERS.add(CounterName.NODE_CONNECTIONS_CLOSED, reason)
         if trace.enabled:
             trace("node connection closed", connection=self.number, node=self.place[0], reason=str(reason))
         self._release()
--- a/tests/accounts/test_accounts.py
+++ b/tests/accounts/test_accounts.py
@@ -122,9 +122,9 @@
 def test_volumes_beyond_the_bound_are_one_account_and_totals_stay_right():
     ledger = Ledger(driver_settings(), most_volumes=100)
     for number in range(100_000):
-        ledger.taken(number, number, number, 0, 0, 1.0)
-        ledger.held(number, number, 1, "bound")
-        ledger.over(number, number + 5, True)
+        ledger.request_received(number, number, number, 0, 0, 1.0)
+        ledger.request_queued(number, number, 1, "bound")
+        ledger.request_completed(number, number + 5, True)
     assert len(ledger.totals) == 101
     assert sum(t.requests for t in ledger.totals.values()) == 100_000
     assert sum(t.whole_ns for t in ledger.totals.values()) == 500_000
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -241,8 +241,8 @@
     turns.step(news(0, NodeState.GONE), after=70_000)  # one that is forgotten, and tells so again
     turns.step(news(0, NodeState.GONE), after=70_000)
     turns.step(after=5000)
-    assert len(core.nodes) == len(core.node_numbers) == len(module.nodes) == 1  # the one of Turns
-    assert not any((core.requests, core.attempts, core.by_sink, core.ids))
+    assert len(core.nodes) == len(core.node_ids) == len(module.nodes) == 1  # the one of Turns
+    assert not any((core.requests, core.attempts, core.by_sink, core.client_ids))
     assert not any((module.tickets, module.held, module.lines)) and not len(turns.deadlines)
 
 
--- a/tests/core/test_start_times.py
+++ b/tests/core/test_start_times.py
@@ -41,7 +41,7 @@
 
     def age(self, uid):
         """Give for how long the module takes a node to have been up; None: long since."""
-        entry = self.core.scheduler.nodes[self.core.node_numbers[uid]].entry
+        entry = self.core.scheduler.nodes[self.core.node_ids[uid]].entry
         return self.now + self.off - entry.started_ns if entry.started_ns else None
 
     def wait(self, seconds):
@@ -52,7 +52,7 @@
 def test_a_start_told_on_the_watch_is_known_whatever_the_wall_clock_says(off):
     """An hour ahead, a node that had just started counted as warm and was pushed over."""
     fleet = Fleet(off)
-    fleet.core.clock_in_doubt = bool(off)
+    fleet.core.endpoints.wall_clock_is_unreliable = bool(off)
     fleet.tell(ListKind.FULL, a=0, b=NOW - 5 * HOUR, c=0)
     fleet.wait(1)
     fleet.tell(c=0)
@@ -104,7 +104,7 @@
 @given(st.integers(-2 * HOUR, 2 * HOUR), st.lists(st.integers(0, 20 * SECOND), min_size=1, max_size=6))
 def test_no_start_told_as_a_change_counts_as_older_than_the_message_before(off, gaps):
     fleet = Fleet(off)
-    fleet.core.clock_in_doubt = True
+    fleet.core.endpoints.wall_clock_is_unreliable = True
     fleet.tell(ListKind.FULL, a=0, b=0)
     for gap in gaps:
         before = fleet.now
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -91,7 +91,7 @@
                     agent.look(now)
                 then(now, watch)
                 now += 0.01
-                for item in deadlines.sweep(int(now * 1e9)):
+                for item in deadlines.pop_due(int(now * 1e9)):
                     item()
             group.cancel_scope.cancel()
         return posted
--- a/tests/listeners/test_accepting.py
+++ b/tests/listeners/test_accepting.py
@@ -6,7 +6,7 @@
 import pytest
 
 from runloft.config.settings import config_from_json
-from runloft.core.guard import CloseReason
+from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerQueue
 from runloft.listeners.accepting import AcceptingFront
 from tests.support.standins import config
--- a/tests/listeners/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -11,8 +11,8 @@
 import pytest
 
 from runloft.config.settings import config_from_json
-from runloft.core.guard import CloseReason
 from runloft.core.model import ClientDisconnected, RequestReceived, Served
+from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerQueue
 from runloft.listeners.resp import IDLE_NS, LINGER_NS, PIPELINED, RespFront
 from runloft.net.sockets import connecting
@@ -55,7 +55,7 @@
 
     def wait(self, milliseconds):
         self.now += int(milliseconds * MS)
-        for item in self.deadlines.sweep(self.now):
+        for item in self.deadlines.pop_due(self.now):
             item()
 
     async def until(self, check):
@@ -73,7 +73,7 @@
             finally:
                 scene.listener.close()
                 for client in list(scene.front.clients):
-                    client.end(CloseReason.CLIENT_LEFT)
+                    client.end(CloseReason.CLIENT_DISCONNECTED)
                 group.cancel_scope.cancel()
 
     anyio.run(run)
--- a/tests/listeners/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -67,7 +67,7 @@
 
     def wait(self, milliseconds):
         self.now += int(milliseconds * MS)
-        for item in self.deadlines.sweep(self.now):
+        for item in self.deadlines.pop_due(self.now):
             item()
 
     async def until(self, check):
--- a/tests/service/test_momentary_failures.py
+++ b/tests/service/test_momentary_failures.py
@@ -84,7 +84,7 @@
     assert not posted and len(deadlines) == 1
     for _ in range(2):
         now[0] += READ_AGAIN_NS
-        for item in deadlines.sweep(now[0]):
+        for item in deadlines.pop_due(now[0]):
             item()
     assert [type(event) for event in posted] == [Reconfigured] and not len(deadlines)
     # One that comes meanwhile takes the place of the one that waits, and the tries have an end.
@@ -94,7 +94,7 @@
     assert len(deadlines) == 1
     for _ in range(READ_TRIES + 1):
         now[0] += READ_AGAIN_NS
-        for item in deadlines.sweep(now[0]):
+        for item in deadlines.pop_due(now[0]):
             item()
     assert not len(deadlines) and len(posted) == 1
 
--- a/tests/service/test_reasons.py
+++ b/tests/service/test_reasons.py
@@ -5,7 +5,7 @@
 import pytest
 from prometheus_client import CollectorRegistry, generate_latest
 
-from runloft.core.counters import COUNTERS, Counted, Counters
+from runloft.core.counters import COUNTERS, CounterName, Counters
 from runloft.core.invariants import INVARIANTS, Violation
 from runloft.service import admin
 from tests.discovery.test_discovery import OK, read_command
@@ -65,7 +65,7 @@
 
 def test_reasons_and_violations_are_metrics(monkeypatch):
     monkeypatch.setattr(admin, "COUNTERS", counters := Counters())
-    counters.add(Counted.REFUSED, "reset")
+    counters.add(CounterName.REQUESTS_SHED, "reset")
     registry = CollectorRegistry(auto_describe=False)
     registry.register(admin.Figures(Core(), None))
     text = generate_latest(registry).decode()
@@ -81,7 +81,7 @@
 def test_all_that_is_counted_is_told_once():
     counters = Counters()
     assert counters.totals() == {"requests_started": 0}
-    counters.add(Counted.CLIENT_CLOSED, "idle")
-    counters.add(Counted.CLIENT_CLOSED, "idle")
+    counters.add(CounterName.CLIENT_CONNECTIONS_CLOSED, "idle")
+    counters.add(CounterName.CLIENT_CONNECTIONS_CLOSED, "idle")
     assert counters.totals() == {"requests_started": 0, "client_connections_closed": {"idle": 2}}
     assert isinstance(COUNTERS, Counters) and not INVARIANTS.totals()
--- a/tests/support/core_vocabulary.py
+++ b/tests/support/core_vocabulary.py
@@ -9,7 +9,7 @@
 from typing import get_args
 
 from runloft.core import model
-from runloft.core.counters import COUNTERS, Counted
+from runloft.core.counters import COUNTERS, CounterName
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
@@ -176,7 +176,7 @@
 
 def schedule_call(core, at_ns, call):
     """Let the core's timers call a function, as connections and discovery do."""
-    return core.deadlines.add(at_ns, call)
+    return core.timers.add(at_ns, call)
 
 
 def open_sinks(core):
@@ -194,16 +194,23 @@
 
 def node_of_request(core, request):
     """Return a node that has the request's shard, or a number that is no node's."""
-    shard = core.requests[request].ask.shard if request in core.requests else None
+    shard = core.requests[request].spec.shard if request in core.requests else None
     return next((id_ for id_, node_ in core.nodes.items() if shard in (None, node_.shard)), 999)
 
 
 def is_streaming(core, attempt):
-    return core.attempts[attempt].request.streaming if attempt in core.attempts else False
+    return core.attempts[attempt].request.is_streaming if attempt in core.attempts else False
 
 
 def mark_wall_clock_unreliable(core):
-    core.clock_in_doubt = True
+    core.endpoints.wall_clock_is_unreliable = True
+
+
+def usage(core):
+    """Return what pending requests occupy, by protocol."""
+    used = sorted(core.usage.items())
+    rows = [[wire, usage_.open_requests, usage_.buffered_bytes] for wire, usage_ in used]
+    return [row for row in rows if any(row[1:])]
 
 
 def state(core):
@@ -212,12 +219,12 @@
         len(core.requests),
         len(core.by_sink),
         len(core.attempts),
-        len(core.deadlines),
-        sorted(core.node_numbers.items()),
+        len(core.timers),
+        sorted(core.node_ids.items()),
         sorted(core.nodes),
-        len(core.ids),
-        [[wire, *use] for wire, use in sorted(core.use.items()) if any(use)],
-        core.start_times.shift_ns,
+        len(core.client_ids),
+        usage(core),
+        core.endpoints.start_times.clock_offset_ns,
         core.next_at(core.now),
     ]
 
@@ -227,10 +234,13 @@
 
     def __init__(self):
         self._started = COUNTERS.requests_started
-        self._before = {what: COUNTERS.by[what].copy() for what in Counted}
+        self._before = {what: COUNTERS.by_name[what].copy() for what in CounterName}
 
     def since(self):
-        rows = [sorted((str(k), n) for k, n in (COUNTERS.by[w] - self._before[w]).items()) for w in Counted]
+        rows = [
+            sorted((str(k), n) for k, n in (COUNTERS.by_name[w] - self._before[w]).items())
+            for w in CounterName
+        ]
         return [COUNTERS.requests_started - self._started, rows]
 
 
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -356,7 +356,7 @@
         assert not scene.link.open and not scene.link.out
         scene.turn()
         scene.turn(100)
-        assert [attempt.request.sends for attempt in scene.core.attempts.values()] == [2]
+        assert [attempt.request.attempt_count for attempt in scene.core.attempts.values()] == [2]
         scene.up.set()  # late
         conn = await scene.node()
         assert ID in await scene.read(conn)
@@ -371,7 +371,7 @@
 
 
 @pytest.mark.parametrize(
-    "size, sends, ending", [(0, 1, AttemptOutcome.RESET), (8 << 20, 2, AttemptOutcome.CONNECT_FAILED)]
+    "size, sends, outcome", [(0, 1, AttemptOutcome.RESET), (8 << 20, 2, AttemptOutcome.CONNECT_FAILED)]
 )
 def test_a_reset_before_the_last_byte_proves_that_nothing_ran(monkeypatch, size, sends, outcome):
     """A class that may not be repeated is sent again then, and fails where all of it had left."""
