--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -15,7 +15,7 @@
 from runloft.core.model import Bounds, SuspendedVolumes
 from runloft.decisions import contract
 
-EFFECTS = {"retryable": contract.Effect.IDEMPOTENT, "dedup": contract.Effect.IDEMPOTENT_WITH_KEY}
+EFFECTS = {"retryable": contract.Idempotency.IDEMPOTENT, "dedup": contract.Idempotency.IDEMPOTENT_WITH_KEY}
 GROUPS = {"all": contract.IdempotencyScope.ALL, "zone": contract.IdempotencyScope.ZONE}
 REPORT_FIELDS = {
     "rif": "inflight",
@@ -363,8 +363,8 @@
                 deadline_ns=deadline,
                 priority_weight=number(path + "Importance", 1.0),
                 late_priority_weight=number(path + "LateValue"),
-                effect=EFFECTS.get(raw.get(path + "Effect", ""), contract.Effect.NOT_IDEMPOTENT),
-                group=GROUPS.get(raw.get(path + "Group", ""), contract.IdempotencyScope.SHARD),
+                idempotency=EFFECTS.get(raw.get(path + "Effect", ""), contract.Idempotency.NOT_IDEMPOTENT),
+                idempotency_scope=GROUPS.get(raw.get(path + "Group", ""), contract.IdempotencyScope.SHARD),
                 idempotency_window_ns=integer(path + "Window"),
                 in_order=flag(path + "InTurn"),
                 streamed=flag(path + "Streamed"),
--- a/runloft/core/attempts.py
+++ b/runloft/core/attempts.py
@@ -138,7 +138,7 @@
         request.last_outcome = event.outcome
         self._record_ambiguity(attempt, event.outcome)
         if trace.enabled:
-            trace("attempt over", request=request.id, attempt=attempt.number, ending=event.outcome.value)
+            trace("attempt finished", request=request.id, attempt=attempt.number, outcome=event.outcome.value)
         if context.observer is not None:
             context.observer.attempt_finished(event.attempt, context.now, event.outcome)
         if not request.is_complete:
--- a/runloft/core/permissions.py
+++ b/runloft/core/permissions.py
@@ -12,7 +12,7 @@
 
 from runloft.core.model import Bounds, NodeUpdate, ResponseSink
 from runloft.core.records import Attempt, PendingRequest
-from runloft.decisions.contract import Effect, NodeState, Settings
+from runloft.decisions.contract import Idempotency, NodeState, Settings
 
 PROTOCOL_SHARE = (
     0.5  # of each bound, for the requests of one protocol: a flood on one leaves room for the other
@@ -121,10 +121,10 @@
     if request.ambiguous_since is None:
         return None
     request_class = settings.classes[request.spec.request_class]
-    if request_class.effect is Effect.NOT_IDEMPOTENT:
+    if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
         return SendRefusal.MAY_HAVE_EXECUTED
     closes_at = request.ambiguous_since + request_class.idempotency_window_ns
-    if request_class.effect is Effect.IDEMPOTENT_WITH_KEY and now + settings.tick_ns >= closes_at:
+    if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and now + settings.tick_ns >= closes_at:
         return SendRefusal.IDEMPOTENCY_WINDOW_CLOSED
     return None
 
--- a/runloft/core/requests.py
+++ b/runloft/core/requests.py
@@ -88,7 +88,7 @@
         counted = CounterName.REQUESTS_SHED if isinstance(reply, Shed) else CounterName.REQUESTS_FAILED
         COUNTERS.add(counted, reply.cause.value if reply.cause else "not tried")
         if trace.enabled:
-            trace("request over", request=request.id, id=request.spec.id, reply=type(reply).__name__)
+            trace("request not served", request=request.id, id=request.spec.id, reply=type(reply).__name__)
         self._context.effects.append(SendResponse(request.sink, reply))
         self.release(request)
 
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeat of a request may do."""
 
     IDEMPOTENT = "safe"
@@ -62,8 +62,8 @@
     deadline_ns: int
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
-    effect: Effect = Effect.NOT_IDEMPOTENT
-    group: IdempotencyScope = IdempotencyScope.SHARD
+    idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
+    idempotency_scope: IdempotencyScope = IdempotencyScope.SHARD
     idempotency_window_ns: int = 0
     in_order: bool = False
     streamed: bool = False
--- a/runloft/decisions/policy.py
+++ b/runloft/decisions/policy.py
@@ -10,11 +10,32 @@
 from dataclasses import replace
 
 from runloft.decisions.contract import (
-    Action, AttemptOutcome, AttemptResult, CancelAttempt, ClientGone, Effect, Event, FailRequest,
-    ForgetNode, IdempotencyScope, ListKind, NewSettings, NodeEntry, NodeList, NodeState, PlanSettings,
-    Request, SendAttempt, Settings, ShedRequest, ShutdownStarted, StreamStarted, Timer, TimerFired,
+    Action,
+    CancelAttempt,
+    ClientGone,
+    ShutdownStarted,
+    Idempotency,
+    AttemptOutcome,
+    Event,
+    FailRequest,
+    ForgetNode,
+    IdempotencyScope,
+    ListKind,
+    NewSettings,
+    NodeEntry,
+    NodeList,
+    NodeState,
+    AttemptResult,
+    PlanSettings,
+    ShedRequest,
+    Request,
+    SendAttempt,
+    Settings,
+    StreamStarted,
     WatchNodeList,
-)  # fmt: skip
+    Timer,
+    TimerFired,
+)
 from runloft.decisions.state import SlidingSum, Ticket
 
 SECOND = 1_000_000_000
@@ -406,7 +427,7 @@
             best, best_rank = None, (False, 0.0, 0)
             for ticket in held:
                 harmless = (
-                    not suspect or ticket.request_class.effect is not Effect.NOT_IDEMPOTENT
+                    not suspect or ticket.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
                 )  # as a trial
                 rank = (harmless, self._worth(ticket, node, rate, now), -ticket.objective_at)
                 if (best is None or rank > best_rank) and self._may_send(ticket, node, rate, now):
@@ -462,9 +483,9 @@
 
     def _same_group(self, ticket: Ticket, node: Node) -> bool:
         """Whether a keyed request that may have run would be known there as a repeat."""
-        if ticket.doubt_node is None or ticket.request_class.effect is Effect.IDEMPOTENT:
+        if ticket.doubt_node is None or ticket.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        first, group = self.nodes[ticket.doubt_node].entry, ticket.request_class.group
+        first, group = self.nodes[ticket.doubt_node].entry, ticket.request_class.idempotency_scope
         same = (
             first.zone == node.entry.zone
             if group is IdempotencyScope.ZONE
@@ -502,10 +523,10 @@
         """Guards effects and budget: a further attempt goes out only as class, budget and cap allow."""
         if ticket.out or ticket.attempts >= self.settings.max_attempts or not self._in_budget(now):
             return False
-        if ticket.doubt_at is None or ticket.request_class.effect is Effect.IDEMPOTENT:
+        if ticket.doubt_at is None or ticket.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         in_window = now + self.settings.tick_ns < ticket.doubt_at + ticket.request_class.idempotency_window_ns
-        keyed = ticket.request_class.effect is Effect.IDEMPOTENT_WITH_KEY and in_window
+        keyed = ticket.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and in_window
         return keyed and node is not None and self._same_group(ticket, node)
 
     def _cold_since(self, node: Node, now: int) -> int | None:
@@ -559,7 +580,7 @@
             self._volume(ticket, now).draw(ticket.units)
         timeout = (
             int(SILENT_AIMS * self.aim)
-            if suspect and ticket.request_class.effect is not Effect.NOT_IDEMPOTENT
+            if suspect and ticket.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
             else 0
         )
         if ticket.refusable and self.many:
--- a/runloft/decisions/state.py
+++ b/runloft/decisions/state.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from runloft.decisions.contract import ClassSettings, Effect, IdempotencyScope, Request
+from runloft.decisions.contract import ClassSettings, Idempotency, IdempotencyScope, Request
 
 
 class Ticket:
@@ -15,9 +15,10 @@
         self.deadline = now + request.time_left_ns
         # A repeat is harmless though an attempt may have run, so that a refusal may say so.
         keyed = (
-            request_class.effect is Effect.IDEMPOTENT_WITH_KEY and request_class.group is IdempotencyScope.ALL
+            request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and request_class.idempotency_scope is IdempotencyScope.ALL
         )
-        self.refusable = request_class.effect is Effect.IDEMPOTENT or keyed
+        self.refusable = request_class.idempotency is Idempotency.IDEMPOTENT or keyed
         self.taken_at = now
         self.hold_until = self.deadline  # when it is given up if nothing of it has left
         self.attempts = 0
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -25,7 +25,7 @@
 )  # fmt: skip
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import AttemptOutcome, Effect, IdempotencyScope, ListKind, NodeState
+from runloft.decisions.contract import AttemptOutcome, Idempotency, IdempotencyScope, ListKind, NodeState
 from runloft.listeners.grammar import Translator
 from tests.support.driver import MS, SECOND
 
@@ -177,11 +177,11 @@
         assert not isinstance(reply, InvalidRequest)
         sink.over = True
         keyed = (
-            sink.request_class.effect is Effect.IDEMPOTENT_WITH_KEY
-            and sink.request_class.group is IdempotencyScope.ALL
+            sink.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and sink.request_class.idempotency_scope is IdempotencyScope.ALL
         )
         if isinstance(reply, Shed):
-            harmless = sink.request_class.effect is Effect.IDEMPOTENT or keyed
+            harmless = sink.request_class.idempotency is Idempotency.IDEMPOTENT or keyed
             assert harmless or (sink.doubt_at is None and not sink.out)
         assert isinstance(reply, Served | Failed | Shed)
 
@@ -203,12 +203,12 @@
         assert sink.ask.shard in (None, order.node.shard)
         assert 0 < order.wait_ns <= self.open[sink] - self.now
         if sink.doubt_at is not None:
-            assert request_class.effect is not Effect.NOT_IDEMPOTENT
-            if request_class.effect is Effect.IDEMPOTENT_WITH_KEY:
+            assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+            if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
                 assert self.now < sink.doubt_at + request_class.idempotency_window_ns
                 first = self.nodes[sink.first]
                 same = {IdempotencyScope.ALL: True, IdempotencyScope.ZONE: first.zone == order.node.zone}
-                assert same.get(request_class.group, first.shard == order.node.shard)
+                assert same.get(request_class.idempotency_scope, first.shard == order.node.shard)
         if request_class.in_order and sink.ask.key:
             ahead = self.lines[sink.ask.key][: self.lines[sink.ask.key].index(sink)]
             assert all(other.over and not other.out for other in ahead)
--- a/tests/core/test_guard.py
+++ b/tests/core/test_guard.py
@@ -14,11 +14,11 @@
 from runloft.core.permissions import CloseReason, CloseRefusal, SendRefusal, StartRefusal
 from runloft.core.records import Attempt, PendingRequest
 from runloft.core.timers import TimerHandle
-from runloft.decisions.contract import Effect, NodeState
+from runloft.decisions.contract import Idempotency, NodeState
 from tests.support.driver import MS, SECOND, request_class, settings
 
 NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
-EFFECTS = st.sampled_from(Effect)
+EFFECTS = st.sampled_from(Idempotency)
 TIMES = st.integers(0, 2 * SECOND)
 
 
@@ -27,8 +27,8 @@
     return PendingRequest(1, "asker", ask, SECOND, **more)
 
 
-def conf(effect=Effect.IDEMPOTENT, **more):
-    return settings(request_class(effect, deadline=1000, idempotency_window_ns=500 * MS), **more)
+def conf(idempotency=Idempotency.IDEMPOTENT, **more):
+    return settings(request_class(idempotency, deadline=1000, idempotency_window_ns=500 * MS), **more)
 
 
 @given(
@@ -52,8 +52,8 @@
     if refusal is None:
         assert not over and not out and now < request.deadline and sends < rules.max_attempts
         assert state is not NodeState.GONE
-        assert ambiguous_since is None or effect is not Effect.NOT_IDEMPOTENT
-        assert ambiguous_since is None or effect is Effect.IDEMPOTENT or now < ambiguous_since + 500 * MS
+        assert ambiguous_since is None or effect is not Idempotency.NOT_IDEMPOTENT
+        assert ambiguous_since is None or effect is Idempotency.IDEMPOTENT or now < ambiguous_since + 500 * MS
     else:
         assert isinstance(refusal, SendRefusal)
 
@@ -68,7 +68,7 @@
     assert bool(permit) is (permit.refusal is None) is (permit.wait_ns > 0)
     if permit:
         assert state is NodeState.READY and permit.wait_ns == due - now
-        assert ambiguous_since is None or effect is not Effect.NOT_IDEMPOTENT
+        assert ambiguous_since is None or effect is not Idempotency.NOT_IDEMPOTENT
         assert permit.verify is (None if now - seen <= permissions.VERIFY_AFTER_NS else "asker")
 
 
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -9,8 +9,8 @@
     AttemptOutcome,
     AttemptResult,
     ClientGone,
-    Effect,
     FailRequest,
+    Idempotency,
     NodeEntry,
     NodeState,
     PlanSettings,
@@ -218,7 +218,7 @@
 
 
 def test_news_of_what_has_ended_or_was_never_known_is_passed_over():
-    host = Host(settings(request_class(Effect.NOT_IDEMPOTENT)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.end(id_)
     host.end(id_)
@@ -309,7 +309,7 @@
 
 def test_a_keyed_request_past_its_window_fails_then_and_is_not_held_to_its_deadline():
     keyed_class = request_class(
-        Effect.IDEMPOTENT_WITH_KEY, aim=100, deadline=3000, idempotency_window_ns=200 * MS
+        Idempotency.IDEMPOTENT_WITH_KEY, aim=100, deadline=3000, idempotency_window_ns=200 * MS
     )
     host = Host(settings(keyed_class, request_class(aim=100, deadline=3000, priority_weight=5.0)))
     host.serve(30, latency=50, request_class=1)
@@ -339,7 +339,7 @@
     return host
 
 
-@pytest.mark.parametrize("ending", [AttemptOutcome.OK, AttemptOutcome.TIMEOUT])
+@pytest.mark.parametrize("outcome", [AttemptOutcome.OK, AttemptOutcome.TIMEOUT])
 def test_many_hosts_keep_what_earns_least_from_a_crowded_node(outcome):
     """Issue 11: 213 hosts with one request each filled every node for seconds, for clients who had left."""
     for hosts, leaves in ((200, False), (4, True)):
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from runloft.decisions.contract import AttemptOutcome, Effect, IdempotencyScope, NodeEntry, NodeState
+from runloft.decisions.contract import AttemptOutcome, Idempotency, IdempotencyScope, NodeEntry, NodeState
 from tests.support.driver import MS, NODE, SECOND, Host, request_class, settings
 from tests.support.fleet import CONNECT, Fleet, fleet_settings
 
@@ -41,7 +41,7 @@
     assert 5 < scheduler._rate(scheduler.nodes[0], host.now) < 20
 
 
-@pytest.mark.parametrize("ending", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
+@pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
 def test_new_objects_leave_a_node_that_drained_or_went_before_the_list_tells(outcome):
     """Day herd+vast: lists came six seconds late, and new objects went on to nodes that turned all away."""
     host = Host(fleet_settings(40, 0, max_attempts=1), nodes=(NODE, NodeEntry(11, 1)))
@@ -85,7 +85,7 @@
     assert dear > 0 and host.scheduler._price(node, host.now) < dear / 4
 
 
-@pytest.mark.parametrize("ending", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
+@pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
 def test_a_request_waits_a_while_where_a_node_turned_it_away_and_keeps_its_attempts(outcome):
     """Day herd+vast: three attempts within 15 ms, a thousand refused connects a second over the fleet."""
     host = Host(settings(request_class(aim=1000, deadline=6000), hosts=40, max_attempts=3), at=SECOND)
@@ -169,7 +169,10 @@
 @pytest.mark.parametrize(
     "hosts, nodes, capacity, load, zones, request_class",
     [(*size, zones, {}) for size in SIZES for zones in (2, 3)]
-    + [(*SIZES[0], 3, {"effect": Effect.NOT_IDEMPOTENT}), (*SIZES[0], 3, {"aim": 3000, "deadline": 12000})],
+    + [
+        (*SIZES[0], 3, {"idempotency": Idempotency.NOT_IDEMPOTENT}),
+        (*SIZES[0], 3, {"aim": 3000, "deadline": 12000}),
+    ],
 )
 def test_after_a_cut_the_nodes_that_were_silent_soon_serve(
     hosts, nodes, capacity, load, zones, request_class
@@ -188,8 +191,8 @@
 
 
 IDEMPOTENT_WITH_KEY = {
-    "effect": Effect.IDEMPOTENT_WITH_KEY,
-    "group": IdempotencyScope.ALL,
+    "idempotency": Idempotency.IDEMPOTENT_WITH_KEY,
+    "idempotency_scope": IdempotencyScope.ALL,
     "idempotency_window_ns": 20 * SECOND,
 }
 
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -8,8 +8,8 @@
     AttemptOutcome,
     CancelAttempt,
     ClientGone,
-    Effect,
     FailRequest,
+    Idempotency,
     IdempotencyScope,
     ListKind,
     NodeEntry,
@@ -33,7 +33,7 @@
 
 
 def test_a_timeout_at_the_deadline_still_owes_an_answer_and_gets_one():
-    host = Host(settings(request_class(Effect.NOT_IDEMPOTENT)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.now = 600 * MS
     host.end(id_, AttemptOutcome.TIMEOUT)
@@ -42,7 +42,7 @@
 
 
 def test_an_answer_by_timer_comes_even_if_no_outcome_does():
-    host = Host(settings(request_class(Effect.NOT_IDEMPOTENT)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.wait(1000)
     assert [t <= 600 * MS for t, _ in host.answers(id_)] == [True]
@@ -74,10 +74,10 @@
 
 
 @pytest.mark.parametrize(
-    "ending", [AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED]
+    "outcome", [AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED]
 )
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_repeated(outcome):
-    host = Host(settings(request_class(Effect.NOT_IDEMPOTENT)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.end(id_, outcome)
     host.wait(1000)
@@ -86,10 +86,10 @@
 
 
 @pytest.mark.parametrize(
-    "ending", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT]
+    "outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT]
 )
 def test_an_unsafe_request_that_surely_never_ran_is_tried_again(outcome):
-    host = Host(settings(request_class(Effect.NOT_IDEMPOTENT)))
+    host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
     id_ = host.ask()
     host.end(id_, outcome)
     host.wait(100)
@@ -98,7 +98,9 @@
 
 def test_a_keyed_request_is_repeated_within_its_window_only():
     host = Host(
-        settings(request_class(Effect.IDEMPOTENT_WITH_KEY, deadline=3000, idempotency_window_ns=200 * MS))
+        settings(
+            request_class(Idempotency.IDEMPOTENT_WITH_KEY, deadline=3000, idempotency_window_ns=200 * MS)
+        )
     )
     id_ = host.ask()
     host.wait(50)
@@ -116,7 +118,12 @@
 )
 def test_a_keyed_new_object_that_may_have_run_stays_in_its_group(group, count):
     conf = settings(
-        request_class(Effect.IDEMPOTENT_WITH_KEY, deadline=3000, idempotency_window_ns=SECOND, group=group)
+        request_class(
+            Idempotency.IDEMPOTENT_WITH_KEY,
+            deadline=3000,
+            idempotency_window_ns=SECOND,
+            idempotency_scope=group,
+        )
     )
     host = Host(conf, nodes=(NodeEntry(10, 0, zone=0), NodeEntry(11, 1, zone=1)))
     id_ = host.ask(shard=None)
@@ -130,7 +137,13 @@
 
 def test_only_a_group_of_all_lets_a_keyed_request_be_refused_after_doubt():
     for group, kind in ((IdempotencyScope.ALL, ShedRequest), (IdempotencyScope.SHARD, FailRequest)):
-        host = Host(settings(request_class(Effect.IDEMPOTENT_WITH_KEY, idempotency_window_ns=1, group=group)))
+        host = Host(
+            settings(
+                request_class(
+                    Idempotency.IDEMPOTENT_WITH_KEY, idempotency_window_ns=1, idempotency_scope=group
+                )
+            )
+        )
         id_ = host.ask()
         host.end(id_, AttemptOutcome.ERROR)
         assert [type(a) for _, a in host.answers(id_)] == [kind]
@@ -287,7 +300,7 @@
 # 5. Order is kept where a class asks for it.
 
 ORDERED = request_class(
-    Effect.IDEMPOTENT_WITH_KEY, deadline=3000, idempotency_window_ns=SECOND, in_order=True
+    Idempotency.IDEMPOTENT_WITH_KEY, deadline=3000, idempotency_window_ns=SECOND, in_order=True
 )
 
 
@@ -299,7 +312,7 @@
     assert host.sends(second)
 
 
-@pytest.mark.parametrize("ending", [AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED])
+@pytest.mark.parametrize("outcome", [AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED])
 def test_a_key_rests_after_an_open_end(outcome):
     host = Host(settings(ORDERED, ambiguity_wait_ns=100 * MS, may_cancel=True))
     first, second = host.ask(key=7), host.ask(key=7)
--- a/tests/service/test_reasons.py
+++ b/tests/service/test_reasons.py
@@ -41,7 +41,7 @@
         for line in log
         if id_ in line or f"request={number}" in line
     }
-    assert {"command", "request", "attempt", "attempt over", "request served"} <= words
+    assert {"command", "request", "attempt", "attempt finished", "request served"} <= words
     assert any("client closed" in line and "client left" in line for line in log)
     totals = next(line for line in log if "totals" in line)
     assert "requests_started=1" in totals and "violations={}" in totals
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -17,7 +17,7 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
-from runloft.decisions.contract import AttemptOutcome, Effect, FailRequest, ListKind, ShedRequest
+from runloft.decisions.contract import AttemptOutcome, FailRequest, Idempotency, ListKind, ShedRequest
 from runloft.service.runner import FINISH_NS, Runner, wind_down
 from tests.core.test_core import Turns
 from tests.support.driver import MS, SECOND, Host, request_class, settings
@@ -147,9 +147,9 @@
 @pytest.mark.parametrize(
     "effect, answer",
     [
-        (Effect.IDEMPOTENT, ShedRequest),
-        (Effect.NOT_IDEMPOTENT, FailRequest),
-        (Effect.IDEMPOTENT_WITH_KEY, FailRequest),
+        (Idempotency.IDEMPOTENT, ShedRequest),
+        (Idempotency.NOT_IDEMPOTENT, FailRequest),
+        (Idempotency.IDEMPOTENT_WITH_KEY, FailRequest),
     ],
 )
 def test_what_is_open_at_the_end_has_one_answer_that_fits_what_may_have_run(effect, answer):
--- a/tests/support/core_vocabulary.py
+++ b/tests/support/core_vocabulary.py
@@ -16,7 +16,7 @@
 from runloft.decisions.contract import (
     AttemptOutcome,
     ClassSettings,
-    Effect,
+    Idempotency,
     IdempotencyScope,
     ListKind,
     NodeState,
@@ -111,22 +111,24 @@
 def golden_settings(max_attempts=4, more_classes=()):
     """Build settings with a class for each effect and group, a streamed and an in-order one."""
     classes = [
-        ClassSettings(80 * MS, 700 * MS, 1.0, 0.3, Effect.IDEMPOTENT),
-        ClassSettings(90 * MS, 900 * MS, 3.0, 0.0, Effect.NOT_IDEMPOTENT),
-        ClassSettings(300 * MS, 4000 * MS, 1.0, 0.0, Effect.IDEMPOTENT, streamed=True),
+        ClassSettings(80 * MS, 700 * MS, 1.0, 0.3, Idempotency.IDEMPOTENT),
+        ClassSettings(90 * MS, 900 * MS, 3.0, 0.0, Idempotency.NOT_IDEMPOTENT),
+        ClassSettings(300 * MS, 4000 * MS, 1.0, 0.0, Idempotency.IDEMPOTENT, streamed=True),
         ClassSettings(
             70 * MS,
             600 * MS,
             2.0,
             0.0,
-            Effect.IDEMPOTENT_WITH_KEY,
+            Idempotency.IDEMPOTENT_WITH_KEY,
             IdempotencyScope.ALL,
             250 * MS,
             in_order=True,
         ),
     ]
     classes += [
-        ClassSettings(60 * MS, 800 * MS, 1.0, 0.1, Effect.IDEMPOTENT_WITH_KEY, group, 40 * MS, writes=True)
+        ClassSettings(
+            60 * MS, 800 * MS, 1.0, 0.1, Idempotency.IDEMPOTENT_WITH_KEY, group, 40 * MS, writes=True
+        )
         for group in IdempotencyScope
     ]
     return Settings(
@@ -155,7 +157,7 @@
 
 def fast_class():
     """Build a class that a reconfiguration adds."""
-    return ClassSettings(20 * MS, 200 * MS, 1.0, 0.0, Effect.IDEMPOTENT)
+    return ClassSettings(20 * MS, 200 * MS, 1.0, 0.0, Idempotency.IDEMPOTENT)
 
 
 def class_is_streamed(core, number):
