--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -138,7 +138,7 @@
     """A request was read completely."""
 
     sink: ResponseSink
-    ask: RequestSpec
+    spec: RequestSpec
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/accounts/test_accounts.py
+++ b/tests/accounts/test_accounts.py
@@ -27,7 +27,7 @@
     SendAttempt,
     ShedRequest,
 )
-from tests.core.test_core import Turns
+from tests.support.core_harness import CoreHarness
 from tests.support.driver import MS
 from tests.support.driver import settings as driver_settings
 
@@ -148,10 +148,10 @@
 
 def kept(state=NodeState.READY, **more):
     """A reducer that is watched by a ledger, with one node in this state."""
-    turns = Turns(**more)
-    turns.core.observer = Ledger(turns.core.settings)
-    turns.step(NodeListUpdate(ListKind.FULL, (NodeUpdate("s-1", "127.0.0.1:1", 0, state),)))
-    return turns, turns.core.observer
+    harness = CoreHarness(**more)
+    harness.core.observer = Ledger(harness.core.settings)
+    harness.step(NodeListUpdate(ListKind.FULL, (NodeUpdate("s-1", "127.0.0.1:1", 0, state),)))
+    return harness, harness.core.observer
 
 
 NUDGE = NodeListUpdate(ListKind.DELTA)  # something has come: the module is asked
@@ -162,14 +162,14 @@
 
 
 def test_a_request_tried_again_counts_from_its_first_try():
-    turns, ledger = kept()
-    turns.take()
-    turns.step(NUDGE, after=30, plan=[SendAttempt(1, 1, 50 * MS)])
-    turns.step(RequestWritten(1), after=5)
-    turns.step(after=45)  # given up
-    turns.step(NUDGE, after=10, plan=[SendAttempt(1, 1)])
-    turns.step(RequestWritten(2), after=2)
-    turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=40)
+    harness, ledger = kept()
+    harness.receive()
+    harness.step(NUDGE, after=30, actions=[SendAttempt(1, 1, 50 * MS)])
+    harness.step(RequestWritten(1), after=5)
+    harness.step(after=45)  # given up
+    harness.step(NUDGE, after=10, actions=[SendAttempt(1, 1)])
+    harness.step(RequestWritten(2), after=2)
+    harness.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=40)
     assert parts(ledger) == {"HELD_BOUND": 30, "CONNECTING": 7, "OUT": 85, "BETWEEN": 10}
     totals = ledger.totals[1]
     assert (totals.requests, totals.served, totals.late, totals.whole_ns) == (1, 1, 1, 132 * MS)
@@ -178,12 +178,12 @@
 
 
 def test_a_flood_is_named_by_those_who_wait_behind_it():
-    turns, ledger = kept()
-    turns.take([SendAttempt(1, 1)], volume=7)
-    turns.take([SendAttempt(2, 1)], volume=7)
-    turns.take([SendAttempt(3, 1)], volume=1)
+    harness, ledger = kept()
+    harness.receive([SendAttempt(1, 1)], volume=7)
+    harness.receive([SendAttempt(2, 1)], volume=7)
+    harness.receive([SendAttempt(3, 1)], volume=1)
     for attempt in (1, 2, 3):
-        turns.step(AttemptFinished(attempt, AttemptOutcome.OK, b"v"), after=20)
+        harness.step(AttemptFinished(attempt, AttemptOutcome.OK, b"v"), after=20)
     assert ledger.totals[1].waited_for.amounts == {7: 40 * MS, 1: 20 * MS}
     assert ledger.totals[7].waited_for.amounts == {7: 60 * MS}
 
@@ -197,47 +197,47 @@
     ],
 )
 def test_what_is_never_sent_says_why_it_was_held(state, shard, part):
-    turns, ledger = kept(state)
-    turns.take(shard=shard)
-    turns.step(NUDGE, after=80, plan=[ShedRequest(1, 5)])
+    harness, ledger = kept(state)
+    harness.receive(shard=shard)
+    harness.step(NUDGE, after=80, actions=[ShedRequest(1, 5)])
     assert parts(ledger) == {part: 80}
     assert ledger.totals[1].idle_ns == (80 * MS if shard == 0 else 0)
 
 
 def test_a_slow_reader_is_its_own_account_and_not_the_nodes():
-    turns, ledger = kept()
-    turns.take([SendAttempt(1, 1)])
-    turns.step(RequestWritten(1))
-    turns.step(StreamStarted(1, "head"), after=10)
-    turns.step(ResponseBuffered(1))
-    turns.step(AttemptFinished(1, AttemptOutcome.OK, "stream"), after=500)
+    harness, ledger = kept()
+    harness.receive([SendAttempt(1, 1)])
+    harness.step(RequestWritten(1))
+    harness.step(StreamStarted(1, "head"), after=10)
+    harness.step(ResponseBuffered(1))
+    harness.step(AttemptFinished(1, AttemptOutcome.OK, "stream"), after=500)
     assert parts(ledger) == {"OUT": 10, "READER": 500}
     assert ledger.totals[1].waited_for.amounts == {1: 10 * MS}
 
 
 def test_an_attempt_that_outlives_its_client_is_still_the_nodes_work():
-    turns, ledger = kept()
-    sink, _ = turns.take([SendAttempt(1, 1)], volume=7)
-    turns.step(ClientDisconnected(sink), after=5)
-    turns.take([SendAttempt(2, 1)], volume=1)
-    turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=20)
-    turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=10)
+    harness, ledger = kept()
+    sink, _ = harness.receive([SendAttempt(1, 1)], volume=7)
+    harness.step(ClientDisconnected(sink), after=5)
+    harness.receive([SendAttempt(2, 1)], volume=1)
+    harness.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=20)
+    harness.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=10)
     assert ledger.totals[1].waited_for.amounts == {7: 20 * MS, 1: 10 * MS}
     assert ledger.totals[7].whole_ns == 5 * MS and not ledger._attempts
 
 
 def test_a_client_that_leaves_its_stream_leaves_nothing_open():
-    turns, ledger = kept()
-    sink, _ = turns.take([SendAttempt(1, 1)])
-    turns.step(StreamStarted(1, "head"), after=10)
-    turns.step(ClientDisconnected(sink), after=10)
+    harness, ledger = kept()
+    sink, _ = harness.receive([SendAttempt(1, 1)])
+    harness.step(StreamStarted(1, "head"), after=10)
+    harness.step(ClientDisconnected(sink), after=10)
     assert not ledger.open and not ledger._attempts and not ledger._waits
     assert ledger.nodes[1].out == 0
 
 
 def test_a_node_that_is_forgotten_ends_what_waited_for_it():
-    turns, ledger = kept()
-    turns.take()
-    turns.step(NUDGE, after=10, plan=[ForgetNode(1)])
-    turns.step(NUDGE, after=10, plan=[FailRequest(1)])
+    harness, ledger = kept()
+    harness.receive()
+    harness.step(NUDGE, after=10, actions=[ForgetNode(1)])
+    harness.step(NUDGE, after=10, actions=[FailRequest(1)])
     assert ledger.totals[1].idle_ns == 20 * MS and not ledger.nodes
--- a/tests/core/test_guard.py
+++ b/tests/core/test_permissions.py
@@ -1,4 +1,4 @@
-"""The guard: what it permits and refuses, that nothing goes past it, and the check behind it."""
+"""Permissions: what may start, be sent and be closed, and that no path evades them."""
 
 import ast
 from dataclasses import replace
@@ -9,30 +9,21 @@
 from hypothesis import strategies as st
 
 from runloft.core import permissions
-from runloft.core.invariants import Invariants, Violation
-from runloft.core.model import Bounds, NodeUpdate, RequestSpec
+from runloft.core.model import Bounds
 from runloft.core.permissions import CloseReason, CloseRefusal, SendRefusal, StartRefusal
-from runloft.core.records import Attempt, PendingRequest
+from runloft.core.records import Attempt
 from runloft.core.timers import TimerHandle
 from runloft.decisions.contract import Idempotency, NodeState
-from tests.support.driver import MS, SECOND, request_class, settings
+from tests.support.core_harness import NODE, one_class_settings, pending_request
+from tests.support.driver import MS, SECOND
 
-NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
-EFFECTS = st.sampled_from(Idempotency)
-TIMES = st.integers(0, 2 * SECOND)
-
-
-def pending(**more):
-    ask = RequestSpec(0, 0, 1, 1.0, SECOND, 0, None)
-    return PendingRequest(1, "asker", ask, SECOND, **more)
+IDEMPOTENCIES = st.sampled_from(Idempotency)
 
-
-def conf(idempotency=Idempotency.IDEMPOTENT, **more):
-    return settings(request_class(idempotency, deadline=1000, idempotency_window_ns=500 * MS), **more)
+TIMES = st.integers(0, 2 * SECOND)
 
 
 @given(
-    EFFECTS,
+    IDEMPOTENCIES,
     st.none() | TIMES,
     TIMES,
     st.integers(0, 5),
@@ -40,36 +31,42 @@
     st.sampled_from(NodeState),
     st.booleans(),
 )
-def test_whatever_is_permitted_keeps_each_rule(effect, ambiguous_since, now, sends, over, state, out):
-    request = pending(
+def test_permitted_attempt_keeps_every_rule(idempotency, ambiguous_since, now, sends, over, state, out):
+    request = pending_request(
         ambiguous_since=ambiguous_since,
         attempt_count=sends,
         is_complete=over,
         in_flight={0: 1} if out else {},
     )
-    node, rules = replace(NODE, state=state), conf(effect)
+    node, rules = replace(NODE, state=state), one_class_settings(idempotency)
     refusal = permissions.permit_send(request, node, rules, now)
     if refusal is None:
         assert not over and not out and now < request.deadline and sends < rules.max_attempts
         assert state is not NodeState.GONE
-        assert ambiguous_since is None or effect is not Idempotency.NOT_IDEMPOTENT
-        assert ambiguous_since is None or effect is Idempotency.IDEMPOTENT or now < ambiguous_since + 500 * MS
+        assert ambiguous_since is None or idempotency is not Idempotency.NOT_IDEMPOTENT
+        assert (
+            ambiguous_since is None
+            or idempotency is Idempotency.IDEMPOTENT
+            or now < ambiguous_since + 500 * MS
+        )
     else:
         assert isinstance(refusal, SendRefusal)
 
 
-@given(EFFECTS, st.none() | TIMES, TIMES, st.integers(1, 2 * SECOND), st.sampled_from(NodeState), TIMES)
-def test_a_first_byte_leaves_only_in_time_and_to_the_node_that_was_meant(
-    effect, ambiguous_since, now, due, state, seen
+@given(IDEMPOTENCIES, st.none() | TIMES, TIMES, st.integers(1, 2 * SECOND), st.sampled_from(NodeState), TIMES)
+def test_first_byte_leaves_only_in_time_and_to_the_unchanged_node(
+    idempotency, ambiguous_since, now, due, state, seen
 ):
-    request = pending(ambiguous_since=ambiguous_since, received_at=seen)
+    request = pending_request(ambiguous_since=ambiguous_since, received_at=seen)
     attempt = Attempt(1, request, 10, NODE, 0, timeout=TimerHandle(due, 0, None))
-    permit = permissions.permit_first_byte(attempt, replace(NODE, state=state), conf(effect), now)
+    permit = permissions.permit_first_byte(
+        attempt, replace(NODE, state=state), one_class_settings(idempotency), now
+    )
     assert bool(permit) is (permit.refusal is None) is (permit.wait_ns > 0)
     if permit:
         assert state is NodeState.READY and permit.wait_ns == due - now
-        assert ambiguous_since is None or effect is not Idempotency.NOT_IDEMPOTENT
-        assert permit.verify is (None if now - seen <= permissions.VERIFY_AFTER_NS else "asker")
+        assert ambiguous_since is None or idempotency is not Idempotency.NOT_IDEMPOTENT
+        assert permit.verify is (None if now - seen <= permissions.VERIFY_AFTER_NS else "sink")
 
 
 OTHER_NODES = [
@@ -82,13 +79,13 @@
 
 
 @pytest.mark.parametrize("node, refusal", OTHER_NODES)
-def test_each_change_of_a_node_has_its_reason(node, refusal):
-    attempt = Attempt(1, pending(), 10, NODE, 0, timeout=TimerHandle(SECOND, 0, None))
-    assert permissions.permit_first_byte(attempt, node, conf(), 0).refusal is refusal
+def test_each_change_of_a_node_has_its_refusal(node, refusal):
+    attempt = Attempt(1, pending_request(), 10, NODE, 0, timeout=TimerHandle(SECOND, 0, None))
+    assert permissions.permit_first_byte(attempt, node, one_class_settings(), 0).refusal is refusal
 
 
 @given(st.integers(0, 200), st.integers(0, 200), st.integers(0, 200), st.booleans(), st.booleans())
-def test_a_request_is_started_within_its_bounds_or_told_why_not(open_, held, size, known, suspended):
+def test_request_starts_within_its_bounds_or_has_a_refusal(open_, held, size, known, suspended):
     bounds = Bounds(requests=100, buffered_bytes=200)
     refusal = permissions.permit_start(open_, held, size, bounds, known, suspended)
     room = open_ < 50 and held + size <= 100
@@ -98,7 +95,9 @@
 
 
 @given(st.sampled_from(CloseReason), st.integers(0, 2), st.integers(0, 2), st.integers(0, 2), st.booleans())
-def test_only_the_client_itself_costs_a_request_or_an_answer(reason, unanswered, unwritten, half, unread):
+def test_connection_with_open_work_is_closed_only_for_causes_of_its_client(
+    reason, unanswered, unwritten, half, unread
+):
     refusal = permissions.permit_close(reason, range(unanswered), unwritten, half, unread)
     owed = unanswered or unwritten or half or unread
     assert (refusal is None) is (reason in permissions.CAUSED_BY_CLIENT or not owed)
@@ -106,46 +105,8 @@
         assert refusal is CloseRefusal.REQUEST_UNANSWERED
 
 
-# The check behind it: each kind is provoked with the guard taken out.
-
-
-def begun(invariants, request, node=NODE, told=100 * MS, now=0):
-    invariants.check_first_byte(Attempt(1, request, 10, NODE, 0), node, conf(), told, now)
-    return set(invariants.counts)
-
-
-VIOLATIONS = {
-    Violation.SENT_AFTER_DISCONNECT: lambda i: begun(i, pending(is_complete=True)),
-    Violation.WAIT_TOO_LONG: lambda i: begun(
-        i, pending(), told=SECOND + permissions.VERIFY_AFTER_NS, now=200 * MS
-    ),
-    Violation.CONCURRENT_ATTEMPTS: lambda i: begun(i, pending(in_flight={0: 1, 1: 2})),
-    Violation.SENT_TO_DRAINING_NODE: lambda i: begun(i, pending(), replace(NODE, state=NodeState.DRAINING)),
-    Violation.DUPLICATE_RESPONSE: lambda i: i.check_response(True) or set(i.counts),
-    Violation.REQUEST_DROPPED: lambda i: i.check_close(1, False, True) or set(i.counts),
-    Violation.INPUT_DISCARDED: lambda i: i.check_close(0, True, True) or set(i.counts),
-}
-
-
-@pytest.mark.parametrize("kind", Violation)
-def test_each_violation_is_counted_when_nothing_guards(kind):
-    assert VIOLATIONS[kind](Invariants()) == {kind}
-
-
-def test_what_is_in_order_is_not_counted():
-    invariants = Invariants()
-    begun(invariants, pending())
-    invariants.check_response(False)
-    invariants.check_close(2, True, False)  # the client's own doing
-    invariants.check_close(0, False, True)
-    assert not invariants.counts
-
-
-# Nothing goes past it.
-
-
 def calls(name):
-    """Give the places in the program that call a method of this name, as file:function."""
+    """Return the places in the program that call a function of this name, as file:function."""
     found = set()
     for path in Path("runloft").rglob("*.py"):
         if path.parts[1] in ("lab", "config", "sharing"):
@@ -160,7 +121,7 @@
     return found
 
 
-ONE_WAY = {
+ONLY_CALLERS = {
     "Dispatch": {"attempts.py:_send_to_node"},
     "_send_to_node": {"attempts.py:send"},  # behind permissions.permit_send
     "permit_send": {"attempts.py:send"},
@@ -173,6 +134,6 @@
 }
 
 
-@pytest.mark.parametrize("name", ONE_WAY)
-def test_the_guard_is_the_one_way(name):
-    assert calls(name) == ONE_WAY[name]
+@pytest.mark.parametrize("name", ONLY_CALLERS)
+def test_permission_is_asked_on_the_only_path(name):
+    assert calls(name) == ONLY_CALLERS[name]
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_random_settings.py
@@ -255,5 +255,5 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(configs(), st.integers(0, 1 << 30))
-def test_the_rules_hold_under_any_customers_settings(raw, seed):
+def test_rules_hold_under_random_settings(raw, seed):
     World(raw, seed).run()
--- a/tests/core/test_start_times.py
+++ b/tests/core/test_start_times.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("off", [0, 5 * SECOND, -5 * SECOND, HOUR, -HOUR])
-def test_a_start_told_on_the_watch_is_known_whatever_the_wall_clock_says(off):
+def test_start_reported_as_a_change_is_known_whatever_the_wall_clock_says(off):
     """An hour ahead, a node that had just started counted as warm and was pushed over."""
     fleet = Fleet(off)
     fleet.core.endpoints.wall_clock_is_unreliable = bool(off)
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("kind", [ListKind.CACHED, ListKind.FULL])
-def test_a_clock_that_is_behind_leaves_no_node_cold_for_an_hour(kind):
+def test_wall_clock_behind_leaves_no_node_in_slow_start_for_an_hour(kind):
     fleet = Fleet(-HOUR)
     fleet.tell(kind, a=NOW - 600 * SECOND, b=NOW - 5 * HOUR)
     fleet.wait(COLD / SECOND + 1)
@@ -72,7 +72,7 @@
     assert fleet.age("a") >= COLD and fleet.age("b") >= COLD
 
 
-def test_a_clock_that_is_ahead_is_found_out_by_one_start_for_all_nodes():
+def test_wall_clock_ahead_is_corrected_for_all_nodes_by_one_start():
     """Nodes of the first list had just started too, and looked an hour old."""
     fleet = Fleet(HOUR)
     fleet.tell(ListKind.FULL, a=NOW - 2 * SECOND, b=NOW - 5 * HOUR, c=NOW - 2 * HOUR)
@@ -82,7 +82,7 @@
     assert fleet.age("b") >= HOUR
 
 
-def test_a_right_clock_and_a_late_list_leave_a_start_as_it_is():
+def test_late_list_with_a_correct_clock_does_not_change_a_start():
     fleet = Fleet()
     fleet.tell(ListKind.FULL, a=0, b=0)
     fleet.wait(20)
@@ -92,7 +92,7 @@
     assert fleet.age("a") == 6 * SECOND
 
 
-def test_one_entry_that_makes_no_sense_changes_no_other_nodes_start():
+def test_implausible_start_of_one_node_changes_no_other():
     fleet = Fleet()
     fleet.tell(ListKind.FULL, a=NOW + 1000 * HOUR, b=NOW - 5 * SECOND)
     assert fleet.age("b") == 5 * SECOND and fleet.age("a") == 0
@@ -102,7 +102,7 @@
 
 
 @given(st.integers(-2 * HOUR, 2 * HOUR), st.lists(st.integers(0, 20 * SECOND), min_size=1, max_size=6))
-def test_no_start_told_as_a_change_counts_as_older_than_the_message_before(off, gaps):
+def test_start_reported_as_a_change_is_not_older_than_the_previous_message(off, gaps):
     fleet = Fleet(off)
     fleet.core.endpoints.wall_clock_is_unreliable = True
     fleet.tell(ListKind.FULL, a=0, b=0)
@@ -113,7 +113,7 @@
         assert 0 <= fleet.age("a") <= fleet.now - before
 
 
-def test_a_clock_knows_that_the_wall_clock_was_stepped(monkeypatch):
+def test_clock_reports_a_step_of_the_wall_clock(monkeypatch):
     clock = Clock()
     assert abs(clock.error_ns()) < 100 * MS
     real = time.time_ns
--- a/tests/listeners/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -243,7 +243,7 @@
             await anyio.sleep(0.0003)
             scene.wait(5)
         await scene.until(lambda: len(scene.taken()) == 2)
-        assert len({event.ask.id for event in scene.posted}) == 2
+        assert len({event.spec.id for event in scene.posted}) == 2
         sock.close()
 
     play(story)
--- a/tests/listeners/test_told_wait.py
+++ b/tests/listeners/test_told_wait.py
@@ -26,7 +26,7 @@
 
 def left_ms(scene):
     """Give what each request was taken to have left, in the order of taking."""
-    return [event.ask.time_left_ns / MS for event in scene.posted if isinstance(event, RequestReceived)]
+    return [event.spec.time_left_ns / MS for event in scene.posted if isinstance(event, RequestReceived)]
 
 
 async def waited(scene, milliseconds):
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -17,7 +17,7 @@
 from runloft.discovery.watch import Watch
 from runloft.service.reload import Reload, changeable
 from runloft.upstream.links import NodeLink
-from tests.core.test_core import Turns
+from tests.support.core_harness import CoreHarness
 from tests.support.driver import MS, SECOND, Host, settings
 from tests.support.standins import Discovery, Program, RespNode, config, entry, until
 
@@ -133,13 +133,13 @@
 
 
 def test_new_settings_reach_the_module_and_what_is_open_goes_on():
-    turns = Turns()
-    sink, _ = turns.take([SendAttempt(1, 1)])
-    fresh, bounds = settings(max_attempts=1), replace(turns.core.bounds, requests=2)
-    assert turns.step(Reconfigured(fresh, bounds)) == []
-    assert isinstance(turns.script.told[-1], NewSettings) and turns.core.settings is fresh
-    assert turns.take()[1][0].reply == Shed()  # by the new bound
-    assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].sink is sink
+    harness = CoreHarness()
+    sink, _ = harness.receive([SendAttempt(1, 1)])
+    fresh, bounds = settings(max_attempts=1), replace(harness.core.bounds, requests=2)
+    assert harness.step(Reconfigured(fresh, bounds)) == []
+    assert isinstance(harness.scheduler.events[-1], NewSettings) and harness.core.settings is fresh
+    assert harness.receive()[1][0].reply == Shed()  # by the new bound
+    assert harness.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].sink is sink
 
 
 def test_the_module_keeps_what_it_learned_and_goes_by_the_new_figures():
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -19,7 +19,7 @@
 from runloft.decisions import contract
 from runloft.decisions.contract import AttemptOutcome, FailRequest, Idempotency, ListKind, ShedRequest
 from runloft.service.runner import FINISH_NS, Runner, wind_down
-from tests.core.test_core import Turns
+from tests.support.core_harness import CoreHarness
 from tests.support.driver import MS, SECOND, Host, request_class, settings
 
 KILL_NS = 700 * MS  # PROTOCOL: SIGKILL comes so long after the longest deadline, counted as 3 s at most
@@ -137,10 +137,10 @@
 
 
 def test_closing_is_told_to_the_module_and_its_answers_go_out():
-    turns = Turns()
-    sink, _ = turns.take([])
-    effects = turns.step(ShutdownStarted(), plan=[ShedRequest(1, SECOND)])
-    assert turns.script.told[-1] == contract.ShutdownStarted()
+    harness = CoreHarness()
+    sink, _ = harness.receive([])
+    effects = harness.step(ShutdownStarted(), actions=[ShedRequest(1, SECOND)])
+    assert harness.scheduler.events[-1] == contract.ShutdownStarted()
     assert effects == [SendResponse(sink, Shed(SECOND))]
 
 
