--- a/runloft/lab/scale/capacity_page/event_figures.py
+++ b/runloft/lab/scale/capacity_page/event_figures.py
@@ -49,7 +49,10 @@
             if event.name == name:
                 plays = by_sizes.setdefault(event.sizes, Plays(event.sizes, []))
                 plays.figures.append(event.figures)
-        return sorted(by_sizes.values(), key=lambda plays: _distance_from_day(plays.sizes))
+        return sorted(
+            by_sizes.values(),
+            key=lambda plays: (abs(plays.sizes.schedulers - DAY.schedulers), repr(plays.sizes)),
+        )
 
     def nearest_to_day(self, name: str, document: Document = Document.FULL) -> Plays | None:
         """Return an event's plays at the size nearest to the day's."""
@@ -86,7 +89,3 @@
             return ""
         verdict = f" {EXCEEDED}" if share > 1 else ""
         return f"{percentage(share)}{verdict} {Source.MEASURED}"
-
-
-def _distance_from_day(sizes: Sizes) -> tuple[int, str]:
-    return abs(sizes.schedulers - DAY.schedulers), repr(sizes)
--- a/runloft/lab/scale/capacity_page/protocol_comparison.py
+++ b/runloft/lab/scale/capacity_page/protocol_comparison.py
@@ -1,5 +1,7 @@
 """The table that sets the protocol before the present one beside it."""
 
+from collections.abc import Sequence
+
 from runloft.lab.scale.capacity_page.all_rows import ROWS
 from runloft.lab.scale.capacity_page.documents import Document
 from runloft.lab.scale.capacity_page.estimates import Estimate
@@ -16,7 +18,7 @@
 
 def protocol_comparison_table(rows: RowFigures, events: EventFigures) -> str:
     """Return the control plane's rows and events before and now."""
-    lines = [_row_cells(row, rows) for row in ROWS if row.document == Document.FULL]
+    lines: list[Sequence[str]] = [_row_cells(row, rows) for row in ROWS if row.document == Document.FULL]
     lines += [
         (
             event.title,
@@ -30,7 +32,7 @@
     return markdown_table(HEAD, lines)
 
 
-def _row_cells(row: Row, figures: RowFigures) -> tuple[str, str, str, str]:
+def _row_cells(row: Row, figures: RowFigures) -> Sequence[str]:
     before = figures.estimate(row, DAY, Document.BEFORE)
     now = figures.estimate(row, DAY, Document.FULL)
     ratio = ""
--- a/runloft/lab/scale/command_line.py
+++ b/runloft/lab/scale/command_line.py
@@ -55,10 +55,10 @@
 
 def _base(text: str) -> Sizes:
     base = Sizes()
-    for part in filter(None, text.split(",")):
-        variation = _variation(part)
+    for pair in filter(None, text.split(",")):
+        variation = _variation(pair)
         if len(variation.sizes) != 1:
-            raise UsageError(f"--base {part}: one size is wanted")
+            raise UsageError(f"--base {pair}: one size is wanted")
         base = resized(base, variation.dimension, variation.sizes[0])
     return base
 
--- a/runloft/lab/scale/engine.py
+++ b/runloft/lab/scale/engine.py
@@ -29,13 +29,13 @@
 
 def versions() -> dict[str, str]:
     """Return the versions of what a run was made with."""
-    found = {"runloft": __version__, "python": platform.python_version()}
+    installed = {"runloft": __version__, "python": platform.python_version()}
     for package in REPORTED_PACKAGES:
         try:
-            found[package] = version(package)
+            installed[package] = version(package)
         except PackageNotFoundError:
-            found[package] = "missing"
-    return found
+            installed[package] = "missing"
+    return installed
 
 
 @dataclass
@@ -70,7 +70,7 @@
                 group.start_soon(self._enforce_deadline, scope)
                 await self._measure_all()
                 group.cancel_scope.cancel()
-        self._mark_missing()
+        self._add_missing()
         return self.result()
 
     async def _handle_signals(self, scope: anyio.CancelScope) -> None:
@@ -86,13 +86,13 @@
         scope.cancel()
 
     async def _measure_all(self) -> None:
-        """Measure points and events; a child's death ends it, any other failure is marked."""
+        """Measure points and events; a child's death ends it, any other failure is recorded."""
         for point in self.plan.points():
             self.plan.setup.progress(point.title)
             try:
                 measured = await self._measure(point)
             except (Exception, ExceptionGroup) as error:
-                if self._mark_failed(point.title, error):
+                if self._add_failure(point.title, error):
                     return
             else:
                 self.points.append(
@@ -102,7 +102,7 @@
             try:
                 await self._play_events(repeat)
             except (Exception, ExceptionGroup) as error:
-                if self._mark_failed(event_title("events", repeat), error):
+                if self._add_failure(event_title("events", repeat), error):
                     return
 
     async def _measure(self, point: PlannedPoint) -> MeasuredPoint:
@@ -150,8 +150,8 @@
         figures_text = ", ".join(f"{key} {value:.4g}" for key, value in figures.items())
         self.plan.setup.progress(f"{name}: {figures_text}")
 
-    def _mark_failed(self, title: str, error: BaseException) -> bool:
-        """Mark what failed; return True where a child died, after which nothing more is measured."""
+    def _add_failure(self, title: str, error: BaseException) -> bool:
+        """Record what failed; return True where a child died, after which nothing more is measured."""
         errors = leaf_errors(error)
         reason = "; ".join(f"{type(one).__name__}: {one}" for one in errors)
         self.missing.append(f"{title}: {reason}")
@@ -159,20 +159,20 @@
         self.plan.setup.progress(f"{title} failed: {reason}")
         return any(isinstance(one, ChildError) for one in errors)
 
-    def _mark_missing(self) -> None:
-        """Mark what was not measured because the run was broken off."""
+    def _add_missing(self) -> None:
+        """Record what was not measured because the run was broken off."""
         measured = {(point.vary, point.sizes, point.repeat) for point in self.points}
         for point in self.plan.points():
             if (point.dimension, point.sizes, point.repeat) not in measured:
-                self._mark_unless_marked(point.title)
+                self._add_missing_once(point.title)
         played = {(event.name, event.repeat) for event in self.events}
         for name in self.plan.events:
             for repeat in range(self.plan.repeats):
                 if (name, repeat) not in played:
-                    self._mark_unless_marked(event_title(name, repeat))
+                    self._add_missing_once(event_title(name, repeat))
 
-    def _mark_unless_marked(self, title: str) -> None:
-        if not any(marked.startswith(f"{title}:") for marked in self.missing):
+    def _add_missing_once(self, title: str) -> None:
+        if not any(earlier.startswith(f"{title}:") for earlier in self.missing):
             self.missing.append(f"{title}: {self.stop_reason}")
 
 
--- a/runloft/lab/scale/hollow_role.py
+++ b/runloft/lab/scale/hollow_role.py
@@ -51,6 +51,18 @@
 
     async def carry_out(self, command: Command) -> Answer:
         """Carry out a command."""
+        match command:
+            case MakeSchedulers() | StartSchedulers() | StartAgreement() | StopSchedulers():
+                return await self._change(command)
+            case AwaitNode(uid=uid):
+                return self._await_node(uid)
+            case CountNodes() | ReadStatus() | ReadGenerationTimes() | ReadNodeTimes():
+                return self._report(command)
+        return await super().carry_out(command)
+
+    async def _change(
+        self, command: MakeSchedulers | StartSchedulers | StartAgreement | StopSchedulers
+    ) -> Answer:
         match command:
             case MakeSchedulers():
                 return await self._make(command)
@@ -59,14 +71,7 @@
             case StartAgreement():
                 return await self._start_agreement()
             case StopSchedulers():
-                await self._stop(command)
-                return Done()
-            case AwaitNode(uid=uid):
-                self._await_node(uid)
-                return Done()
-            case CountNodes() | ReadStatus() | ReadGenerationTimes() | ReadNodeTimes():
-                return self._report(command)
-        return await super().carry_out(command)
+                return await self._stop(command)
 
     def _report(self, command: CountNodes | ReadStatus | ReadGenerationTimes | ReadNodeTimes) -> Answer:
         match command:
@@ -123,7 +128,7 @@
             await _yield_after_batch(index)
         return Moment(time.monotonic())
 
-    async def _stop(self, command: StopSchedulers) -> None:
+    async def _stop(self, command: StopSchedulers) -> Done:
         stopped = {name: self.stopped[name] for name in command.names if name in self.stopped}
         async with anyio.create_task_group() as group:
             for name in stopped:
@@ -136,6 +141,7 @@
                 directory = Path(scheduler.document["agreement"]["directory"])
                 for path in directory.glob(f"{name}.*"):
                     path.unlink()
+        return Done()
 
     def _count_nodes(self) -> NodeCount:
         runners = [scheduler.runner for scheduler in self.running.values()]
@@ -154,10 +160,11 @@
         times = {name: scheduler.generation_time(above) for name, scheduler in self.running.items()}
         return Times({name: at for name, at in times.items() if at is not None})
 
-    def _await_node(self, uid: str) -> None:
+    def _await_node(self, uid: str) -> Done:
         for scheduler in self.running.values():
             if scheduler.runner:
                 scheduler.runner.await_node(uid)
+        return Done()
 
     def _node_times(self) -> Times:
         runners = {name: scheduler.runner for name, scheduler in self.running.items()}
--- a/runloft/lab/scale/rollout_tool.py
+++ b/runloft/lab/scale/rollout_tool.py
@@ -18,11 +18,11 @@
 MS_PER_S = 1000
 
 
-def changed(number: int, own: Content) -> Callable[[Content | None], Sequence[Content]]:
+def changed(number: int, own_content: Content) -> Callable[[Content | None], Sequence[Content]]:
     """Return a plan of what was never committed before: with each number, all plans have other parts."""
 
     def plan(committed: Content | None) -> Sequence[Content]:
-        base = committed or own
+        base = committed or own_content
         plans = {name: {**row, "Parts": 2.0 + number / 1024} for name, row in base.plans.items()}
         return [Content(base.classes, plans, base.volumes, base.shared)]
 
--- a/runloft/lab/soak/attempt_oracles.py
+++ b/runloft/lab/soak/attempt_oracles.py
@@ -33,9 +33,9 @@
 def _check_attempt(
     request: RequestRecord, attempt: AttemptRecord, number: int, slack_s: float
 ) -> Iterator[Violation]:
-    has_left = request.outcome is RequestOutcome.LEFT
+    has_disconnected = request.outcome is RequestOutcome.DISCONNECTED
     late_s = attempt.first_byte_at - request.ended_at
-    if has_left and attempt.first_byte_at > request.ended_at + DISCONNECT_GRACE_S + slack_s:
+    if has_disconnected and attempt.first_byte_at > request.ended_at + DISCONNECT_GRACE_S + slack_s:
         yield Violation(Rule.SENT_AFTER_DISCONNECT, request.id, f"{late_s:.3f} s, attempt {number}")
     remaining_s = request.expires_at - attempt.first_byte_at
     if attempt.deadline_s > remaining_s + DEADLINE_SLACK_S + slack_s:
--- a/runloft/lab/soak/clients.py
+++ b/runloft/lab/soak/clients.py
@@ -181,7 +181,7 @@
         await anyio.sleep(self.random.uniform(0.0, MAX_LEAVE_AFTER_S))
         await self._disconnect(with_reset=self.random.random() < RESET_PROBABILITY)
         for request in requests:
-            request.outcome = RequestOutcome.LEFT
+            request.outcome = RequestOutcome.DISCONNECTED
             request.ended_at = time.monotonic()
 
     async def _send_half_command(self) -> None:
--- a/runloft/lab/soak/records.py
+++ b/runloft/lab/soak/records.py
@@ -16,7 +16,7 @@
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    LEFT = "left"  # the client closed first
+    DISCONNECTED = "left"  # the client closed first
     CLOSED = "closed"  # the connection ended without an answer
     SILENT = "silent"  # no answer came, and the connection stayed
     NOT_TAKEN = "not taken"  # nothing listened
--- a/runloft/lab/soak/request_oracles.py
+++ b/runloft/lab/soak/request_oracles.py
@@ -8,7 +8,7 @@
 
 KILL_MARGIN_S = 0.3  # between what was done to a process and what its clients see of it
 ANSWER_SLACK_AROUND_S = 2.0
-OUTCOMES_WITHOUT_ANSWER = (RequestOutcome.LEFT, RequestOutcome.NOT_TAKEN)
+OUTCOMES_WITHOUT_ANSWER = (RequestOutcome.DISCONNECTED, RequestOutcome.NOT_TAKEN)
 ENDED_PROCESS = (ProcessEventKind.KILLED, ProcessEventKind.NOT_READY)
 SHOWN_VALUE_BYTES = 40
 
--- a/tests/lab/soak/test_oracles.py
+++ b/tests/lab/soak/test_oracles.py
@@ -71,7 +71,7 @@
     "foreign value": {"requests": [request(value=b"00000000000000bb s-1")]},
     "half a command": {"requests": [request(id="half", class_name="half", ended_at=104.0)]},
     "sent after its client left": {
-        "requests": [request(outcome=RequestOutcome.LEFT, ended_at=100.0)],
+        "requests": [request(outcome=RequestOutcome.DISCONNECTED, ended_at=100.0)],
         "attempts": [attempt(100.13)],
     },
     "told wait": {"requests": [request()], "attempts": [attempt(deadline_s=1.1)]},
