--- a/runloft/__init__.py
+++ b/runloft/__init__.py
@@ -4,8 +4,8 @@
 
 __version__ = "0.2.0"
 
-# Guards the start and the memory of ``serve``: structlog loads rich wherever it is installed, 7 MB of
-# it, and nothing here logs by it.  The tool's tables load it for themselves.
+# Prevents structlog from loading rich, wherever that is installed: 7 MB and a slower start of ``serve``,
+# while nothing here logs by it.  The tool's tables import it themselves.
 if "structlog" not in sys.modules and "rich" not in sys.modules:
     sys.modules["rich"] = None  # type: ignore[assignment]
     import structlog as structlog
--- a/runloft/__main__.py
+++ b/runloft/__main__.py
@@ -4,7 +4,7 @@
 import sys
 
 if sys.argv[1:2] == ["serve"]:
-    # Guards the start: a reload that comes while all this is loaded would end the program; it waits.
+    # Prevents a reload that comes while all this is loaded from ending the program: it stays pending.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
 
 from runloft.cli import main  # takes the most of the start
--- a/runloft/cli.py
+++ b/runloft/cli.py
@@ -1,154 +1,150 @@
-"""The command line."""
+"""The command line: each sub-command in a function, which loads no more than it needs."""
 
 import argparse
 import gc
 import logging
-import os
-import signal
 import sys
 import time
 from collections.abc import Callable, Sequence
 
-import anyio
 import structlog
 
 from runloft import __version__
+from runloft.arguments import build_parser
 from runloft.config.faults import ConfigError
 from runloft.config.settings import Config, UnreadableConfigError, load_config
 from runloft.core.trace import trace
-from runloft.service.runner import serve
-
-READ_TRIES, READ_AGAIN_S = 40, 0.05  # of a configuration that can't be read for a moment
-
-
-def parser(tools: bool = True) -> argparse.ArgumentParser:
-    """Describe the sub-commands; without the tools, whose loading would only delay a scheduler's start."""
-    top = argparse.ArgumentParser(prog="runloft", description="A host-side I/O scheduler.")
-    commands = top.add_subparsers(dest="command", required=True)
-    run = commands.add_parser("serve", help="run one scheduler")
-    run.add_argument("--config", default=os.environ.get("ROUTER_CONFIG"), help="default: $ROUTER_CONFIG")
-    run.add_argument("--verbose", action="store_true", help="log at debug level")
-    if not tools:
-        return top
-    from runloft.config import commands as commands_of_config
-
-    commands.add_parser("version", help="print versions")
-    config = commands.add_parser("config", help="write, check, explain or compare configurations")
-    actions = config.add_subparsers(dest="action", required=True)
-    commands_of_config.add_parsers(actions)
-    commands_of_config.add_rolling_parsers(actions)
-    lab = commands.add_parser("lab", help="play scenarios on loopback, with stand-ins alone")
-    actions = lab.add_subparsers(dest="action", required=True)
-    play = actions.add_parser("run", help="run a scenario and print what each volume got")
-    play.add_argument("scenario", metavar="SCENARIO")
-    play.add_argument("--seed", type=int, default=1, help="of what is sent when (default 1)")
-    play.add_argument("--plot", metavar="FILE", help="draw service over time (PNG, SVG)")
-    play.add_argument("--json", action="store_true", help="print as JSON")
-    rollouts = actions.add_parser("rollouts", help="measure roll-outs over sidecars and lost replies")
-    rollouts.add_argument("--sidecars", default="3,10,30", metavar="N,...")
-    rollouts.add_argument("--lost", default="0,0.5", metavar="PART,...", help="of the store's replies")
-    rollouts.add_argument("--lease-ms", type=float, default=1000.0)
-    rollouts.add_argument("--seed", type=int, default=1)
-    from runloft.lab.scale import options as options_of_scale
-
-    options_of_scale.add_parser(actions)
-    options_of_scale.add_capacity_parser(actions)
-    from runloft.lab.soak import options as options_of_soak
-
-    options_of_soak.add_parser(actions)
-    return top
+from runloft.service.errors import StartupError
+from runloft.service.server import run_server
+from runloft.service.signals import defer_reload, exit_on_sigterm
+
+READ_RETRIES = 40  # of a configuration that can't be read for a moment
+READ_RETRY_S = 0.05
+AGREEMENT_ACTIONS = ("roll", "status", "forget")
+DEPENDENCIES = ("anyio", "h11", "redis", "sortedcontainers", "structlog")
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run a sub-command; 1 with lines on standard error where the configuration is at fault."""
+    """Run a sub-command and return the process's exit code; faults go to standard error."""
     arguments = sys.argv[1:] if argv is None else list(argv)
-    options = parser(tools=arguments[:1] != ["serve"]).parse_args(arguments)
-    if options.command == "version":
-        from importlib.metadata import PackageNotFoundError, version
+    options = build_parser(with_tools=arguments[:1] != ["serve"]).parse_args(arguments)
+    match options.command:
+        case "version":
+            return print_versions()
+        case "config":
+            return run_config(options)
+        case "lab":
+            return run_lab(options)
+    return run_serve(options)
+
+
+def print_versions() -> int:
+    """Print the versions of the program and of the packages that it uses."""
+    from importlib.metadata import PackageNotFoundError, version
+
+    print(f"runloft {__version__}")
+    for name in DEPENDENCIES:
+        try:
+            print(f"{name} {version(name)}")
+        except PackageNotFoundError:
+            print(f"{name} missing")
+    return 0
 
-        print(f"runloft {__version__}")
-        for name in ("anyio", "h11", "redis", "sortedcontainers", "structlog"):
-            try:
-                print(f"{name} {version(name)}")
-            except PackageNotFoundError:
-                print(f"{name} missing")
-        return 0
-    if options.command == "config":
-        if options.action not in ("roll", "status", "forget"):
-            from runloft.config import commands as commands_of_config
-
-            return commands_of_config.run(options)
-        # Loaded here: ``serve`` on the platform needs no client of a store.
-        from runloft.agreement import commands as commands_of_rollouts
-
-        # What is told on the way goes beside what is printed, which may be JSON.
-        structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))
-        return commands_of_rollouts.run(options)
-    if options.command == "lab":
-        return _lab(options)
-    level = logging.DEBUG if options.verbose else logging.INFO
-    trace.enabled = options.verbose
-    structlog.configure(
-        wrapper_class=structlog.make_filtering_bound_logger(level),
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
-        cache_logger_on_first_use=True,
-    )
-    # Guards the start: a reload that comes before there is anything to reload waits until ``serve`` heeds it.
-    signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))  # before it serves there is nothing to wind down
+
+def run_config(options: argparse.Namespace) -> int:
+    """Run an action on configuration files, or one on the agreement's store."""
+    if options.action not in AGREEMENT_ACTIONS:
+        from runloft.config import commands as config_commands
+
+        return config_commands.run(options)
+    # Imported here: `serve` on the platform needs no client of a store.
+    from runloft.agreement import commands as agreement_commands
+
+    # Logs go to standard error: what is printed may be JSON.
+    structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))
+    return agreement_commands.run(options)
+
+
+def run_lab(options: argparse.Namespace) -> int:
+    """Run an action of the laboratory; return 2 where a package is missing that it needs."""
+    try:
+        run = _load_lab_action(options.action)
+    except ModuleNotFoundError as error:
+        print(f"runloft: {error.name} is missing: pip install -r requirements-tools.txt", file=sys.stderr)
+        return 2
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
+    return run(options)
+
+
+def _load_lab_action(action: str) -> Callable[[argparse.Namespace], int]:
+    """Import an action of the laboratory: nothing else needs its modules."""
+    from runloft.lab import commands, rollouts
+
+    match action:
+        case "scale":
+            from runloft.lab.scale import commands as scale
+
+            return scale.run
+        case "capacity":
+            from runloft.lab.scale import capacity
+
+            return capacity.run
+        case "soak":
+            from runloft.lab.soak import commands as soak
+
+            return soak.run
+        case "rollouts":
+            return rollouts.run
+    return commands.run
+
+
+def run_serve(options: argparse.Namespace) -> int:
+    """Run one scheduler; return 1 where it can't start, with a line for each fault."""
+    configure_logging(options.verbose)
+    defer_reload()
+    exit_on_sigterm()
     if not options.config:
         print("runloft: no configuration: give --config or set ROUTER_CONFIG", file=sys.stderr)
         return 1
     try:
         config = load_when_readable(options.config)
     except ConfigError as error:
-        return _faults(error)
-    # What is loaded by now stays: collections in the middle of a turn need not walk it.
+        for fault in error.faults:
+            print(f"runloft: {fault}", file=sys.stderr)
+        return 1
+    # What is loaded by now stays: garbage collections need not walk it while requests wait.
     gc.collect()
     gc.freeze()
-    anyio.run(serve, config, options.config)
+    try:
+        run_server(config, options.config)
+    except StartupError as error:
+        print(f"runloft: {options.config}: {error}", file=sys.stderr)
+        return 1
     return 0
 
 
+def configure_logging(verbose: bool) -> None:
+    """Log to standard error, at debug level with traces of requests where ``verbose`` is set."""
+    trace.enabled = verbose
+    structlog.configure(
+        wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG if verbose else logging.INFO),
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+        cache_logger_on_first_use=True,
+    )
+
+
 def load_when_readable(path: str, sleep: Callable[[float], None] = time.sleep) -> Config:
     """Load a configuration; a file that can't be read for a moment is read again, for 2 s at most.
 
-    Raises ConfigError where it is at fault, or could not be read to the end.
+    Raise ConfigError where it is at fault, or could not be read to the end.
     """
-    for _ in range(READ_TRIES):
-        try:
-            return load_config(path)
-        except UnreadableConfigError as error:
-            structlog.get_logger().warning("configuration can't be read yet", faults=error.faults)
-            sleep(READ_AGAIN_S)
-    return load_config(path)
-
-
-def _lab(options: argparse.Namespace) -> int:
     try:
-        # Loaded here: nothing but the laboratory needs it.
-        from runloft.lab import commands, rollouts
-
-        if options.action == "scale":
-            from runloft.lab.scale import commands as scale
-        if options.action == "capacity":
-            from runloft.lab.scale import capacity
-        if options.action == "soak":
-            from runloft.lab.soak import commands as soak
-    except ModuleNotFoundError as error:
-        print(f"runloft: {error.name} is missing: pip install -r requirements-tools.txt", file=sys.stderr)
-        return 2
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
-    if options.action == "scale":
-        return scale.run(options)
-    if options.action == "capacity":
-        return capacity.run(options)
-    if options.action == "soak":
-        return soak.run(options)
-    return rollouts.run(options) if options.action == "rollouts" else commands.run(options)
-
-
-def _faults(error: ConfigError) -> int:
-    for fault in error.faults:
-        print(f"runloft: {fault}", file=sys.stderr)
-    return 1
+        for _ in range(READ_RETRIES):
+            try:
+                return load_config(path)
+            except UnreadableConfigError as error:
+                structlog.get_logger().warning("configuration can't be read yet", faults=error.faults)
+                sleep(READ_RETRY_S)
+        return load_config(path)
+    except RecursionError as error:
+        raise ConfigError([f"{path}: nested too deeply"]) from error
--- a/runloft/lab/scale/hollow.py
+++ b/runloft/lab/scale/hollow.py
@@ -21,8 +21,9 @@
 from runloft.decisions.contract import NodeState
 from runloft.discovery.watch import Watch
 from runloft.lab.scale.child import Role
+from runloft.service.clock import MonotonicClock
 from runloft.service.reload import Reload
-from runloft.service.runner import Clock, Runner
+from runloft.service.runner import Runner
 
 LOOK_S = 0.1  # between looks at what a scheduler goes by, beside what it tells by itself
 BATCH = 25  # are begun before those that run are let on
@@ -70,9 +71,9 @@
 
     awaited, had_at = "", 0.0
 
-    def _turn(self) -> None:
+    def _process_events(self) -> None:
         news = any(isinstance(event, NodeListUpdate) for event in self.events)
-        super()._turn()
+        super()._process_events()
         if news and self.awaited and not self.had_at and self.has(self.awaited):
             self.had_at = time.monotonic()
 
@@ -121,7 +122,7 @@
         if now_at and (not self.changes or self.changes[-1][0] != now_at):
             self.changes.append((now_at, time.monotonic()))
 
-    async def run(self, clock: Clock, agree: bool) -> None:
+    async def run(self, clock: MonotonicClock, agree: bool) -> None:
         """Serve until it is killed."""
         config = own_config(self.raw)
         if agree:
@@ -144,7 +145,7 @@
         finally:
             await self._closed()
 
-    def _agreeing(self, config: Config, clock: Clock) -> None:
+    def _agreeing(self, config: Config, clock: MonotonicClock) -> None:
         assert config.agreement
         self.agreeing = Agreeing(config.agreement, config, clock)
         self.agreeing.take = self._take
@@ -152,14 +153,14 @@
     def _take(self, config: Config) -> None:
         self.look()
         if self.reload:
-            self.reload.take(config)
+            self.reload.apply(config)
 
-    def agree(self, clock: Clock) -> None:
+    def agree(self, clock: MonotonicClock) -> None:
         """Begin to agree, where it served without."""
         assert self.reload and self.group
         self._agreeing(self.reload.config, clock)
         assert self.agreeing
-        self.reload.take(self.agreeing.start())
+        self.reload.apply(self.agreeing.start())
         self.group.start_soon(self.agreeing.run)
 
     async def _closed(self) -> None:
@@ -181,7 +182,7 @@
 
     def __init__(self, group: anyio.abc.TaskGroup) -> None:
         super().__init__(group)
-        self.clock = Clock()
+        self.clock = MonotonicClock()
         self.all: dict[str, Hollow] = {}
         self.alive: dict[str, anyio.Event] = {}  # set once it is gone
         group.start_soon(self._look)
--- a/runloft/lab/scale/roles.py
+++ b/runloft/lab/scale/roles.py
@@ -15,7 +15,7 @@
 from runloft.lab.scale.records import Sizes
 from runloft.listeners.accepting import CLIENT_PART, CROWD_PART
 from runloft.listeners.resp import CROWD_NS, IDLE_NS
-from runloft.service.admin import MOST_SHOWN
+from runloft.service.metrics import MAX_ACCOUNTS_SHOWN
 from runloft.upstream.links import IDLE_PART, OTHERS
 
 REGIONS, ZONES = 2, 7
@@ -280,7 +280,7 @@
     Held("scheduler, agreement", "store connections at most", 2, None, HEARTBEAT, "constant"),
     Held("scheduler, accounts", "volumes by name at most", MOST_VOLUMES, None,
          "accounts/ledger.py: bounded table, the rest in one", "constant"),
-    Held("scheduler, metrics", "volumes shown at most", MOST_SHOWN, None, SCRAPE, "constant"),
+    Held("scheduler, metrics", "volumes shown at most", MAX_ACCOUNTS_SHOWN, None, SCRAPE, "constant"),
     Held("discovery", "watches", 1, "schedulers", WATCH, "in schedulers"),
     Held("discovery", "nodes", 1, "nodes", WATCH, "in nodes"),
     Held("store", "leases", 1, "schedulers", HEARTBEAT, "in schedulers"),
--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -1,10 +1,10 @@
-"""Reload: a new configuration file is read, checked, and taken over as far as that goes."""
+"""Reload: a new configuration is read, checked, and applied as far as a running scheduler can."""
 
 import time
 from collections.abc import Callable, Iterable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from functools import partial
-from typing import Any, Protocol
+from typing import Any
 
 import structlog
 
@@ -14,20 +14,22 @@
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.decisions.contract import ListKind
 from runloft.discovery.watch import Watch, listed
+from runloft.service.interfaces import Configurable
 
 log = structlog.get_logger()
-READ_TRIES, READ_AGAIN_NS = 30, 100_000_000  # of a file that can't be read: what it says counts 4 s later
+READ_RETRIES = 30  # of a file that can't be read: what it says counts 4 s later
+READ_RETRY_NS = 100_000_000
+FIXED_KEYS = ("name", "listen")
+FIXED_OBJECT_KEYS = ("listen", "store")
 
 
-class Configured(Protocol):
-    """A part whose limits or settings may change while it runs."""
-
-    def configure(self, config: Config) -> None:
-        """Go by this configuration from now on."""
+def keep_own_settings(config: Config) -> Config:
+    """Return the configuration unchanged: no agreement replaces what the file says."""
+    return config
 
 
 class Reload:
-    """What is to happen on SIGHUP, as often as it comes."""
+    """Reads the configuration file again on each call, and applies configurations."""
 
     def __init__(
         self,
@@ -35,88 +37,117 @@
         config: Config,
         watch: Watch,
         post: Callable[[Event], None],
-        parts: Iterable[Configured],
-        agreed: Callable[[Config], Config] = lambda config: config,
+        components: Iterable[Configurable],
+        apply_agreement: Callable[[Config], Config] = keep_own_settings,
         *,
-        deadlines: TimerQueue | None = None,
+        timers: TimerQueue | None = None,
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        self.path, self.config, self.watch, self.post, self.parts = path, config, watch, post, parts
-        self.deadlines, self.clock = deadlines, clock  # where a reading that failed is tried again
-        self._again: TimerHandle | None = None
-        self.agreed = agreed  # puts what is in force over all sidecars in place of what the file says
+        self.path = path
+        self.config = config
+        self.watch = watch
+        self.post = post
+        self.components = components
+        self.apply_agreement = apply_agreement  # puts what all sidecars agreed on in place of the file's
+        self.timers = timers  # for retries of a read that failed; without it there are none
+        self.clock = clock
+        self._retry_timer: TimerHandle | None = None
 
     def __call__(self) -> None:
-        """Read the file again; one that can't be served changes nothing."""
-        self._read(READ_TRIES)
-
-    def _read(self, tries: int) -> None:
-        """Read it; where it can't be read for a moment, so many more times."""
-        if self.deadlines is not None:
-            self.deadlines.discard(self._again)
-        self._again = None
+        """Read the file again; one that is at fault changes nothing."""
+        self._read(READ_RETRIES)
+
+    def _read(self, retries: int) -> None:
+        """Read and apply the file; one that can't be read for a moment is read again later."""
+        if self.timers is not None:
+            self.timers.discard(self._retry_timer)
+        self._retry_timer = None
         if self.path is None:
-            log.warning("reload passed over: the configuration came from no file")
+            log.warning("reload ignored: the configuration came from no file")
             return
         try:
-            fresh = load_config(self.path)
+            config = load_config(self.path)
         except UnreadableConfigError as error:
-            log.warning("reload waits: the file can't be read", faults=error.faults, tries_left=tries)
-            if tries and self.deadlines is not None:
-                again = partial(self._read, tries - 1)
-                self._again = self.deadlines.add(self.clock() + READ_AGAIN_NS, again)
+            log.warning("reload postponed: the file can't be read", faults=error.faults, retries_left=retries)
+            self._retry_later(retries)
             return
         except ConfigError as error:
             log.error("reload failed, the old configuration stands", codes=error.codes, faults=error.faults)
             return
-        except Exception:  # guards the program: no file is worth its end
+        except Exception:  # no file may end a scheduler that serves
             log.exception("reload failed, the old configuration stands")
             return
-        self.take(self.agreed(fresh))
+        self.apply(self.apply_agreement(config))
         log.info("reloaded", discovery="{}:{}".format(*self.config.discovery), rev=self.watch.rev)
 
-    def take(self, fresh: Config) -> None:
-        """Go by this configuration, as far as a running program can."""
-        fresh, waiting = changeable(self.config, fresh)
-        if waiting:
-            log.warning("some changes need a restart", keys=waiting)
-        self.watch.zones = fresh.zones
-        self.watch.move(fresh.discovery)
-        rev = fresh.known.get("rev")
-        if isinstance(rev, int) and rev > self.watch.rev:  # the file knows more than the watch has told
-            self.watch.rev = rev
-            self.post(listed(fresh.known, fresh.zones, ListKind.FULL))
+    def _retry_later(self, retries: int) -> None:
+        if retries and self.timers is not None:
+            retry = partial(self._read, retries - 1)
+            self._retry_timer = self.timers.add(self.clock() + READ_RETRY_NS, retry)
+
+    def apply(self, requested: Config) -> None:
+        """Apply a configuration, except for the keys that only a restart can change."""
+        change = applicable_change(self.config, requested)
+        if change.needs_restart:
+            log.warning("some changes need a restart", keys=change.needs_restart)
+        config = change.config
+        self._update_watch(config)
         old = self.config
-        if (fresh.settings, fresh.bounds, fresh.held) != (old.settings, old.bounds, old.held):
-            self.post(Reconfigured(fresh.settings, fresh.bounds, fresh.held))
-        for part in self.parts:
-            part.configure(fresh)
-        self.config = fresh
-
-
-def changeable(old: Config, new: Config) -> tuple[Config, list[str]]:
-    """Give the new configuration less what can't change in a running program, and the keys of that."""
-    kept: dict[str, Any] = {}
-    waiting = []
-    for key in ("name", "listen"):
+        if (config.settings, config.bounds, config.held) != (old.settings, old.bounds, old.held):
+            self.post(Reconfigured(config.settings, config.bounds, config.held))
+        for component in self.components:
+            component.configure(config)
+        self.config = config
+
+    def _update_watch(self, config: Config) -> None:
+        self.watch.zones = config.zones
+        self.watch.move(config.discovery)
+        rev = config.known.get("rev")
+        if isinstance(rev, int) and rev > self.watch.rev:  # the file is newer than what the watch has sent
+            self.watch.rev = rev
+            self.post(listed(config.known, config.zones, ListKind.FULL))
+
+
+@dataclass(frozen=True, slots=True)
+class ApplicableChange:
+    """What a running scheduler can apply of a configuration, and the keys that have to wait for a restart."""
+
+    config: Config
+    needs_restart: list[str]
+
+
+def applicable_change(old: Config, new: Config) -> ApplicableChange:
+    """Return the new configuration with the old values of what can't change in a running scheduler."""
+    unchanged: dict[str, Any] = {}
+    needs_restart = []
+    for key in FIXED_KEYS:
         if getattr(old, key) != getattr(new, key):
-            kept[key] = getattr(old, key)
-            waiting.append(key)
-    # Open requests and learned state go by the numbers of classes and plans: more may come, none may move.
-    known = len(old.class_names), len(old.plan_names)
-    if (new.class_names[: known[0]], new.plan_names[: known[1]]) != (old.class_names, old.plan_names):
-        kept |= {"settings": old.settings, "class_names": old.class_names, "plan_names": old.plan_names}
-        kept["objects"] = old.objects
-        waiting.append("settings")
+            unchanged[key] = getattr(old, key)
+            needs_restart.append(key)
+    if not _extends_names(old, new):
+        unchanged |= {
+            "settings": old.settings,
+            "class_names": old.class_names,
+            "plan_names": old.plan_names,
+            "objects": old.objects,
+        }
+        needs_restart.append("settings")
     elif (old.objects is None) != (new.objects is None):
-        kept["objects"] = old.objects
-        waiting.append("objects")
+        unchanged["objects"] = old.objects
+        needs_restart.append("objects")
     elif old.objects and new.objects:
         fixed = {
             key: getattr(old.objects, key)
-            for key in ("listen", "store")
+            for key in FIXED_OBJECT_KEYS
             if getattr(old.objects, key) != getattr(new.objects, key)
         }
-        kept["objects"] = replace(new.objects, **fixed)
-        waiting += [f"objects.{key}" for key in fixed]
-    return replace(new, **kept), waiting
+        unchanged["objects"] = replace(new.objects, **fixed)
+        needs_restart += [f"objects.{key}" for key in fixed]
+    return ApplicableChange(replace(new, **unchanged), needs_restart)
+
+
+def _extends_names(old: Config, new: Config) -> bool:
+    """Return whether all classes and plans keep their numbers, by which requests and learned state go."""
+    class_names = new.class_names[: len(old.class_names)]
+    plan_names = new.plan_names[: len(old.plan_names)]
+    return (class_names, plan_names) == (old.class_names, old.plan_names)
--- /dev/null
+++ b/runloft/service/server.py
@@ -0,0 +1,266 @@
+"""The scheduler process: what it is made of, its start and its end."""
+
+import signal
+from collections.abc import AsyncIterator, Callable
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING
+
+import anyio
+import structlog
+
+from runloft.config.settings import Config, ObjectSettings
+from runloft.core.counters import COUNTERS
+from runloft.core.invariants import INVARIANTS
+from runloft.core.model import NodeUpdate
+from runloft.core.reducer import Core
+from runloft.core.timers import TimerQueue
+from runloft.decisions.contract import ListKind
+from runloft.discovery.watch import Watch, listed
+from runloft.listeners.resp import RespFront
+from runloft.net.sockets import listening_when_possible
+from runloft.service.clock import MonotonicClock
+from runloft.service.errors import (
+    ListenError,
+    SystemResourceError,
+    packages_required_by,
+    value_checked_by_use,
+)
+from runloft.service.interfaces import Configurable, Listener, ListeningEndpoint
+from runloft.service.reload import Reload
+from runloft.service.runner import Runner
+from runloft.service.shutdown import graceful_shutdown
+from runloft.service.signals import handle_signals, received_signals
+from runloft.upstream.links import Connection, NodeLink, RespConnection
+
+if TYPE_CHECKING:
+    from runloft.agreement.client import Agreeing
+    from runloft.service.admin import AdminServer
+    from runloft.sharing.places import SharedStore
+
+log = structlog.get_logger()
+
+
+@dataclass(slots=True)
+class StartProgress:
+    """How far a start has come."""
+
+    is_complete: bool = False
+
+
+def run_server(config: Config, config_path: str | None = None) -> None:
+    """Run one scheduler in an event loop of its own, until it has shut down gracefully.
+
+    Raise StartupError where it can't start.
+    """
+    progress = StartProgress()
+    try:
+        anyio.run(serve, config, config_path, progress)
+    except OSError as error:
+        if progress.is_complete:
+            raise
+        raise SystemResourceError(error) from error
+
+
+async def serve(config: Config, config_path: str | None, progress: StartProgress) -> None:
+    """Run one scheduler until a signal stops it and all that it has accepted is answered."""
+    clock = MonotonicClock()
+    timers = TimerQueue()
+    agreement = None
+    if config.agreement:
+        agreement = new_agreement(config, clock)
+        config = agreement.start()
+    runner = Runner(new_core(config, clock, timers), timers, clock, clock.error_ns)
+    with received_signals() as received:
+        await Server(config, runner, agreement).run(config_path, received, progress)
+    log.info("totals", name=config.name, violations=INVARIANTS.totals(), **COUNTERS.totals())
+    log.info("stopped", name=config.name)
+
+
+def new_agreement(config: Config, clock: Callable[[], int]) -> "Agreeing":
+    """Return the client of the agreement among sidecars; raise StartupError where it can't be made."""
+    assert config.agreement
+    # Imported here, like the object listener: only an operator's file needs it.
+    with packages_required_by("agreement"):
+        from runloft.agreement.client import Agreeing
+    with value_checked_by_use("agreement.store"):
+        return Agreeing(config.agreement, config, clock)
+
+
+def new_core(config: Config, clock: Callable[[], int], timers: TimerQueue) -> Core:
+    """Return the reducer with its state of the start."""
+    core = Core(config.settings, config.seed, clock(), timers, config.bounds)
+    core.held = config.held
+    if config.account_volumes:
+        from runloft.accounts.ledger import Ledger
+
+        core.observer = Ledger(config.settings, config.account_volumes)
+    return core
+
+
+def node_endpoint(node: NodeUpdate) -> str:
+    """Return the address of a node's RESP2 server."""
+    return node.endpoint
+
+
+def object_endpoint(settings: ObjectSettings, node: NodeUpdate) -> str:
+    """Return the address of a node's object server: its entry's, or at the port of the operator's file."""
+    host = node.endpoint.rpartition(":")[0]
+    return node.object_endpoint or f"{host}:{settings.server_port}"
+
+
+class Server:
+    """One scheduler's sockets and tasks: whatever `run` opens it closes when it is stopped."""
+
+    def __init__(self, config: Config, runner: Runner, agreement: "Agreeing | None") -> None:
+        self.config = config
+        self.runner = runner
+        self.agreement = agreement
+        self.tasks = anyio.create_task_group()  # entered once all is open: nothing runs in it before
+        self.stop_requested = anyio.Event()
+        self.endpoints: list[ListeningEndpoint] = []
+        self.store: SharedStore | None = None
+        self.admin: AdminServer | None = None
+
+    async def run(
+        self, config_path: str | None, received: AsyncIterator[signal.Signals], progress: StartProgress
+    ) -> None:
+        """Open all sockets, serve until a signal requests the stop, and shut down gracefully.
+
+        Raise StartupError where something can't be opened.
+        """
+        await self._open_protocols()
+        self.runner.post(listed(self.config.known, self.config.zones, ListKind.CACHED))
+        watch = self._new_watch()
+        self._log_endpoints()
+        reload = self._new_reload(config_path, watch)
+        if self.config.admin:
+            self._open_admin(self.config.admin)
+        progress.is_complete = True
+        async with self.tasks as tasks:
+            tasks.start_soon(self.runner.run)
+            tasks.start_soon(watch.run)
+            for endpoint in self.endpoints:
+                tasks.start_soon(endpoint.listener.accept, endpoint.socket)
+            if self.agreement:
+                tasks.start_soon(self.agreement.run)
+            tasks.start_soon(handle_signals, received, reload, self.stop_requested)
+            await self.stop_requested.wait()
+            await graceful_shutdown(self.endpoints, self.runner)
+            await self.close()
+            tasks.cancel_scope.cancel()
+
+    async def close(self) -> None:
+        """Close all but the listening sockets, which the graceful shutdown has closed."""
+        for link in self.runner.links.values():
+            link.close()
+        if self.store:
+            await self.store.close()
+        if self.agreement:
+            await self.agreement.stop()
+        if self.admin:
+            self.admin.close()
+
+    async def _open_protocols(self) -> None:
+        config = self.config
+        self._add_link(
+            "resp",
+            RespConnection,
+            node_endpoint,
+            part=4 if config.objects else 2,  # the other half of the descriptors is the clients'
+        )
+        front = RespFront(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
+        await self._listen(front, "listen", config.listen)
+        if config.objects:
+            await self._open_object_api(config.objects)
+
+    async def _open_object_api(self, settings: ObjectSettings) -> None:
+        # Imported here: the platform, where it is off, needs neither its memory nor its start-up time.
+        with packages_required_by("objects"):
+            from runloft.listeners.objects import ObjectFront
+            from runloft.sharing.places import SharedStore
+            from runloft.upstream.http_link import HttpConnection
+        with value_checked_by_use("objects.store"):
+            self.store = SharedStore(settings.store)
+        runner = self.runner
+        front = ObjectFront(
+            self.tasks, runner.post, runner.timers, runner.clock, self.config, settings, self.store
+        )
+        await self._listen(front, "objects.listen", settings.listen)
+        self._add_link(
+            "http",
+            HttpConnection,
+            partial(object_endpoint, settings),
+            part=8,
+        )
+
+    def _add_link(
+        self,
+        wire: str,
+        kind: type[Connection],
+        endpoint: Callable[[NodeUpdate], str],
+        *,
+        part: int,
+    ) -> None:
+        """Add the connections that speak one wire; they get this part of the descriptors, as a divisor."""
+        runner = self.runner
+        runner.links[wire] = NodeLink(
+            self.tasks,
+            runner.post,
+            runner.timers,
+            runner.clock,
+            self.config,
+            kind=kind,
+            permit=runner.core.permit_first_byte,
+            begin=runner.core.begin_attempt,
+            part=part,
+            endpoint=endpoint,
+        )
+
+    async def _listen(self, listener: Listener, key: str, address: tuple[str, int]) -> None:
+        """Open a listening socket; `key` is the setting that its address comes from."""
+        try:
+            sock = await listening_when_possible(address)
+        except OSError as error:
+            raise ListenError(key, address, error) from error
+        self.endpoints.append(ListeningEndpoint(listener, sock))
+
+    def _log_endpoints(self) -> None:
+        for endpoint in self.endpoints:
+            host, port = endpoint.socket.getsockname()
+            protocol = type(endpoint.listener).__name__
+            log.info("serving", name=self.config.name, front=protocol, at=f"{host}:{port}")
+
+    def _new_watch(self) -> Watch:
+        config = self.config
+        with value_checked_by_use("known.rev"):
+            rev = int(config.known.get("rev", 0) or 0)
+        return Watch(
+            config.discovery,
+            rev,
+            config.zones,
+            self.runner.post,
+            self.runner.timers,
+            self.runner.clock,
+            asked=config.settings.list_is_polled,
+        )
+
+    def _new_reload(self, config_path: str | None, watch: Watch) -> Reload:
+        runner = self.runner
+        components: list[Configurable] = [endpoint.listener for endpoint in self.endpoints]
+        components += runner.links.values()
+        reload = Reload(
+            config_path, self.config, watch, runner.post, components, timers=runner.timers, clock=runner.clock
+        )
+        if self.agreement:
+            reload.apply_agreement = self.agreement.agreed
+            self.agreement.take = reload.apply
+        return reload
+
+    def _open_admin(self, address: tuple[str, int]) -> None:
+        # Imported here: only an operator's file sets it up.
+        with packages_required_by("admin"):
+            from runloft.service.admin import AdminServer
+            from runloft.service.metrics import MetricsCollector
+        standing = self.agreement.standing if self.agreement else None
+        self.admin = AdminServer.open(address, MetricsCollector(self.runner.core, standing))
--- a/tests/agreement/test_sharing.py
+++ b/tests/agreement/test_sharing.py
@@ -533,7 +533,8 @@
 
 
 def test_metrics_alone_load_no_client_of_the_store():
-    code = "import sys, runloft.service.admin; sys.exit(bool(sys.modules.keys() & {'redis', 'lmdb'}))"
+    modules = "sys, runloft.service.admin, runloft.service.metrics"
+    code = f"import {modules}; sys.exit(bool(sys.modules.keys() & {{'redis', 'lmdb'}}))"
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT).returncode == 0
 
 
--- a/tests/config/test_config_tool.py
+++ b/tests/config/test_config_tool.py
@@ -229,8 +229,8 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config("127.0.0.1:1", [])))
     code = (
-        "import sys; from runloft.cli import parser; from runloft.config.settings import load_config;"
-        f"load_config({str(path)!r}); parser(); print(*sys.modules)"
+        "import sys; from runloft.cli import build_parser; from runloft.config.settings import load_config;"
+        f"load_config({str(path)!r}); build_parser(); print(*sys.modules)"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT)
     loaded = {name.partition(".")[0] for name in done.stdout.split()}
--- a/tests/config/test_configs.py
+++ b/tests/config/test_configs.py
@@ -115,8 +115,8 @@
             link = links.NodeLink(None, None, None, None, config_from_json(held), kind=None, permit=None,
                                   begin=None, part=part)  # fmt: skip
             assert link.most == (1024 - operator.OTHERS) // part
-    runner = (HERE.parents[2] / "runloft" / "service" / "runner.py").read_text()
-    assert "part=4 if config.objects else 2," in runner and "part=8," in runner
+    server = (HERE.parents[2] / "runloft" / "service" / "server.py").read_text()
+    assert "part=4 if config.objects else 2," in server and "part=8," in server
     assert (operator.IDLE_MS, operator.CROWD_MS) == (resp.IDLE_NS / 1e6, resp.CROWD_NS / 1e6)
     assert operator.IDLE_MS == objects_front.IDLE_S * 1e3
 
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -37,7 +37,8 @@
     ShedRequest,
     Timer,
 )
-from runloft.service.runner import Clock, Runner
+from runloft.service.clock import MonotonicClock
+from runloft.service.runner import Runner
 from tests.support.driver import MS, SECOND, Host, gone, request_class, settings
 
 NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
@@ -172,7 +173,7 @@
 def test_what_is_added_between_turns_is_heeded_in_its_time():
     async def run():
         deadlines, fired = TimerQueue(), anyio.Event()
-        clock = Clock()
+        clock = MonotonicClock()
         runner = Runner(Core(settings(), 1, clock(), deadlines), deadlines, clock)
         async with anyio.create_task_group() as group:
             group.start_soon(runner.run)
--- a/tests/core/test_start_times.py
+++ b/tests/core/test_start_times.py
@@ -10,7 +10,7 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import ListKind
-from runloft.service.runner import Clock
+from runloft.service.clock import MonotonicClock
 from tests.support.driver import MS, SECOND, request_class, settings
 
 HOUR = 3600 * SECOND
@@ -114,7 +114,7 @@
 
 
 def test_a_clock_knows_that_the_wall_clock_was_stepped(monkeypatch):
-    clock = Clock()
+    clock = MonotonicClock()
     assert abs(clock.error_ns()) < 100 * MS
     real = time.time_ns
     before = clock()
--- a/tests/listeners/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -318,7 +318,7 @@
 HOOKED = """
 import os, signal, sys
 from runloft import cli
-from runloft.service import runner
+from runloft.service import server
 def hooked(call, stop):
     def inner(*args, **more):
         if stop is None or args[:1] == (stop,):
@@ -328,11 +328,11 @@
 if sys.argv[1] == "start":
     cli.load_config = hooked(cli.load_config, None)
 else:
-    log = runner.log
+    log = server.log
     class Log:
         warning = error = lambda *args, **more: None
         info = hooked(lambda *args, **more: log.info(*args, **more), "stopped")
-    runner.log = Log
+    server.log = Log
 sys.exit(cli.main(["serve"]))
 """
 
--- a/tests/service/test_momentary_failures.py
+++ b/tests/service/test_momentary_failures.py
@@ -14,7 +14,7 @@
 from runloft.core.model import Reconfigured
 from runloft.core.timers import TimerQueue
 from runloft.net import sockets
-from runloft.service.reload import READ_AGAIN_NS, READ_TRIES, Reload
+from runloft.service.reload import READ_RETRIES, READ_RETRY_NS, Reload
 from tests.support.standins import config, entry
 
 MOMENTARY = [errno.EIO, errno.ENFILE, errno.EMFILE, errno.EINTR]
@@ -78,12 +78,12 @@
     """The reload was dropped: the old discovery was watched on, while the new one counted as told."""
     path, before = written(tmp_path, discovery="127.0.0.1:9", limits={"memory_mb": 64})
     now, deadlines, posted = [0], TimerQueue(), []
-    reload = Reload(str(path), before, Watch(), posted.append, (), deadlines=deadlines, clock=lambda: now[0])
+    reload = Reload(str(path), before, Watch(), posted.append, (), timers=deadlines, clock=lambda: now[0])
     failing(monkeypatch, 2)
     reload()
     assert not posted and len(deadlines) == 1
     for _ in range(2):
-        now[0] += READ_AGAIN_NS
+        now[0] += READ_RETRY_NS
         for item in deadlines.sweep(now[0]):
             item()
     assert [type(event) for event in posted] == [Reconfigured] and not len(deadlines)
@@ -92,8 +92,8 @@
     reload()
     reload()
     assert len(deadlines) == 1
-    for _ in range(READ_TRIES + 1):
-        now[0] += READ_AGAIN_NS
+    for _ in range(READ_RETRIES + 1):
+        now[0] += READ_RETRY_NS
         for item in deadlines.sweep(now[0]):
             item()
     assert not len(deadlines) and len(posted) == 1
--- a/tests/service/test_reasons.py
+++ b/tests/service/test_reasons.py
@@ -7,7 +7,7 @@
 
 from runloft.core.counters import COUNTERS, Counted, Counters
 from runloft.core.invariants import INVARIANTS, Violation
-from runloft.service import admin
+from runloft.service import metrics
 from tests.discovery.test_discovery import OK, read_command
 from tests.support.standins import Discovery, Program, RespNode, config, entry
 
@@ -64,10 +64,10 @@
 
 
 def test_reasons_and_violations_are_metrics(monkeypatch):
-    monkeypatch.setattr(admin, "COUNTERS", counters := Counters())
+    monkeypatch.setattr(metrics, "COUNTERS", counters := Counters())
     counters.add(Counted.REFUSED, "reset")
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(admin.Figures(Core(), None))
+    registry.register(metrics.MetricsCollector(Core(), None))
     text = generate_latest(registry).decode()
     assert 'runloft_reasons_total{reason="reset",what="requests refused"} 1.0' in text
     for kind in Violation:
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -15,7 +15,7 @@
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome, ListKind, NewSettings, PlanSettings, SendAttempt
 from runloft.discovery.watch import Watch
-from runloft.service.reload import Reload, changeable
+from runloft.service.reload import Reload, applicable_change
 from runloft.upstream.links import NodeLink
 from tests.core.test_core import Turns
 from tests.support.driver import MS, SECOND, Host, settings
@@ -128,8 +128,8 @@
 )
 def test_what_can_change_in_a_running_program(path, value, waiting):
     fresh = replace(OLD, **{path: value}) if hasattr(OLD, path) and path != "listen" else None
-    got = changeable(OLD, fresh or changed(path, value))
-    assert got[1] == waiting and (got[0] == OLD) is bool(waiting)
+    got = applicable_change(OLD, fresh or changed(path, value))
+    assert got.needs_restart == waiting and (got.config == OLD) is bool(waiting)
 
 
 def test_new_settings_reach_the_module_and_what_is_open_goes_on():
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -18,7 +18,9 @@
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
 from runloft.decisions.contract import AttemptOutcome, FailRequest, Idempotency, ListKind, ShedRequest
-from runloft.service.runner import FINISH_NS, Runner, wind_down
+from runloft.service.interfaces import ListeningEndpoint
+from runloft.service.runner import Runner
+from runloft.service.shutdown import FINISH_NS, graceful_shutdown
 from tests.core.test_core import Turns
 from tests.support.driver import MS, SECOND, Host, request_class, settings
 
@@ -61,7 +63,7 @@
     def answer(self, reply):
         self.front.answers.append((self.asked_at, self.front.scene.now, reply))
         if self.front.stopped_at:
-            self.front.scene.runner.deadlines.add(self.front.scene.now, self.front.close_if_idle)
+            self.front.scene.runner.timers.add(self.front.scene.now, self.front.close_if_idle)
 
 
 ASK = {"request_class": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0, "key": 0, "volume_hosts": 1.0}
@@ -87,7 +89,7 @@
 
         async def wind():
             with socket.socket() as listener:
-                await wind_down([self.front], [listener], self.runner)
+                await graceful_shutdown([ListeningEndpoint(self.front, listener)], self.runner)
             done.set()
 
         async with anyio.create_task_group() as group:
@@ -95,7 +97,7 @@
             while not done.is_set() and self.now < began + 60 * SECOND:
                 self.now += 10 * MS
                 self.front.turn()
-                self.runner.turn()
+                self.runner.process_events()
                 for _ in range(4):
                     await anyio.sleep(0)
             group.cancel_scope.cancel()
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -83,18 +83,18 @@
     def tell(self, kind=ListKind.FULL, **more):
         news = NodeUpdate(**{"uid": "s-1", "endpoint": self.where, "shard": 0} | more)
         self.runner.post(NodeListUpdate(kind, (news,)))
-        self.runner.turn()
+        self.runner.process_events()
 
     def take(self, deadline=2000, id_=ID, *body):
         sink = ResponseSink()
         payload = RespPayload((b"IO.IN", b"7f3a9c21e0b4d655", id_, *body), b"d=", b"")
         self.runner.post(RequestReceived(sink, RequestSpec(0, 0, 1, 1.0, deadline * MS, 0, payload, id=id_)))
-        self.runner.turn()
+        self.runner.process_events()
         return sink
 
     def turn(self, after=0):
         self.now += after * MS
-        self.runner.turn()
+        self.runner.process_events()
 
     async def node(self):
         conn, _ = await anyio.to_thread.run_sync(self.listener.accept)
@@ -450,7 +450,7 @@
             scene.turn(8000)
         assert not (scene.core.requests or scene.core.attempts or scene.core.by_sink or scene.runner.events)
         assert not (scene.link.open or scene.link.out or scene.link.idle or scene.link.waiting)
-        assert not scene.core.scheduler.tickets and not len(scene.runner.deadlines)
+        assert not scene.core.scheduler.tickets and not len(scene.runner.timers)
         for conn in connections:
             conn.close()
 
