--- a/runloft/cli.py
+++ b/runloft/cli.py
@@ -118,6 +118,8 @@
     try:
         run_server(config, options.config)
     except StartupError as error:
+        # Prevents asyncio from reporting an event loop that was left half made, behind the line that counts.
+        sys.unraisablehook = lambda _: None
         print(f"runloft: {options.config}: {error}", file=sys.stderr)
         return 1
     return 0
--- a/runloft/service/admin.py
+++ b/runloft/service/admin.py
@@ -7,7 +7,7 @@
 from prometheus_client import CollectorRegistry, start_http_server
 from prometheus_client.registry import Collector
 
-from runloft.service.errors import ListenError
+from runloft.service.errors import ListenAddress, ListenError
 
 log = structlog.get_logger()
 CLOSE_TIMEOUT_S = 1.0
@@ -21,16 +21,15 @@
         self._thread = thread
 
     @classmethod
-    def open(cls, address: tuple[str, int], collector: Collector) -> "AdminServer":
+    def open(cls, address: ListenAddress, collector: Collector) -> "AdminServer":
         """Listen on this address; raise ListenError where that is not possible."""
         registry = CollectorRegistry(auto_describe=False)
         registry.register(collector)
-        host, port = address
         try:
-            server, thread = start_http_server(port, host, registry)
+            server, thread = start_http_server(address.port, address.host, registry)
         except OSError as error:
-            raise ListenError("admin.listen", address, error) from error
-        log.info("serving", front="admin", at=f"{host}:{server.server_port}")
+            raise ListenError(address, error) from error
+        log.info("serving", front="admin", at=f"{address.host}:{server.server_port}")
         return cls(server, thread)
 
     def close(self) -> None:
--- a/runloft/service/errors.py
+++ b/runloft/service/errors.py
@@ -3,6 +3,7 @@
 import errno
 from collections.abc import Iterator
 from contextlib import contextmanager
+from dataclasses import dataclass
 
 from runloft.errors import RunloftError
 
@@ -15,12 +16,22 @@
         self.key = key
 
 
+@dataclass(frozen=True, slots=True)
+class ListenAddress:
+    """Where to listen, and the setting that says so."""
+
+    key: str
+    host: str
+    port: int
+
+
 class ListenError(StartupError):
     """An address of the configuration can't be listened on."""
 
-    def __init__(self, key: str, address: tuple[str, int], cause: OSError) -> None:
-        host, port = address
-        super().__init__(key, f"can't listen on {host}:{port}: {describe_os_error(cause)}")
+    def __init__(self, address: ListenAddress, cause: OSError) -> None:
+        super().__init__(
+            address.key, f"can't listen on {address.host}:{address.port}: {describe_os_error(cause)}"
+        )
         self.address = address
         self.errno = cause.errno
 
--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -23,7 +23,7 @@
 FIXED_OBJECT_KEYS = ("listen", "store")
 
 
-def keep_own_settings(config: Config) -> Config:
+def without_agreement(config: Config) -> Config:
     """Return the configuration unchanged: no agreement replaces what the file says."""
     return config
 
@@ -38,7 +38,7 @@
         watch: Watch,
         post: Callable[[Event], None],
         components: Iterable[Configurable],
-        apply_agreement: Callable[[Config], Config] = keep_own_settings,
+        apply_agreement: Callable[[Config], Config] = without_agreement,
         *,
         timers: TimerQueue | None = None,
         clock: Callable[[], int] = time.monotonic_ns,
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -75,10 +75,10 @@
         due = self.core.next_at(self.clock())
         self._process_events()
         late_ns = started_at - (due or started_at)
-        took_ns = self.clock() - started_at
-        if max(late_ns, took_ns) > SLOW_ITERATION_NS:
+        duration_ns = self.clock() - started_at
+        if max(late_ns, duration_ns) > SLOW_ITERATION_NS:
             log.warning(
-                "slow event-loop iteration", late_ms=late_ns // 1_000_000, took_ms=took_ns // 1_000_000
+                "slow event-loop iteration", late_ms=late_ns // 1_000_000, took_ms=duration_ns // 1_000_000
             )
 
     def _process_events(self) -> None:
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -21,6 +21,7 @@
 from runloft.net.sockets import listening_when_possible
 from runloft.service.clock import MonotonicClock
 from runloft.service.errors import (
+    ListenAddress,
     ListenError,
     SystemResourceError,
     packages_required_by,
@@ -110,7 +111,10 @@
 
 
 class Server:
-    """One scheduler's sockets and tasks: whatever `run` opens it closes when it is stopped."""
+    """One scheduler's sockets and tasks.
+
+    Whatever `run` opens it closes when it is stopped; a start that fails ends the process instead.
+    """
 
     def __init__(self, config: Config, runner: Runner, agreement: "Agreeing | None") -> None:
         self.config = config
@@ -135,7 +139,7 @@
         self._log_endpoints()
         reload = self._new_reload(config_path, watch)
         if self.config.admin:
-            self._open_admin(self.config.admin)
+            self._open_admin(ListenAddress("admin.listen", *self.config.admin))
         progress.is_complete = True
         async with self.tasks as tasks:
             tasks.start_soon(self.runner.run)
@@ -169,8 +173,8 @@
             node_endpoint,
             part=4 if config.objects else 2,  # the other half of the descriptors is the clients'
         )
-        front = RespFront(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
-        await self._listen(front, "listen", config.listen)
+        listener = RespFront(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
+        await self._listen(listener, ListenAddress("listen", *config.listen))
         if config.objects:
             await self._open_object_api(config.objects)
 
@@ -183,10 +187,10 @@
         with value_checked_by_use("objects.store"):
             self.store = SharedStore(settings.store)
         runner = self.runner
-        front = ObjectFront(
+        listener = ObjectFront(
             self.tasks, runner.post, runner.timers, runner.clock, self.config, settings, self.store
         )
-        await self._listen(front, "objects.listen", settings.listen)
+        await self._listen(listener, ListenAddress("objects.listen", *settings.listen))
         self._add_link(
             "http",
             HttpConnection,
@@ -217,12 +221,12 @@
             endpoint=endpoint,
         )
 
-    async def _listen(self, listener: Listener, key: str, address: tuple[str, int]) -> None:
-        """Open a listening socket; `key` is the setting that its address comes from."""
+    async def _listen(self, listener: Listener, address: ListenAddress) -> None:
+        """Open a listener's socket; a predecessor may still listen there for a moment."""
         try:
-            sock = await listening_when_possible(address)
+            sock = await listening_when_possible((address.host, address.port))
         except OSError as error:
-            raise ListenError(key, address, error) from error
+            raise ListenError(address, error) from error
         self.endpoints.append(ListeningEndpoint(listener, sock))
 
     def _log_endpoints(self) -> None:
@@ -257,7 +261,7 @@
             self.agreement.take = reload.apply
         return reload
 
-    def _open_admin(self, address: tuple[str, int]) -> None:
+    def _open_admin(self, address: ListenAddress) -> None:
         # Imported here: only an operator's file sets it up.
         with packages_required_by("admin"):
             from runloft.service.admin import AdminServer
