--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -2,7 +2,6 @@
 
 import signal
 from collections.abc import AsyncIterator, Callable
-from dataclasses import dataclass
 from functools import partial
 from typing import TYPE_CHECKING
 
@@ -42,11 +41,10 @@
 log = structlog.get_logger()
 
 
-@dataclass(slots=True)
 class StartProgress:
-    """How far a start has come."""
+    """Whether a start is complete; until then an error of the system is one of the start."""
 
-    is_complete: bool = False
+    is_complete = False
 
 
 def run_server(config: Config, config_path: str | None = None) -> None:
