--- a/runloft/cli.py
+++ b/runloft/cli.py
@@ -20,6 +20,8 @@
 
 READ_RETRIES = 40  # of a configuration that can't be read for a moment
 READ_RETRY_S = 0.05
+# Of values that the checks of the platform's JSON let pass; an operator's file is checked in full.
+UNFORESEEN_ERRORS = (ArithmeticError, LookupError, RecursionError, TypeError, ValueError)
 AGREEMENT_ACTIONS = ("roll", "status", "forget")
 DEPENDENCIES = ("anyio", "h11", "redis", "sortedcontainers", "structlog")
 
@@ -148,5 +150,8 @@
                 structlog.get_logger().warning("configuration can't be read yet", faults=error.faults)
                 sleep(READ_RETRY_S)
         return load_config(path)
-    except RecursionError as error:
-        raise ConfigError([f"{path}: nested too deeply"]) from error
+    except ConfigError:
+        raise
+    except UNFORESEEN_ERRORS as error:
+        reason = f"can't be read as a configuration: {type(error).__name__}: {error}"
+        raise ConfigError([f"{path}: {reason}"]) from error
--- a/runloft/service/errors.py
+++ b/runloft/service/errors.py
@@ -68,10 +68,10 @@
 
 @contextmanager
 def value_checked_by_use(key: str) -> Iterator[None]:
-    """Raise InvalidSettingError in place of a ValueError or TypeError inside."""
+    """Raise InvalidSettingError where a value turns out to be of no use inside."""
     try:
         yield
-    except (TypeError, ValueError) as error:
+    except (ArithmeticError, TypeError, ValueError) as error:
         raise InvalidSettingError(key, str(error)) from error
 
 
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -20,6 +20,7 @@
 from runloft.net.sockets import listening_when_possible
 from runloft.service.clock import MonotonicClock
 from runloft.service.errors import (
+    InvalidSettingError,
     ListenAddress,
     ListenError,
     SystemResourceError,
@@ -132,7 +133,8 @@
         Raise StartupError where something can't be opened.
         """
         await self._open_protocols()
-        self.runner.post(listed(self.config.known, self.config.zones, ListKind.CACHED))
+        with value_checked_by_use("known.targets"):
+            self.runner.post(listed(self.config.known, self.config.zones, ListKind.CACHED))
         watch = self._new_watch()
         self._log_endpoints()
         reload = self._new_reload(config_path, watch)
@@ -225,6 +227,9 @@
             sock = await listening_when_possible((address.host, address.port))
         except OSError as error:
             raise ListenError(address, error) from error
+        except (TypeError, ValueError, OverflowError) as error:  # a name that no resolver can be asked for
+            reason = f"can't listen on {address.host}:{address.port}: {error}"
+            raise InvalidSettingError(address.key, reason) from error
         self.endpoints.append(ListeningEndpoint(listener, sock))
 
     def _log_endpoints(self) -> None:
--- a/tests/service/test_startup_errors.py
+++ b/tests/service/test_startup_errors.py
@@ -129,8 +129,22 @@
             platform_config(known={"rev": "x", "targets": []}),
             "known.rev: invalid literal for int() with base 10: 'x'",
         ),
+        (platform_config(known={"targets": 1.5}), "known.targets: 'float' object is not iterable"),
         (platform_config(known=[1]), "known: an object is wanted"),
-        ("[" * 100_000, "nested too deeply"),
+        (
+            platform_config(listen="é..b:7000"),
+            "listen: can't listen on é..b:7000: encoding of hostname failed",
+        ),
+        (
+            "[" * 100_000,
+            "can't be read as a configuration: RecursionError: maximum recursion depth exceeded while"
+            " decoding a JSON array from a unicode string",
+        ),
+        (platform_config(admin={}), "can't be read as a configuration: KeyError: 'listen'"),
+        (
+            platform_config(accounts={"volumes": "x"}),
+            "can't be read as a configuration: ValueError: invalid literal for int() with base 10: 'x'",
+        ),
     ],
 )
 def test_setting_that_can_not_be_used_is_named(start, raw, line):
