--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -195,4 +195,4 @@
     assert host.answers(queued)[0][1].retry_after_ns > 0 and not host.answers(done)
     host.end(sent, AttemptOutcome.RESET)
     host.wait(20_000)
-    assert len(host.answers(sent)) == 1 and not host.scheduler.tickets
+    assert len(host.answers(sent)) == 1 and not host.scheduler.requests
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -154,9 +154,9 @@
     )
     host.see(NewSettings(fresh))
     store = host.scheduler.volumes[1]
-    assert host.scheduler.nodes[10] is node and node.out
-    assert (node.served.window, node.recent.window) == (7, 9)
-    assert store.plan.reserve == 5.0 and store.reserve_most < 1000
+    assert host.scheduler.nodes[10] is node and node.in_flight
+    assert (node.slow_start.served.window_ns, node.slow_start.sent.window_ns) == (7, 9)
+    assert store.plan.reserve == 5.0 and store.max_reserve_tokens < 1000
 
 
 @pytest.mark.parametrize("rev, posted_kinds", [(9, [ListKind.FULL]), (4, []), (None, [])])
