--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -43,7 +43,7 @@
 
     def has(self, uid: str) -> bool:
         """Return whether a node is in the table and may be sent to."""
-        number = self.core.node_numbers.get(uid)
+        number = self.core.node_ids.get(uid)
         node = self.core.nodes.get(number) if number is not None else None
         return node is not None and node.state is NodeState.READY
 
@@ -107,7 +107,7 @@
             config = self._start_agreement(config, clock)
         timers = TimerQueue()
         core = Core(config.settings, config.seed, clock(), timers, config.bounds)
-        core.held = config.held
+        core.suspended = config.held
         self.runner = runner = HollowRunner(core, timers, clock)
         is_polled = config.settings.list_is_polled
         watch = Watch(config.discovery, 0, config.zones, runner.post, timers, clock, asked=is_polled)
--- a/runloft/service/metrics.py
+++ b/runloft/service/metrics.py
@@ -119,7 +119,7 @@
     reasons_family = CounterMetricFamily(
         "runloft_reasons", "Requests, attempts and connections by reason.", labels=["what", "reason"]
     )
-    for what, reasons in COUNTERS.by.items():
+    for what, reasons in COUNTERS.by_name.items():
         for reason, count in tuple(reasons.items()):
             reasons_family.add_metric([str(what), str(reason)], count)
     yield reasons_family
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -20,7 +20,7 @@
 
 log = structlog.get_logger()
 SLOW_ITERATION_NS = 15_000_000  # responses at their deadline are at risk from here on
-MAX_CLOCK_ERROR_NS = 500_000_000  # of the wall clock, before start times of nodes are in doubt
+MAX_CLOCK_ERROR_NS = 500_000_000  # of the wall clock, beyond which it is unreliable
 
 
 def no_clock_error() -> int:
@@ -46,7 +46,7 @@
         self.events: list[Event] = []
         self._wake = anyio.Event()
         # A timer may be added between two iterations: without a wake-up it would wait for the next event.
-        timers.on_first = self._wake_up
+        timers.on_earliest_changed = self._wake_up
 
     def _wake_up(self) -> None:
         self._wake.set()
@@ -90,7 +90,7 @@
         self.carry_out(self.core.step(self.clock(), events))
 
     def _announce_nodes(self, update: NodeListUpdate) -> None:
-        self.core.clock_in_doubt |= abs(self.clock_error_ns()) > MAX_CLOCK_ERROR_NS
+        self.core.endpoints.wall_clock_is_unreliable |= abs(self.clock_error_ns()) > MAX_CLOCK_ERROR_NS
         for link in self.links.values():
             link.listed(update.nodes)
 
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -90,7 +90,7 @@
 def new_core(config: Config, clock: Callable[[], int], timers: TimerQueue) -> Core:
     """Return the reducer with its state of the start."""
     core = Core(config.settings, config.seed, clock(), timers, config.bounds)
-    core.held = config.held
+    core.suspended = config.held
     if config.account_volumes:
         from runloft.accounts.ledger import Ledger
 
--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -22,7 +22,7 @@
 from runloft.service.interfaces import ListeningEndpoint
 from runloft.service.runner import Runner
 from runloft.service.shutdown import FINISH_NS, graceful_shutdown
-from tests.core.test_core import Turns
+from tests.support.core_harness import CoreHarness
 from tests.support.driver import MS, SECOND, Host, request_class, settings
 
 KILL_NS = 700 * MS  # PROTOCOL: SIGKILL comes so long after the longest deadline, counted as 3 s at most
@@ -167,10 +167,10 @@
 
 
 def test_shutdown_reaches_the_scheduler_and_its_responses_are_sent():
-    turns = Turns()
-    sink, _ = turns.take([])
-    effects = turns.step(ShutdownStarted(), plan=[ShedRequest(1, SECOND)])
-    assert turns.script.told[-1] == contract.ShutdownStarted()
+    harness = CoreHarness()
+    sink, _ = harness.receive([])
+    effects = harness.step(ShutdownStarted(), actions=[ShedRequest(1, SECOND)])
+    assert harness.scheduler.events[-1] == contract.ShutdownStarted()
     assert effects == [SendResponse(sink, Shed(SECOND))]
 
 
--- a/tests/service/test_metrics.py
+++ b/tests/service/test_metrics.py
@@ -5,7 +5,7 @@
 import pytest
 from prometheus_client import CollectorRegistry, generate_latest
 
-from runloft.core.counters import COUNTERS, Counted, Counters
+from runloft.core.counters import COUNTERS, CounterName, Counters
 from runloft.core.invariants import INVARIANTS, Violation
 from runloft.service import metrics
 from tests.discovery.test_discovery import OK, read_command
@@ -42,7 +42,7 @@
         for line in log
         if request_id in line or f"request={number}" in line
     }
-    assert {"command", "request", "attempt", "attempt over", "request served"} <= events
+    assert {"command", "request", "attempt", "attempt finished", "request served"} <= events
     assert any("client closed" in line and "client left" in line for line in log)
     totals = next(line for line in log if "totals" in line)
     assert "requests_started=1" in totals and "violations={}" in totals
@@ -66,7 +66,7 @@
 
 def test_reasons_and_invariant_violations_are_exported_as_metrics(monkeypatch):
     monkeypatch.setattr(metrics, "COUNTERS", counters := Counters())
-    counters.add(Counted.REFUSED, "reset")
+    counters.add(CounterName.REQUESTS_SHED, "reset")
     registry = CollectorRegistry(auto_describe=False)
     registry.register(metrics.MetricsCollector(Core(), None))
     text = generate_latest(registry).decode()
@@ -82,7 +82,7 @@
 def test_totals_list_every_counter_once():
     counters = Counters()
     assert counters.totals() == {"requests_started": 0}
-    counters.add(Counted.CLIENT_CLOSED, "idle")
-    counters.add(Counted.CLIENT_CLOSED, "idle")
+    counters.add(CounterName.CLIENT_CONNECTIONS_CLOSED, "idle")
+    counters.add(CounterName.CLIENT_CONNECTIONS_CLOSED, "idle")
     assert counters.totals() == {"requests_started": 0, "client_connections_closed": {"idle": 2}}
     assert isinstance(COUNTERS, Counters) and not INVARIANTS.totals()
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -17,7 +17,7 @@
 from runloft.discovery.watch import Watch
 from runloft.service.reload import Reload, applicable_change
 from runloft.upstream.links import NodeLink
-from tests.core.test_core import Turns
+from tests.support.core_harness import CoreHarness
 from tests.support.driver import MS, SECOND, Host, settings
 from tests.support.standins import Discovery, Program, RespNode, config, entry, until
 
@@ -135,13 +135,13 @@
 
 
 def test_new_settings_reach_the_scheduler_and_open_requests_continue():
-    turns = Turns()
-    sink, _ = turns.take([SendAttempt(1, 1)])
-    fresh, bounds = settings(max_attempts=1), replace(turns.core.bounds, requests=2)
-    assert turns.step(Reconfigured(fresh, bounds)) == []
-    assert isinstance(turns.script.told[-1], NewSettings) and turns.core.settings is fresh
-    assert turns.take()[1][0].reply == Shed()  # by the new bound
-    assert turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].sink is sink
+    harness = CoreHarness()
+    sink, _ = harness.receive([SendAttempt(1, 1)])
+    fresh, bounds = settings(max_attempts=1), replace(harness.core.bounds, requests=2)
+    assert harness.step(Reconfigured(fresh, bounds)) == []
+    assert isinstance(harness.scheduler.events[-1], NewSettings) and harness.core.settings is fresh
+    assert harness.receive()[1][0].reply == Shed()  # by the new bound
+    assert harness.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].sink is sink
 
 
 def test_scheduler_keeps_learned_state_under_new_settings():
--- a/tests/service/test_transient_failures.py
+++ b/tests/service/test_transient_failures.py
@@ -89,7 +89,7 @@
     assert not posted and len(deadlines) == 1
     for _ in range(2):
         now[0] += READ_RETRY_NS
-        for item in deadlines.sweep(now[0]):
+        for item in deadlines.pop_due(now[0]):
             item()
     assert [type(event) for event in posted] == [Reconfigured] and not len(deadlines)
     # A reload in the meantime replaces the one that waits, and retries come to an end.
@@ -99,7 +99,7 @@
     assert len(deadlines) == 1
     for _ in range(READ_RETRIES + 1):
         now[0] += READ_RETRY_NS
-        for item in deadlines.sweep(now[0]):
+        for item in deadlines.pop_due(now[0]):
             item()
     assert not len(deadlines) and len(posted) == 1
 
