--- a/runloft/lab/scale/hollow_role.py
+++ b/runloft/lab/scale/hollow_role.py
@@ -28,7 +28,7 @@
     Times,
 )
 from runloft.lab.scale.scheduler_config import config_document, volume_rows
-from runloft.service.runner import Clock
+from runloft.service.clock import MonotonicClock
 
 POLL_INTERVAL_S = 0.1  # between looks at what schedulers serve by, beside what they report themselves
 BATCH_SIZE = 25  # schedulers that are started before the running ones get their turn
@@ -39,7 +39,7 @@
 
     def __init__(self, group: anyio.abc.TaskGroup) -> None:
         super().__init__(group)
-        self.clock = Clock()
+        self.clock = MonotonicClock()
         self.schedulers: dict[str, HollowScheduler] = {}
         self.stopped: dict[str, anyio.Event] = {}  # of each that runs: set once it has stopped
         group.start_soon(self._record_generations)
