--- a/runloft/discovery/watch.py
+++ b/runloft/discovery/watch.py
@@ -18,7 +18,8 @@
 from runloft.core.model import Event, NodeListUpdate, NodeUpdate
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.decisions.contract import ListKind, NodeState
-from runloft.net.sockets import close, connect, connecting
+from runloft.net.connecting import connect, new_client_socket
+from runloft.net.socket_state import close
 from runloft.net.timing import Clock, pause
 
 log = structlog.get_logger()
@@ -124,7 +125,7 @@
 
     def __init__(self, where: tuple[str, int], index: int, deadlines: TimerQueue, clock: Clock) -> None:
         self.where, self.index, self.deadlines, self.clock = where, index, deadlines, clock
-        self.sock = connecting()
+        self.sock = new_client_socket()
         self.protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=LINE_LIMIT)
         self._silence: TimerHandle | None = None
         self.heard_at = self.heard_before = 0  # when it was last heard, and before that; 0: never
--- /dev/null
+++ b/runloft/errors.py
@@ -0,0 +1,5 @@
+"""The base of the exceptions that this package raises."""
+
+
+class RunloftError(Exception):
+    """Base class of all exceptions of the package."""
--- a/runloft/lab/scale/datapath.py
+++ b/runloft/lab/scale/datapath.py
@@ -843,7 +843,7 @@
             ),
         )
         one.waiting.append(asked)
-        one.out += b"".join(resp2.command(*words))
+        one.out += b"".join(resp2.encode_command(*words))
         if one.sock is None:
             self.counts["connects"] += 1
             self._open(one)
--- a/runloft/lab/soak/nodes.py
+++ b/runloft/lab/soak/nodes.py
@@ -13,7 +13,7 @@
 from runloft.lab.serving import BROKEN, LabServer, Lines
 from runloft.lab.soak.records import AttemptRecord, RunRecord
 from runloft.lab.soak.schedule import Schedule, Trouble, TroubleKind
-from runloft.net.sockets import data_age_ns
+from runloft.net.socket_state import data_age_ns
 
 SERVICE_S = (0.002, 0.025)
 CHUNK = 65536
--- a/runloft/listeners/accepting.py
+++ b/runloft/listeners/accepting.py
@@ -13,7 +13,7 @@
 from runloft.core.guard import CloseReason
 from runloft.core.model import Event
 from runloft.core.timers import TimerQueue
-from runloft.net.sockets import no_delay
+from runloft.net.socket_state import set_no_delay
 from runloft.net.timing import Clock, pause
 
 log = structlog.get_logger()
@@ -156,7 +156,7 @@
         """Serve an accepted connection; a fault in this one says nothing of the others."""
         try:
             sock.setblocking(False)
-            no_delay(sock)
+            set_no_delay(sock)
             client = self.new_client(sock)
         except OSError as error:
             log.warning("an accepted connection can't be served", error=str(error))
--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -38,7 +38,8 @@
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
-from runloft.net.sockets import Budget, close, half_closed, nothing_to_read
+from runloft.net.memory_budget import MemoryBudget
+from runloft.net.socket_state import close, half_closed, nothing_to_read
 from runloft.net.timing import Clock, pause, within
 from runloft.sharing.places import Place, SharedStore, StoreDownError
 from runloft.upstream.http_link import HttpPayload, Stream
@@ -297,7 +298,7 @@
             # The core holds its own account of bodies; this one keeps them from being read at all.
             try:
                 with self.front.within(BODY_S):
-                    await self.front.bodies.take(length)
+                    await self.front.bodies.acquire(length)
             except TimeoutError:
                 raise Problem(503, "SlowDown", "too many bodies are held", 1_000_000_000, True) from None
             held = length
@@ -314,7 +315,7 @@
         finally:
             self.busy, self.used_at = False, self.front.clock()
             if held:
-                self.front.bodies.give(held)
+                self.front.bodies.release(held)
         done = self.protocol.our_state is h11.DONE and self.protocol.their_state is h11.DONE
         return done and not self.ended
 
@@ -519,7 +520,7 @@
         settings: ObjectSettings,
         store: SharedStore,
     ) -> None:
-        self.bodies = Budget(0)
+        self.bodies = MemoryBudget(0)
         self.config, self.settings, self.store = config, settings, store
         super().__init__(group, post, deadlines, clock, config)
 
--- a/runloft/listeners/resp.py
+++ b/runloft/listeners/resp.py
@@ -23,7 +23,8 @@
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
 from runloft.listeners.grammar import BadCommandError, Translator
 from runloft.net import resp2
-from runloft.net.sockets import ArrivalTimes, Inbox, Outbox, close, data_age_ns, half_closed, nothing_to_read
+from runloft.net.buffers import ArrivalTimes, ReceiveBuffer, SendBuffer
+from runloft.net.socket_state import close, data_age_ns, half_closed, nothing_to_read
 from runloft.net.timing import pause
 
 log = structlog.get_logger()
@@ -73,7 +74,7 @@
         """Write the final answer."""
         match reply:
             case Served(value) if isinstance(value, bytes):
-                self.put(*resp2.bulk(value))
+                self.put(*resp2.encode_bulk_string(value))
             case Shed(0, _):
                 self.put(b"-BUSY\r\n")
             case Shed(retry_after_ns, _):
@@ -93,7 +94,7 @@
     def __init__(self, front: "RespFront", sock: socket.socket) -> None:
         self.front, self.sock, self.number = front, sock, next(self._numbers)
         self.over_because = CloseReason.CLIENT_LEFT  # why reading ended, where nothing else says so
-        self.inbox, self.outbox, self.arrivals = Inbox(COMMAND_LIMIT), Outbox(), ArrivalTimes()
+        self.inbox, self.outbox, self.arrivals = ReceiveBuffer(COMMAND_LIMIT), SendBuffer(), ArrivalTimes()
         self.slots: deque[Slot] = deque()
         self.unread_since: int | None = None  # what comes next came then, for all that is known
         self.room: anyio.Event | None = None
@@ -234,7 +235,7 @@
             self.errors = min(self.errors, FREE_ERRORS)
             self.front.post(RequestReceived(slot, ask))
         elif name == b"PING":
-            slot.put(*(resp2.bulk(words[1]) if len(words) > 1 else (b"+PONG\r\n",)))
+            slot.put(*(resp2.encode_bulk_string(words[1]) if len(words) > 1 else (b"+PONG\r\n",)))
         elif name in (b"CLIENT", b"SELECT"):
             slot.put(b"+OK\r\n")
         elif name == b"QUIT":
--- a/runloft/net/__init__.py
+++ b/runloft/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: the effect runner, links to storage nodes, the discovery watch, signals."""
+"""Sockets, buffers and the RESP2 codec: what listeners and upstream connections share."""
--- /dev/null
+++ b/runloft/net/listening.py
@@ -0,0 +1,46 @@
+"""Listening sockets; the caller closes what it opens here."""
+
+import errno
+import socket
+from collections.abc import Awaitable, Callable
+
+import anyio
+import structlog
+
+log = structlog.get_logger()
+BACKLOG = 1024
+MAX_LISTEN_ATTEMPTS = 60
+LISTEN_RETRY_INTERVAL_S = 0.05
+PERMANENT_LISTEN_ERRORS = frozenset((errno.EACCES, errno.EPERM, errno.EAFNOSUPPORT))
+
+
+def open_listener(address: tuple[str, int], backlog: int = BACKLOG) -> socket.socket:
+    """Return a non-blocking socket that listens at this address only."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.bind(address)
+        sock.listen(backlog)
+        sock.setblocking(False)
+    except OSError:
+        sock.close()
+        raise
+    return sock
+
+
+async def open_listener_with_retry(
+    address: tuple[str, int], pause: Callable[[float], Awaitable[object]] = anyio.sleep
+) -> socket.socket:
+    """Return a listening socket; retry for up to 3 s while an error may be temporary.
+
+    A predecessor listens at the same address for half a second after its shutdown began.
+    """
+    for _ in range(MAX_LISTEN_ATTEMPTS):
+        try:
+            return open_listener(address)
+        except OSError as error:
+            if error.errno in PERMANENT_LISTEN_ERRORS:
+                raise
+            log.warning("can't listen yet", error=str(error))
+            await pause(LISTEN_RETRY_INTERVAL_S)
+    return open_listener(address)
--- /dev/null
+++ b/runloft/net/resp2/commands.py
@@ -0,0 +1,34 @@
+"""Commands of clients: arrays of bulk strings."""
+
+from typing import NamedTuple
+
+from runloft.net.resp2.parsing import ARRAY, IncompleteError, RespError, ValueReader
+
+
+class ParsedCommand(NamedTuple):
+    """A command's words, and where in the buffer it ends."""
+
+    words: list[bytes]
+    end: int
+
+
+def parse_command(data: bytearray, start: int, end: int) -> ParsedCommand | None:
+    """Return the command that begins at ``start``; None while it is not complete.
+
+    Raise RespError where it can't become an array of bulk strings.
+    """
+    if start >= end:
+        return None
+    if data[start] != ARRAY:
+        raise RespError("expected an array of bulk strings")
+    reader = ValueReader(data, start, end)
+    try:
+        items = reader.read()
+    except IncompleteError:
+        return None
+    if not isinstance(items, list):
+        raise RespError("expected an array of bulk strings")
+    words = [item for item in items if isinstance(item, bytes)]
+    if len(words) != len(items):
+        raise RespError("expected bulk strings")
+    return ParsedCommand(words, reader.position)
--- a/runloft/net/timing.py
+++ b/runloft/net/timing.py
@@ -1,4 +1,4 @@
-"""Waiting with a limit; the limits stand in the one structure of deadlines like all others."""
+"""Waiting with a time limit; the limits are items of the one timer queue like all others."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -8,23 +8,24 @@
 from runloft.core.timers import TimerQueue
 
 Clock = Callable[[], int]
+NANOSECONDS_PER_SECOND = 1e9
 
 
 @contextmanager
 def within(deadlines: TimerQueue, clock: Clock, seconds: float) -> Iterator[None]:
-    """Raise TimeoutError when what is inside takes longer."""
+    """Raise TimeoutError where the body takes longer."""
     with anyio.CancelScope() as scope:
-        mark = deadlines.add(clock() + int(seconds * 1e9), scope.cancel)
+        timer = deadlines.add(clock() + int(seconds * NANOSECONDS_PER_SECOND), scope.cancel)
         try:
             yield
         finally:
-            deadlines.discard(mark)
+            deadlines.discard(timer)
     if scope.cancelled_caught:
         raise TimeoutError("it took too long")
 
 
 async def pause(deadlines: TimerQueue, clock: Clock, seconds: float) -> None:
-    """Wait so long."""
-    over = anyio.Event()
-    deadlines.add(clock() + int(seconds * 1e9), over.set)
-    await over.wait()
+    """Wait for ``seconds`` of this clock."""
+    elapsed = anyio.Event()
+    deadlines.add(clock() + int(seconds * NANOSECONDS_PER_SECOND), elapsed.set)
+    await elapsed.wait()
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -29,7 +29,8 @@
 from runloft.decisions.contract import ListKind
 from runloft.discovery.watch import Watch, listed
 from runloft.listeners.resp import RespFront
-from runloft.net.sockets import close, listening_when_possible
+from runloft.net.listening import open_listener_with_retry
+from runloft.net.socket_state import close
 from runloft.net.timing import pause
 from runloft.service.reload import Configured, Reload
 from runloft.upstream.links import NodeLink, RespConnection
@@ -211,7 +212,7 @@
             part=4 if config.objects else 2,  # the other half of the descriptors is the clients'
         )
         fronts: list[Front] = [RespFront(group, runner.post, deadlines, clock, config)]
-        listeners = [await listening_when_possible(config.listen)]
+        listeners = [await open_listener_with_retry(config.listen)]
         store = None
         if config.objects:
             # Loaded here: the platform, where it is off, needs neither its memory nor its start-up time.
@@ -221,7 +222,7 @@
 
             store = SharedStore(config.objects.store)
             fronts.append(ObjectFront(group, runner.post, deadlines, clock, config, config.objects, store))
-            listeners.append(await listening_when_possible(config.objects.listen))
+            listeners.append(await open_listener_with_retry(config.objects.listen))
             runner.links["http"] = NodeLink(
                 group,
                 runner.post,
--- a/runloft/upstream/links.py
+++ b/runloft/upstream/links.py
@@ -19,7 +19,10 @@
 from runloft.core.trace import trace
 from runloft.decisions.contract import AttemptOutcome, NodeState
 from runloft.net import resp2
-from runloft.net.sockets import Budget, Inbox, Outbox, close, connect, connecting, is_quiet
+from runloft.net.buffers import ReceiveBuffer, SendBuffer
+from runloft.net.connecting import connect, new_client_socket
+from runloft.net.memory_budget import MemoryBudget
+from runloft.net.socket_state import close, is_idle_and_alive
 
 log = structlog.get_logger()
 IDLE_PART = 0.7  # of the time after which a node closes an idle connection: ours goes well before
@@ -67,7 +70,7 @@
         """Give the command for an attempt that is waited for so long."""
         wait = b"%d" % max(1, wait_ns // 1_000_000)
         attributes = self.before_wait + wait + self.after_wait
-        return resp2.command(*self.words[:3], attributes, *self.words[3:])
+        return resp2.encode_command(*self.words[:3], attributes, *self.words[3:])
 
 
 class NodeLink:
@@ -89,7 +92,7 @@
     ) -> None:
         self.group, self.post, self.deadlines, self.clock = group, post, deadlines, clock
         self.kind, self.part, self.endpoint, self.permit, self.begin = kind, part, endpoint, permit, begin
-        self.replies = Budget(0)
+        self.replies = MemoryBudget(0)
         self.configure(config)
         self.idle: dict[tuple[str, str], list[Connection]] = {}
         self.out: dict[int, Connection] = {}
@@ -118,7 +121,7 @@
             if connection.idle_since > rested:
                 continue
             # Guards against a node that died while the connection was idle: such a write would be a reset.
-            if is_quiet(connection.sock):
+            if is_idle_and_alive(connection.sock):
                 self._unpool(connection)
                 connection.take(order)
                 return
@@ -214,8 +217,8 @@
 
     def __init__(self, link: NodeLink, place: tuple[str, str]) -> None:
         self.link, self.place, self.number = link, place, next(self._numbers)
-        self.sock: socket.socket = connecting()
-        self.inbox, self.outbox = Inbox(self.inbox_limit()), Outbox()
+        self.sock: socket.socket = new_client_socket()
+        self.inbox, self.outbox = ReceiveBuffer(self.inbox_limit()), SendBuffer()
         self.reserved = 0
         self.order: Dispatch | None = None
         self.connected = self.ended = self.writing = False
@@ -239,7 +242,7 @@
 
     def outcome(self) -> AttemptOutcome:
         """Tell how an attempt ends whose connection broke: it never ran before its last byte left."""
-        written = self.connected and not self.outbox.parts
+        written = self.connected and not self.outbox.chunks
         return AttemptOutcome.RESET if written else AttemptOutcome.CONNECT_FAILED
 
     def take(self, order: Dispatch) -> None:
@@ -344,7 +347,7 @@
     def finished(self, ended: AttemptFinished | AttemptWithdrawn, reusable: bool = True) -> None:
         """Post an attempt's end; the connection waits for the next one, or closes."""
         # Guards the next request: behind the rest of this one, it would get what this one is answered.
-        reusable = reusable and not self.outbox.parts
+        reusable = reusable and not self.outbox.chunks
         self.order, link = None, self.link
         self._release()
         link.out.pop(ended.attempt, None)
@@ -359,7 +362,7 @@
         link.post(ended)
 
     def _release(self) -> None:
-        self.link.replies.give(self.reserved)
+        self.link.replies.release(self.reserved)
         self.reserved = 0
 
     def end(self, reason: NodeCloseReason = NodeCloseReason.BROKEN) -> None:
@@ -413,9 +416,9 @@
 
     async def _reserve(self, size: int) -> None:
         """Guard memory against many long replies at once: the rest of this one waits in its socket."""
-        await self.link.replies.take(size)
+        await self.link.replies.acquire(size)
         if self.ended:
-            self.link.replies.give(size)
+            self.link.replies.release(size)
         else:
             self.reserved = size
             self.inbox.reserve(size)
@@ -423,7 +426,7 @@
 
 def outcome(attempt: int, reply: resp2.Reply) -> AttemptFinished:
     """Read a node's reply."""
-    used, cost = resp2.usage(reply.usage)
+    used, cost = resp2.parse_load_report(reply.usage)
     if reply.error is None:
         return AttemptFinished(attempt, AttemptOutcome.OK, reply.value, used, cost)
     outcome = AttemptOutcome.FULL if reply.error == b"BUSY" else AttemptOutcome.ERROR
--- a/tests/listeners/test_exchanges.py
+++ b/tests/listeners/test_exchanges.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from runloft.net.resp2 import command
+from runloft.net.resp2 import encode_command
 from tests.support.lab import Redis
 from tests.support.standins import Discovery, Program, config, entry, words_of
 
@@ -59,7 +59,7 @@
             client.sock.sendall(rest.encode() + b"\r\n")
         elif mark == ">$":
             words = rest.encode().split()
-            client.sock.sendall(b"".join(command(*words)))
+            client.sock.sendall(b"".join(encode_command(*words)))
         elif mark == "N>$":
             node = node or Side(listener.accept()[0])
             got = [word.decode() for word in words_of(node.lines)]
--- a/tests/listeners/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -15,7 +15,7 @@
 from runloft.core.model import ClientDisconnected, RequestReceived, Served
 from runloft.core.timers import TimerQueue
 from runloft.listeners.resp import IDLE_NS, LINGER_NS, PIPELINED, RespFront
-from runloft.net.sockets import connecting
+from runloft.net.connecting import new_client_socket
 from tests.discovery.test_discovery import read_command
 from tests.support.driver import MS, SECOND
 from tests.support.standins import Discovery, Program, RespNode, config, entry, reset, until
@@ -308,7 +308,7 @@
     async def story(scene):
         sock = scene.connect()
         accepted = next(iter(scene.front.clients)).sock
-        for one in (accepted, connecting()):
+        for one in (accepted, new_client_socket()):
             assert one.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         sock.close()
 
--- a/tests/service/test_cli.py
+++ b/tests/service/test_cli.py
@@ -11,12 +11,12 @@
 from runloft.cli import main
 from runloft.config.faults import ConfigError
 from runloft.config.settings import config_from_json, flatten, load_config, settings_from_wire
-from runloft.net.resp2 import command
+from runloft.net.resp2 import encode_command
 from tests.support.standins import Discovery, Program, RespNode, config, entry
 
 ROOT = Path(__file__).parents[2]
 READ = b"c=position-read,t=basic,d=2000,volume=0000000000000001,units=1,shard=0,hosts=1"
-ASK, ASK_2 = (b"".join(command(b"IO.IN", b"%016x" % 10, b"%016x" % n, READ)) for n in (1, 2))
+ASK, ASK_2 = (b"".join(encode_command(b"IO.IN", b"%016x" % 10, b"%016x" % n, READ)) for n in (1, 2))
 
 
 def test_the_json_settings_and_the_simulators_lines_have_one_translation():
--- a/tests/service/test_momentary_failures.py
+++ b/tests/service/test_momentary_failures.py
@@ -13,7 +13,7 @@
 from runloft.config.settings import UnreadableConfigError, config_from_json, load_config
 from runloft.core.model import Reconfigured
 from runloft.core.timers import TimerQueue
-from runloft.net import sockets
+from runloft.net import listening
 from runloft.service.reload import READ_AGAIN_NS, READ_TRIES, Reload
 from tests.support.standins import config, entry
 
@@ -115,7 +115,7 @@
     async def story():
         busy = socket.create_server(("127.0.0.1", 0))
         pause = Pause(busy)
-        listener = await sockets.listening_when_possible(busy.getsockname(), pause)
+        listener = await listening.open_listener_with_retry(busy.getsockname(), pause)
         assert len(pause.slept) == 3
         listener.close()
 
@@ -125,26 +125,26 @@
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_a_start_waits_for_a_socket_to_be_had(monkeypatch, number):
     async def story():
-        real, left = sockets.listening, [2]
+        real, left = listening.open_listener, [2]
 
-        def listening(where):
+        def held_up(where):
             if left[0]:
                 left[0] -= 1
                 raise OSError(number, "for a moment")
             return real(where)
 
-        monkeypatch.setattr(sockets, "listening", listening)
+        monkeypatch.setattr(listening, "open_listener", held_up)
 
         async def pause(_):
             pass
 
-        (await sockets.listening_when_possible(("127.0.0.1", 0), pause)).close()
+        (await listening.open_listener_with_retry(("127.0.0.1", 0), pause)).close()
 
         def forbidden(where):
             raise OSError(errno.EACCES, "for good")
 
-        monkeypatch.setattr(sockets, "listening", forbidden)
+        monkeypatch.setattr(listening, "open_listener", forbidden)
         with pytest.raises(OSError):
-            await sockets.listening_when_possible(("127.0.0.1", 0), pause)
+            await listening.open_listener_with_retry(("127.0.0.1", 0), pause)
 
     anyio.run(story)
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -21,7 +21,8 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState
-from runloft.net.sockets import close, connect, connecting
+from runloft.net.connecting import connect, new_client_socket
+from runloft.net.socket_state import close
 from runloft.service.runner import Runner
 from runloft.upstream import links
 from runloft.upstream.links import NodeLink, RespConnection, RespPayload
@@ -227,10 +228,10 @@
         full, go, done = socket.socket(), anyio.Event(), []
         full.bind(("127.0.0.1", 0))
         full.listen(0)
-        fillers = [connecting() for _ in range(4)]
+        fillers = [new_client_socket() for _ in range(4)]
         for filler in fillers:
             filler.connect_ex(full.getsockname())
-        first = connecting()
+        first = new_client_socket()
 
         async def wait():
             try:
@@ -240,7 +241,7 @@
 
         async def follow(live):
             await go.wait()
-            second = connecting()
+            second = new_client_socket()
             assert second.fileno() == number
             with anyio.move_on_after(2):
                 await connect(second, live.getsockname())
@@ -507,7 +508,7 @@
 def test_connecting_that_a_signal_interrupts_goes_on():
     async def run():
         listener = socket.create_server(("127.0.0.1", 0))
-        sock = connecting()
+        sock = new_client_socket()
 
         class Interrupted:
             def connect(self, where):
--- a/tests/upstream/test_node_replies.py
+++ b/tests/upstream/test_node_replies.py
@@ -3,8 +3,9 @@
 import anyio
 import pytest
 
+from runloft.net.buffers import ReceiveBuffer
+from runloft.net.memory_budget import MemoryBudget
 from runloft.net.resp2 import MAX_BULK, Reply, RespError, parse_reply, reply_size
-from runloft.net.sockets import Budget, Inbox
 
 VALUE = b"*3\r\n$2\r\nok\r\n"
 MORE = 400_000  # longer than a client's value may be
@@ -45,17 +46,17 @@
 def test_the_size_of_a_long_reply_is_known_from_its_head_and_room_made_for_no_more():
     data = bytearray(b"*3\r\n$%d\r\nvv" % MORE)
     assert [reply_size(data, 0, end) for end in (3, 6, len(data))] == [0, 0, MORE + 15]
-    inbox = Inbox(4 * MORE)
+    inbox = ReceiveBuffer(4 * MORE)
     inbox.reserve(MORE)
     assert len(inbox.data) == MORE > MAX_BULK
 
 
 def test_a_budget_makes_who_finds_none_wait():
     async def run():
-        budget, taken = Budget(10), []
+        budget, taken = MemoryBudget(10), []
 
         async def take(size):
-            await budget.take(size)
+            await budget.acquire(size)
             taken.append(size)
 
         async with anyio.create_task_group() as group:
@@ -63,7 +64,7 @@
                 group.start_soon(take, size)
             await anyio.wait_all_tasks_blocked()
             assert taken == [8, 2]
-            budget.give(8)
+            budget.release(8)
             await anyio.wait_all_tasks_blocked()
             assert taken == [8, 2, 5]
             budget.resize(4)
