--- a/runloft/lab/scale/datapath.py
+++ b/runloft/lab/scale/datapath.py
@@ -43,7 +43,7 @@
 from runloft.listeners.accepting import CLIENT_PART, CROWD_PART
 from runloft.listeners.resp import IDLE_NS
 from runloft.net import resp2
-from runloft.upstream.links import OTHERS
+from runloft.upstream.pool import RESERVED_DESCRIPTORS
 
 Progress = Callable[[str], None]
 # Not taken from the scenarios' module: what a stand-in loads, it loads before each measurement.
@@ -99,9 +99,9 @@
     kept = min(nodes + math.ceil(sizes.statements), limits.sockets // 2)  # connections to nodes
     most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     for who, wanted in (
-        ("the scheduler", clients + kept + OTHERS),
-        ("the clients' stand-in", clients + OTHERS),
-        ("the nodes' stand-in", nodes + kept + OTHERS),
+        ("the scheduler", clients + kept + RESERVED_DESCRIPTORS),
+        ("the clients' stand-in", clients + RESERVED_DESCRIPTORS),
+        ("the nodes' stand-in", nodes + kept + RESERVED_DESCRIPTORS),
     ):
         if wanted > most:
             size = f"{clients} clients and {nodes} nodes"
--- a/runloft/lab/scale/roles.py
+++ b/runloft/lab/scale/roles.py
@@ -16,7 +16,7 @@
 from runloft.listeners.accepting import CLIENT_PART, CROWD_PART
 from runloft.listeners.resp import CROWD_NS, IDLE_NS
 from runloft.service.admin import MOST_SHOWN
-from runloft.upstream.links import IDLE_PART, OTHERS
+from runloft.upstream.pool import IDLE_FRACTION, RESERVED_DESCRIPTORS
 
 REGIONS, ZONES = 2, 7
 CHANGES_A_DAY = 540
@@ -79,7 +79,7 @@
 HEARTBEAT = "agreement/client.py, agreement/store.py: leases with fencing, renewed by heartbeats"
 LOOP = "service/runner.py, core/reducer.py: event loop on one thread"
 FRONT = "listeners/accepting.py, listeners/resp.py: one task a connection"
-POOL = "upstream/links.py: connection pool"
+POOL = "upstream/pool.py: connection pool"
 SCRAPE = "service/admin.py: pull of metrics"
 SERVER = "Redis: single-threaded server"
 TOOL = "rolling.py: two-phase change, polled"
@@ -316,15 +316,15 @@
              f"{front}: from {crowd:.3g} of them on the least useful are closed"),
         Need(f"limits.sockets: all may rest {idle_s:g} s", ceil(2 * sizes.clients / crowd),
              f"{front}: beyond {crowd / 2:.3g} of them a rest ends after {crowd_s:g} s"),
-        Need("limits.sockets: one connection to each node", 2 * sizes.nodes + OTHERS,
-             f"upstream/links.py: half of them less {OTHERS / 2:g} go to nodes"),
+        Need("limits.sockets: one connection to each node", 2 * sizes.nodes + RESERVED_DESCRIPTORS,
+             f"upstream/pool.py: half of them less {RESERVED_DESCRIPTORS / 2:g} go to nodes"),
         Need("a client's mean rest between two statements, s", rest_s, "clients / statements"),
         Need(f"idle clients closed a second, {idle_s:g} s each", sizes.statements * exp(-idle_s / rest_s),
              "where statements come as a Poisson process", "g"),
         Need(f"idle clients closed a second, {crowd_s:g} s each", sizes.statements * exp(-crowd_s / rest_s),
              "the same, beyond a sixth of limits.sockets", "g"),
         Need("a node connection's mean rest, s", sizes.nodes / sizes.statements,
-             f"nodes / statements; idle ones are closed after {IDLE_PART:g} of ConnIdle"),
+             f"nodes / statements; idle ones are closed after {IDLE_FRACTION:g} of ConnIdle"),
         Need("limits.memory_mb: the program and its clients", own_mb,
              f"config/operator.py: {CLIENT_KB:g} KiB a client, {WITH_TOOLS_MB:g} MB without any",
              budget="memory"),
--- a/runloft/listeners/grammar.py
+++ b/runloft/listeners/grammar.py
@@ -4,7 +4,7 @@
 
 from runloft.config.settings import Config
 from runloft.core.model import RequestSpec
-from runloft.upstream.links import RespPayload
+from runloft.upstream.payloads import RespPayload
 
 MOST_SHARD = 65_535  # as on the simulator's wire
 TRAVEL_NS = 25_000_000  # of a client's time, for ways whose length nobody tells
--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -42,7 +42,8 @@
 from runloft.net.socket_state import close, half_closed, nothing_to_read
 from runloft.net.timing import Clock, pause, within
 from runloft.sharing.places import Place, SharedStore, StoreDownError
-from runloft.upstream.http_link import HttpPayload, Stream
+from runloft.upstream.payloads import HttpPayload
+from runloft.upstream.response_stream import ResponseStream
 
 log = structlog.get_logger()
 HEAD_LIMIT = 16 << 10
@@ -146,13 +147,13 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.event, self.sock = anyio.Event(), sock
-        self.stream: Stream | None = None
+        self.stream: ResponseStream | None = None
         self.reply: Reply | None = None
         self.shard = -1
 
     def begin(self, value: object, node: str, shard: int) -> None:
         """Take the head of the answer."""
-        assert isinstance(value, Stream)
+        assert isinstance(value, ResponseStream)
         self.stream, self.shard = value, shard
         self.event.set()
 
@@ -167,7 +168,7 @@
         if isinstance(reply, Served):
             self.shard = reply.shard
         elif self.stream:
-            self.stream.end(False)
+            self.stream.finish(False)
         self.event.set()
 
 
@@ -412,11 +413,11 @@
         scope.cancel()
 
     async def _pass_on(
-        self, asked: Operation, exchange: Exchange, stream: Stream, upload: str, size: int
+        self, asked: Operation, exchange: Exchange, stream: ResponseStream, upload: str, size: int
     ) -> None:
         """Pass an answer on as it comes; one that breaks ends the connection short."""
         if asked.name == "create":
-            while await stream.next() is not None:
+            while await stream.next_chunk() is not None:
                 pass
             if stream.broken:
                 raise problem_of(exchange.reply or Failed(AttemptOutcome.RESET))
@@ -431,7 +432,7 @@
         if self.front.stopping:
             headers.append((b"Connection", b"close"))
         await self._write(h11.Response(status_code=stream.status, headers=headers))
-        while (piece := await stream.next()) is not None:
+        while (piece := await stream.next_chunk()) is not None:
             await self._write(h11.Data(data=piece))
         if stream.broken:
             # Nothing can take the head back: the client sees fewer bytes than it was promised.
@@ -608,7 +609,9 @@
             is_write=asked.name in ("put", "part", "complete"),
         ), upload
 
-    async def note(self, asked: Operation, stream: Stream, shard: int, upload: str, size: int) -> None:
+    async def note(
+        self, asked: Operation, stream: ResponseStream, shard: int, upload: str, size: int
+    ) -> None:
         """Keep the shared store in step with what a node has done."""
         if stream.status >= 300:
             return
--- a/runloft/net/resp2/parsing.py
+++ b/runloft/net/resp2/parsing.py
@@ -79,21 +79,22 @@
     def _read_bulk_string(self, size: int, max_bulk: int) -> bytes:
         if not 0 <= size <= max_bulk:
             raise RespError("invalid bulk length")
+        data = self.data
         start = self.position
         stop = start + size
         if stop + 2 > self.end:
             raise IncompleteError
-        if self.data[stop : stop + 2] != END_OF_LINE:
+        if not data.startswith(END_OF_LINE, stop):
             raise RespError("bulk string without its end")
         self.position = stop + 2
-        with memoryview(self.data) as view:
+        with memoryview(data) as view:
             return bytes(view[start:stop])
 
 
 def parse_length(data: bytearray, start: int, stop: int) -> int:
     """Return the number in ``data[start:stop]``; raise RespError where it is none."""
     text = data[start:stop]
-    if not text.lstrip(b"-").isdigit() or len(text) > MAX_LENGTH_DIGITS:
+    if len(text) > MAX_LENGTH_DIGITS or not text.lstrip(b"-").isdigit():
         raise RespError("invalid length")
     try:
         return int(text)
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -33,7 +33,8 @@
 from runloft.net.socket_state import close
 from runloft.net.timing import pause
 from runloft.service.reload import Configured, Reload
-from runloft.upstream.links import NodeLink, RespConnection
+from runloft.upstream.pool import ConnectionPool
+from runloft.upstream.resp_connection import RespConnection
 
 if TYPE_CHECKING:
     from runloft.agreement.client import Agreeing
@@ -72,7 +73,7 @@
     def abandon(self, attempt: int) -> None:
         """Close an attempt's connection, if it is this link's."""
 
-    def listed(self, nodes: tuple[NodeUpdate, ...]) -> None:
+    def update_nodes(self, nodes: tuple[NodeUpdate, ...]) -> None:
         """Heed news of the nodes."""
 
     def configure(self, config: Config) -> None:
@@ -145,7 +146,7 @@
             if isinstance(event, NodeListUpdate):
                 self.core.clock_in_doubt |= abs(self.clock_error_ns()) > CLOCK_STEP_NS
                 for link in self.links.values():
-                    link.listed(event.nodes)
+                    link.update_nodes(event.nodes)
         self.carry_out(self.core.step(self.clock(), events))
 
     def carry_out(self, effects: Iterable[Effect]) -> None:
@@ -200,16 +201,16 @@
 ) -> None:
     core, deadlines, clock = runner.core, runner.deadlines, runner.clock
     async with anyio.create_task_group() as group:
-        runner.links["resp"] = NodeLink(
+        runner.links["resp"] = ConnectionPool(
             group,
             runner.post,
             deadlines,
             clock,
             config,
-            kind=RespConnection,
+            connection_type=RespConnection,
             permit=core.permit_first_byte,
-            begin=core.begin_attempt,
-            part=4 if config.objects else 2,  # the other half of the descriptors is the clients'
+            begin_attempt=core.begin_attempt,
+            descriptors_divisor=4 if config.objects else 2,  # the other half is the clients'
         )
         fronts: list[Front] = [RespFront(group, runner.post, deadlines, clock, config)]
         listeners = [await open_listener_with_retry(config.listen)]
@@ -218,21 +219,21 @@
             # Loaded here: the platform, where it is off, needs neither its memory nor its start-up time.
             from runloft.listeners.objects import ObjectFront
             from runloft.sharing.places import SharedStore
-            from runloft.upstream.http_link import HttpConnection
+            from runloft.upstream.http_connection import HttpConnection
 
             store = SharedStore(config.objects.store)
             fronts.append(ObjectFront(group, runner.post, deadlines, clock, config, config.objects, store))
             listeners.append(await open_listener_with_retry(config.objects.listen))
-            runner.links["http"] = NodeLink(
+            runner.links["http"] = ConnectionPool(
                 group,
                 runner.post,
                 deadlines,
                 clock,
                 config,
-                kind=HttpConnection,
+                connection_type=HttpConnection,
                 permit=core.permit_first_byte,
-                begin=core.begin_attempt,
-                part=8,
+                begin_attempt=core.begin_attempt,
+                descriptors_divisor=8,
                 endpoint=partial(object_endpoint, config.objects),
             )
         runner.post(listed(config.known, config.zones, ListKind.CACHED))
--- a/runloft/upstream/__init__.py
+++ b/runloft/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to storage nodes: the pool, and a connection for each protocol."""
+"""Upstream connections: a pool for each wire, with one attempt at a time on each connection."""
--- /dev/null
+++ b/runloft/upstream/resp_connection.py
@@ -0,0 +1,78 @@
+"""Upstream connections that speak RESP2: one command, one reply."""
+
+from functools import partial
+
+from runloft.core.counters import NodeCloseReason
+from runloft.core.model import AttemptFinished, Dispatch
+from runloft.decisions.contract import AttemptOutcome
+from runloft.net import resp2
+from runloft.upstream.connection import UpstreamConnection
+from runloft.upstream.errors import UpstreamProtocolError
+from runloft.upstream.payloads import RespPayload
+
+UNRESERVED_REPLY_BYTES = 16 << 10  # of a reply, that take nothing of the memory budget
+STALL_TIMEOUT_NS = 250_000_000  # a reply that has begun and brings no byte for so long is never complete
+NODE_FULL = b"BUSY"
+
+
+class RespConnection(UpstreamConnection):
+    """A connection to a storage node."""
+
+    def max_inbox_bytes(self) -> int:
+        """Return the bytes of the longest reply and its frame."""
+        return self.pool.max_reply_bytes + UNRESERVED_REPLY_BYTES
+
+    def encode_attempt(self, effect: Dispatch, wait_ns: int) -> list[bytes]:
+        """Return the command as chunks."""
+        payload = effect.payload
+        assert isinstance(payload, RespPayload)
+        return payload.encode_attempt(wait_ns)
+
+    async def process_received(self) -> None:
+        """Parse a reply once it is complete; the first complete one stands, whatever comes behind it."""
+        inbox = self.inbox
+        pool = self.pool
+        if self.current is None:
+            raise UpstreamProtocolError("a reply that nothing asked for", self.peer.endpoint)
+        parsed = resp2.parse_reply(inbox.data, inbox.start, inbox.end, pool.max_reply_bytes)
+        pool.deadlines.discard(self.timer)
+        if parsed is None:
+            await self._wait_for_rest()
+            return
+        event = attempt_finished(self.current.attempt, parsed.reply)
+        reusable = parsed.is_reusable and parsed.end == inbox.end
+        inbox.start = inbox.end
+        inbox.shrink()
+        self.finish_attempt(event, reusable)
+
+    async def _wait_for_rest(self) -> None:
+        """Reserve memory for the rest of a reply, and close where it stops half-way."""
+        inbox = self.inbox
+        pool = self.pool
+        size = resp2.reply_size(inbox.data, inbox.start, inbox.end)
+        if size > UNRESERVED_REPLY_BYTES and not self.reserved_bytes:
+            await self._reserve_reply_memory(size + UNRESERVED_REPLY_BYTES)
+        self.timer = None
+        if not self.closed:
+            # Prevents the loss of the request's time: a reply that stops half-way would use all of it.
+            on_timeout = partial(self.close, NodeCloseReason.STALLED)
+            self.timer = pool.deadlines.add(pool.clock() + STALL_TIMEOUT_NS, on_timeout)
+
+    async def _reserve_reply_memory(self, size: int) -> None:
+        """Prevent many long replies from filling memory at once: the rest of this one waits in its socket."""
+        await self.pool.reply_memory.acquire(size)
+        if self.closed:
+            self.pool.reply_memory.release(size)
+        else:
+            self.reserved_bytes = size
+            self.inbox.reserve(size)
+
+
+def attempt_finished(attempt: int, reply: resp2.Reply) -> AttemptFinished:
+    """Return the event that a node's reply stands for."""
+    load = resp2.parse_load_report(reply.usage)
+    if reply.error is None:
+        outcome = AttemptOutcome.OK
+        return AttemptFinished(attempt, outcome, reply.value, load.used_percent, load.elsewhere_units)
+    outcome = AttemptOutcome.FULL if reply.error == NODE_FULL else AttemptOutcome.ERROR
+    return AttemptFinished(attempt, outcome, None, load.used_percent, load.elsewhere_units)
--- a/tests/config/test_configs.py
+++ b/tests/config/test_configs.py
@@ -18,7 +18,7 @@
 from runloft.listeners import objects as objects_front
 from runloft.listeners import resp
 from runloft.listeners.accepting import AcceptingFront
-from runloft.upstream import links
+from runloft.upstream.pool import ConnectionPool
 
 HERE = Path(__file__).parent / "files"
 EDIT = re.compile(r"(\d+)([=+-]) ?(.*)")
@@ -112,11 +112,20 @@
             int(1024 * operator.CLIENT_PART) // fronts,
         )
         for part in parts:
-            link = links.NodeLink(None, None, None, None, config_from_json(held), kind=None, permit=None,
-                                  begin=None, part=part)  # fmt: skip
-            assert link.most == (1024 - operator.OTHERS) // part
+            pool = ConnectionPool(
+                None,
+                None,
+                None,
+                None,
+                config_from_json(held),
+                connection_type=None,
+                permit=None,
+                begin_attempt=None,
+                descriptors_divisor=part,
+            )
+            assert pool.max_connections == (1024 - operator.OTHERS) // part
     runner = (HERE.parents[2] / "runloft" / "service" / "runner.py").read_text()
-    assert "part=4 if config.objects else 2," in runner and "part=8," in runner
+    assert "descriptors_divisor=4 if config.objects else 2," in runner and "descriptors_divisor=8," in runner
     assert (operator.IDLE_MS, operator.CROWD_MS) == (resp.IDLE_NS / 1e6, resp.CROWD_NS / 1e6)
     assert operator.IDLE_MS == objects_front.IDLE_S * 1e3
 
--- a/tests/core/test_guard.py
+++ b/tests/core/test_guard.py
@@ -158,8 +158,8 @@
     "permit_start": {"reducer.py:_take"},
     "permit_repeat": {"guard.py:permit_send", "guard.py:permit_first_byte"},
     "permit_first_byte": {"reducer.py:permit_first_byte"},
-    "permitted_ns": {"links.py:dispatch", "links.py:_begin"},
-    "parts": {"links.py:_begin", "links.py:parts"},  # of an attempt: behind permitted_ns
+    "permitted_wait_ns": {"pool.py:dispatch", "connection.py:_start_attempt"},
+    "encode_attempt": {"connection.py:_start_attempt", "resp_connection.py:encode_attempt"},
     "permit_close": {"resp.py:may_close", "objects.py:may_close"},
 }
 
--- a/tests/listeners/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -10,7 +10,7 @@
 from runloft.core.timers import TimerQueue
 from runloft.listeners.objects import FREE_ERRORS, LINGER_S, ObjectFront
 from runloft.sharing.places import Place
-from runloft.upstream.http_link import Stream
+from runloft.upstream.response_stream import ResponseStream
 from tests.support.driver import MS, SECOND
 from tests.support.standins import config
 
@@ -58,9 +58,9 @@
 
     async def answer(self, client, exchange):
         """Answer it; all of the answer is the system's then, and the most of it not the client's yet."""
-        stream = Stream(200, [(b"Content-Length", b"%d" % SIZE)])
+        stream = ResponseStream(200, [(b"Content-Length", b"%d" % SIZE)])
         stream.put(b"a" * SIZE)
-        stream.end(True)
+        stream.finish(True)
         exchange.begin(stream, "s-1", 0)
         exchange.answer(Served(stream, "s-1", 0))
         await self.until(lambda: not client.busy)
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -16,7 +16,7 @@
 from runloft.decisions.contract import AttemptOutcome, ListKind, NewSettings, PlanSettings, SendAttempt
 from runloft.discovery.watch import Watch
 from runloft.service.reload import Reload, changeable
-from runloft.upstream.links import NodeLink
+from runloft.upstream.pool import ConnectionPool
 from tests.core.test_core import Turns
 from tests.support.driver import MS, SECOND, Host, settings
 from tests.support.standins import Discovery, Program, RespNode, config, entry, until
@@ -195,9 +195,11 @@
 def test_a_link_without_a_descriptor_to_spare_says_nothing_of_the_node():
     deadlines, posted = TimerQueue(), []
     conf = config_from_json(config("127.0.0.1:1", []) | {"limits": {"sockets": 32}})
-    link = NodeLink(None, posted.append, deadlines, lambda: 0, conf, kind=None, permit=None, begin=None)
-    link.most = 0
-    link.dispatch(Dispatch(1, NodeUpdate("s-1", "127.0.0.1:2", 0), None, SECOND))
-    assert posted == [] and list(link.waiting) == [1] and len(deadlines) == 1
-    link.abandon(1)
-    assert not link.waiting and not len(deadlines)
+    pool = ConnectionPool(
+        None, posted.append, deadlines, lambda: 0, conf, connection_type=None, permit=None, begin_attempt=None
+    )
+    pool.max_connections = 0
+    pool.dispatch(Dispatch(1, NodeUpdate("s-1", "127.0.0.1:2", 0), None, SECOND))
+    assert posted == [] and list(pool.waiting) == [1] and len(deadlines) == 1
+    pool.abandon(1)
+    assert not pool.waiting and not len(deadlines)
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -76,7 +76,7 @@
         self.core = Core(settings(request_class(deadline=deadline)), 1, self.now, deadlines)
         self.runner = Runner(self.core, deadlines, lambda: self.now)
         self.runner.links["resp"] = SimpleNamespace(
-            dispatch=lambda order: None, abandon=lambda n: None, listed=lambda n: None
+            dispatch=lambda order: None, abandon=lambda n: None, update_nodes=lambda n: None
         )
         self.runner.post(NodeListUpdate(ListKind.CACHED, (NodeUpdate("s-1", "127.0.0.1:1", 0),)))
         self.front = Front(self, every, deadline * MS)
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -24,8 +24,10 @@
 from runloft.net.connecting import connect, new_client_socket
 from runloft.net.socket_state import close
 from runloft.service.runner import Runner
-from runloft.upstream import links
-from runloft.upstream.links import NodeLink, RespConnection, RespPayload
+from runloft.upstream import connection
+from runloft.upstream.payloads import RespPayload
+from runloft.upstream.pool import LOCAL_ERROR_RETRY_NS, ConnectionPool
+from runloft.upstream.resp_connection import RespConnection
 from tests.support.driver import MS, SECOND
 from tests.support.standins import config, reset, settings
 
@@ -63,22 +65,22 @@
         conf = config_from_json(config("127.0.0.1:1", [], **extra))
         self.core = Core(conf.settings, 1, self.now, deadlines)
         self.runner = Runner(self.core, deadlines, lambda: self.now)
-        self.link = self.runner.links["resp"] = NodeLink(
+        self.pool = self.runner.links["resp"] = ConnectionPool(
             group,
             self.runner.post,
             deadlines,
             lambda: self.now,
             conf,
-            kind=RespConnection,
+            connection_type=RespConnection,
             permit=self.core.permit_first_byte,
-            begin=self.core.begin_attempt,
+            begin_attempt=self.core.begin_attempt,
         )
 
         async def held_up(sock, where):
             await self.up.wait()
             await connect(sock, where)
 
-        monkeypatch.setattr(links, "connect", held_up)
+        monkeypatch.setattr(connection, "connect", held_up)
         self.tell()
 
     def tell(self, kind=ListKind.FULL, **more):
@@ -106,7 +108,7 @@
         return await anyio.to_thread.run_sync(conn.recv, 4096)
 
     def close(self):
-        self.link.close()
+        self.pool.close()
         self.listener.close()
 
 
@@ -149,7 +151,7 @@
         conn.setblocking(False)
         with pytest.raises(BlockingIOError):
             conn.recv(1)
-        assert 1 not in scene.core.attempts and 1 not in scene.link.out
+        assert 1 not in scene.core.attempts and 1 not in scene.pool.in_flight
         # Nothing of it says anything of the node, and what is still wanted is asked again or waits.
         node = next(iter(scene.core.scheduler.nodes.values()))
         assert node.failed == 0 and not node.down_since
@@ -212,11 +214,11 @@
         )
         scene.turn()
         conn = await scene.node()
-        connection = next(iter(scene.link.open))
-        await until(lambda: connection.writing)
+        carrier = next(iter(scene.pool.open))
+        await until(lambda: carrier.writer.is_waiting)
         conn.sendall(BUSY)
         await until(lambda: scene.runner.events)
-        assert not scene.link.idle and connection.ended
+        assert not scene.pool.idle and carrier.closed
 
     play(monkeypatch, story)
 
@@ -267,14 +269,14 @@
     """It is asked about again before it takes one."""
 
     async def story(scene):
-        scene.link.most = 0
+        scene.pool.max_connections = 0
         sink = scene.take()
-        assert scene.link.waiting
-        scene.link.most = 8
+        assert scene.pool.waiting
+        scene.pool.max_connections = 8
         scene.runner.post(ClientDisconnected(sink))
         scene.turn()
         scene.turn(10)
-        assert not scene.link.waiting and not scene.link.open
+        assert not scene.pool.waiting and not scene.pool.open
 
     play(monkeypatch, story, **LIMITS)
 
@@ -312,7 +314,7 @@
         else:
             sink = scene.take(id_=OTHER)
             CAME[came](first)
-            assert scene.link.waiting
+            assert scene.pool.waiting
             scene.turn(4)
         second = await scene.node()
         assert OTHER in await scene.read(second)
@@ -320,7 +322,7 @@
         await until(lambda: scene.runner.events)
         scene.turn()
         assert [reply.value for reply in sink.replies] == [b"ok"]
-        assert len(scene.link.open) == 1
+        assert len(scene.pool.open) == 1
 
     play(monkeypatch, story)
 
@@ -336,9 +338,9 @@
         for n in range(len(VALUE)):
             assert not sink.replies
             conn.sendall(VALUE[n : n + 1])
-            await until(lambda: next(iter(scene.link.open)).inbox.end > n or scene.runner.events)  # noqa: B023
+            await until(lambda: next(iter(scene.pool.open)).inbox.end > n or scene.runner.events)  # noqa: B023
             scene.turn(25)
-        assert [reply.value for reply in sink.replies] == [b"ok"] and scene.link.idle
+        assert [reply.value for reply in sink.replies] == [b"ok"] and scene.pool.idle
 
     play(monkeypatch, story)
 
@@ -350,11 +352,11 @@
         scene.take()
         await anyio.wait_all_tasks_blocked()
         scene.turn(240)
-        assert len(scene.link.open) == 1 and not scene.runner.events
+        assert len(scene.pool.open) == 1 and not scene.runner.events
         scene.turn(20)
         await until(lambda: scene.runner.events)
         assert scene.runner.events[0].outcome is AttemptOutcome.CONNECT_FAILED
-        assert not scene.link.open and not scene.link.out
+        assert not scene.pool.open and not scene.pool.in_flight
         scene.turn()
         scene.turn(100)
         assert [attempt.request.sends for attempt in scene.core.attempts.values()] == [2]
@@ -450,7 +452,7 @@
             await anyio.wait_all_tasks_blocked()
             scene.turn(8000)
         assert not (scene.core.requests or scene.core.attempts or scene.core.by_sink or scene.runner.events)
-        assert not (scene.link.open or scene.link.out or scene.link.idle or scene.link.waiting)
+        assert not (scene.pool.open or scene.pool.in_flight or scene.pool.idle or scene.pool.waiting)
         assert not scene.core.scheduler.tickets and not len(scene.runner.deadlines)
         for conn in connections:
             conn.close()
@@ -463,7 +465,7 @@
     """All nodes at once were taken for refusing: their presumed slow start cost 114 of 5,556 requests."""
 
     async def story(scene):
-        real, left = links.connect, [2]
+        real, left = connection.connect, [2]
 
         async def failing(sock, where):
             if left[0]:
@@ -471,13 +473,13 @@
                 raise OSError(number, "for a moment")
             await real(sock, where)
 
-        monkeypatch.setattr(links, "connect", failing)
+        monkeypatch.setattr(connection, "connect", failing)
         scene.up.set()
         sink = scene.take()
         for tries in (1, 2):
-            await until(lambda tries=tries: left[0] == 2 - tries and scene.link.waiting)
-            assert scene.core.attempts and not scene.link.open
-            scene.turn(links.LOCAL_RETRY_NS // MS)
+            await until(lambda tries=tries: left[0] == 2 - tries and scene.pool.waiting)
+            assert scene.core.attempts and not scene.pool.open
+            scene.turn(LOCAL_ERROR_RETRY_NS // MS)
         conn = await scene.node()
         assert await scene.read(conn)
         node = scene.core.scheduler.nodes[1]
@@ -495,12 +497,12 @@
         async def failing(sock, where):
             raise OSError(errno.EADDRNOTAVAIL, "for good")
 
-        monkeypatch.setattr(links, "connect", failing)
+        monkeypatch.setattr(connection, "connect", failing)
         sink = scene.take()
-        await until(lambda: scene.link.waiting)
+        await until(lambda: scene.pool.waiting)
         scene.runner.post(ClientDisconnected(sink))
         scene.turn()
-        assert not (scene.link.waiting or scene.link.open or scene.core.attempts)
+        assert not (scene.pool.waiting or scene.pool.open or scene.core.attempts)
 
     play(monkeypatch, story)
 
