--- a/runloft/errors.py
+++ b/runloft/errors.py
@@ -1,5 +1,5 @@
-"""The base of the exceptions that this package raises."""
+"""The base of every exception that this package defines."""
 
 
 class RunloftError(Exception):
-    """Base class of all exceptions of the package."""
+    """Base class of the package's exceptions; subclasses carry what went wrong."""
