--- a/runloft/discovery/__init__.py
+++ b/runloft/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The watch of discovery's list of storage nodes."""
+"""The node list: watched at the discovery agent, decoded and handed on as ``NodeListUpdate`` events."""
--- /dev/null
+++ b/runloft/discovery/node_list.py
@@ -0,0 +1,64 @@
+"""Node lists: what a watch event says, and its entries as the scheduler's ``NodeListUpdate``."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+import structlog
+
+from runloft.core.model import NodeListUpdate, NodeUpdate
+from runloft.decisions.contract import ListKind, NodeState
+
+log = structlog.get_logger()
+NODE_STATES = {
+    "in_service": NodeState.READY,
+    "terminating": NodeState.DRAINING,
+    "terminated": NodeState.GONE,
+}
+NANOSECONDS_PER_MS = 1_000_000
+
+
+@dataclass(frozen=True, slots=True)
+class WatchEvent:
+    """One message of a watch: a complete list, or what has changed since the one before."""
+
+    rev: int | None  # the list's version, None where the message names none
+    kind: ListKind
+    entries: Any  # as they came; ``node_list_update`` decodes each on its own
+
+    @classmethod
+    def from_json(cls, message: Mapping[str, Any]) -> "WatchEvent":
+        """Return the event of a message; raise TypeError, ValueError or OverflowError for a bad version."""
+        rev = int(message["rev"]) if "rev" in message else None
+        kind = ListKind.FULL if message.get("all") else ListKind.DELTA
+        return cls(rev, kind, message.get("targets"))
+
+
+def node_list_update(
+    kind: ListKind, entries: Any, zones: tuple[str, ...], last_heard_at: int = 0
+) -> NodeListUpdate:
+    """Return the update that a list's entries stand for; invalid entries are skipped and logged.
+
+    ``last_heard_at`` is when discovery was last heard before this list, 0 where that is unknown.
+    """
+    nodes = []
+    for entry in entries or ():
+        try:
+            nodes.append(_node_update(entry, zones))
+        except (ArithmeticError, AttributeError, KeyError, TypeError, ValueError) as error:
+            log.warning("node entry skipped", error=repr(error))
+    return NodeListUpdate(kind, tuple(nodes), last_heard_at)
+
+
+def _node_update(entry: Any, zones: tuple[str, ...]) -> NodeUpdate:
+    zone = str(entry.get("az", ""))
+    return NodeUpdate(
+        uid=str(entry["uid"]),
+        endpoint=str(entry.get("endpoint", "")),
+        shard=int(entry.get("pod_group", 0)),
+        state=NODE_STATES.get(str(entry.get("state")), NodeState.DRAINING),
+        started_ns=int(entry.get("boot_ms") or 0) * NANOSECONDS_PER_MS,
+        zone=zones.index(zone) if zone in zones else 0,
+        rating=float(entry.get("capacity_hint") or 1.0),
+        object_endpoint=str(entry.get("object_endpoint", "")),
+    )
--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -109,7 +109,7 @@
         core.held = config.held
         self.runner = runner = HollowRunner(core, timers, clock)
         is_polled = config.settings.list_is_polled
-        watch = Watch(config.discovery, 0, config.zones, runner.post, timers, clock, asked=is_polled)
+        watch = Watch(config.discovery, 0, config.zones, runner.post, timers, clock, polled=is_polled)
         self.reload = Reload(None, config, watch, runner.post, [])
         try:
             async with anyio.create_task_group() as self.group:
--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -13,7 +13,8 @@
 from runloft.core.model import Event, Reconfigured
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.decisions.contract import ListKind
-from runloft.discovery.watch import Watch, listed
+from runloft.discovery.node_list import node_list_update
+from runloft.discovery.watch import Watch
 
 log = structlog.get_logger()
 READ_TRIES, READ_AGAIN_NS = 30, 100_000_000  # of a file that can't be read: what it says counts 4 s later
@@ -85,7 +86,7 @@
         rev = fresh.known.get("rev")
         if isinstance(rev, int) and rev > self.watch.rev:  # the file knows more than the watch has told
             self.watch.rev = rev
-            self.post(listed(fresh.known, fresh.zones, ListKind.FULL))
+            self.post(node_list_update(ListKind.FULL, fresh.known.get("targets"), fresh.zones))
         old = self.config
         if (fresh.settings, fresh.bounds, fresh.held) != (old.settings, old.bounds, old.held):
             self.post(Reconfigured(fresh.settings, fresh.bounds, fresh.held))
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -27,7 +27,8 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import ListKind
-from runloft.discovery.watch import Watch, listed
+from runloft.discovery.node_list import node_list_update
+from runloft.discovery.watch import Watch
 from runloft.listeners.resp import RespFront
 from runloft.net.listening import open_listener_with_retry
 from runloft.net.socket_state import close
@@ -236,7 +237,7 @@
                 descriptors_divisor=8,
                 endpoint=partial(object_endpoint, config.objects),
             )
-        runner.post(listed(config.known, config.zones, ListKind.CACHED))
+        runner.post(node_list_update(ListKind.CACHED, config.known.get("targets"), config.zones))
         rev = int(config.known.get("rev", 0) or 0)
         watch = Watch(
             config.discovery,
@@ -245,7 +246,7 @@
             runner.post,
             deadlines,
             clock,
-            asked=config.settings.list_is_polled,
+            polled=config.settings.list_is_polled,
         )
         stopped = anyio.Event()
         group.start_soon(runner.run)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -12,7 +12,8 @@
 import pytest
 
 from runloft.core.timers import TimerQueue
-from runloft.discovery.watch import Messages, Watch
+from runloft.discovery.message_decoder import MessageDecoder
+from runloft.discovery.watch import Watch
 from tests.support.standins import Discovery, Program, RespNode, config, entry, reset, until
 
 OK = b"$2\r\nok\r\n"
@@ -25,7 +26,7 @@
 def test_messages_come_whole_whatever_their_lines_and_pieces(indent, size):
     """Mass days: lists may come indented; each line was taken for a message, and the watch ended."""
     text = "".join(json.dumps(m, indent=indent) + "\n\n" for m in (DELTA, LIST, DELTA)).encode()
-    messages, got = Messages(), []
+    messages, got = MessageDecoder(), []
     for at in range(0, len(text), size):
         got += messages.receive(text[at : at + size])
     assert got == [DELTA, LIST, DELTA]
@@ -44,7 +45,7 @@
 )
 def test_what_can_become_no_message_is_an_error_at_once(bad):
     with pytest.raises(ValueError):
-        Messages().receive(bad)
+        MessageDecoder().receive(bad)
 
 
 class Agent:
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -187,7 +187,7 @@
         reload = Reload(str(path), config_from_json(raw), watch, posted.append, ())
         for _ in range(2):  # again before the new one has said anything
             reload()
-            assert [event.kind for event in posted] == told and (watch.index, watch.where[1]) == (0, 3)
+            assert [event.kind for event in posted] == told and (watch.index, watch.address[1]) == (0, 3)
 
     anyio.run(run)
 
