--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -41,7 +41,7 @@
 from runloft.net.memory_budget import MemoryBudget
 from runloft.net.socket_state import close, half_closed, nothing_to_read
 from runloft.net.timing import Clock, pause, within
-from runloft.sharing.places import Place, SharedStore, StoreDownError
+from runloft.placement.store import Placement, PlacementStore, StoreUnavailableError
 from runloft.upstream.payloads import HttpPayload
 from runloft.upstream.response_stream import ResponseStream
 
@@ -360,7 +360,7 @@
         arrived_at = self.front.clock()
         try:
             ask, upload = await self.front.ask(asked, headers, body)
-        except StoreDownError as error:
+        except StoreUnavailableError as error:
             raise self._store_down(error) from None
         exchange, failure = Exchange(self.sock), None
         if exchange.has_disconnected():  # while the store was asked: nothing of it is begun
@@ -423,7 +423,7 @@
                 raise problem_of(exchange.reply or Failed(AttemptOutcome.RESET))
         try:
             await self.front.note(asked, stream, exchange.shard, upload, size)
-        except StoreDownError as error:
+        except StoreUnavailableError as error:
             raise self._store_down(error) from None
         if asked.name == "create" and stream.status < 300:
             await self._document(200, _created(asked, upload))
@@ -439,7 +439,7 @@
             raise ConnectionAbortedError("the answer broke off")
         await self._write(h11.EndOfMessage())
 
-    def _store_down(self, error: StoreDownError) -> Problem:
+    def _store_down(self, error: StoreUnavailableError) -> Problem:
         log.warning("shared store down", error=str(error))
         return Problem(503, "ServiceUnavailable", "the shared store is down", 1_000_000_000)
 
@@ -519,7 +519,7 @@
         clock: Clock,
         config: Config,
         settings: ObjectSettings,
-        store: SharedStore,
+        store: PlacementStore,
     ) -> None:
         self.bodies = MemoryBudget(0)
         self.config, self.settings, self.store = config, settings, store
@@ -618,22 +618,22 @@
         store = self.store
         item = store.object_key(asked.volume, asked.key)
         if asked.name == "put":
-            await store.put(item, Place(shard, size))
+            await store.put(item, Placement(shard, size))
         elif asked.name == "create":
-            await store.put(store.upload_key(asked.volume, asked.key, upload), Place(shard), upload=True)
+            await store.put(store.upload_key(asked.volume, asked.key, upload), Placement(shard), upload=True)
         elif asked.name == "complete":
-            await store.put(item, Place(shard))
-            await store.forget(store.upload_key(asked.volume, asked.key, upload))
+            await store.put(item, Placement(shard))
+            await store.delete(store.upload_key(asked.volume, asked.key, upload))
         elif asked.name == "abort":
-            await store.forget(store.upload_key(asked.volume, asked.key, upload))
+            await store.delete(store.upload_key(asked.volume, asked.key, upload))
         elif asked.name == "delete":
-            await store.forget(item)
+            await store.delete(item)
         elif asked.name in ("get", "head") and stream.status == 200:
             # An assembled object's size is first known from an answer; it makes later units right.
             length = next((v for n, v in stream.headers if n.lower() == b"content-length"), b"")
             place = await store.get(item)
             if length.isdigit() and place and place.size < 0:
-                await store.put(item, Place(place.shard, int(length)))
+                await store.put(item, Placement(place.shard, int(length)))
 
     def stop(self, last: bool = False) -> None:
         """Close clients between requests; busy ones end after their answer."""
--- /dev/null
+++ b/runloft/placement/store.py
@@ -0,0 +1,101 @@
+"""The placement store: object and upload to shard, kept in Redis for all sidecars.
+
+Each placement is one key.  Its value is the shard, a space, and the size in bytes, -1 where it is unknown.
+"""
+
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
+
+import redis.asyncio
+from redis.asyncio.retry import Retry
+from redis.backoff import NoBackoff
+from redis.exceptions import RedisError
+
+from runloft.errors import RunloftError
+
+MAX_CONNECTIONS = 16
+UPLOAD_TTL_S = 7 * 24 * 3600  # an upload that nobody completes or aborts is forgotten by then
+DEFAULT_TIMEOUT_S = 1.0
+UNKNOWN_SIZE = -1
+
+
+class StoreUnavailableError(RunloftError):
+    """The store does not answer, or not with a placement; nothing can be routed."""
+
+    def __init__(self, message: str, key: str) -> None:
+        super().__init__(message)
+        self.key = key
+
+
+@dataclass(frozen=True, slots=True)
+class Placement:
+    """The shard that holds an object or an upload, and an object's size in bytes where it is known."""
+
+    shard: int
+    size: int = UNKNOWN_SIZE
+
+
+class PlacementStore:
+    """A client of the store, with a connection pool of its own that ``close`` closes."""
+
+    def __init__(self, url: str, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
+        # Blocking: a burst waits for a connection, instead of finding the store unavailable.
+        pool = redis.asyncio.BlockingConnectionPool.from_url(
+            url,
+            protocol=2,
+            socket_timeout=timeout_s,
+            socket_connect_timeout=timeout_s,
+            max_connections=MAX_CONNECTIONS,
+            timeout=timeout_s,
+            # No retries of its own: the client gets 503 and retries.
+            retry=Retry(NoBackoff(), 0),
+        )
+        self._redis = redis.asyncio.Redis.from_pool(pool)
+
+    @staticmethod
+    def object_key(volume: str, key: str) -> str:
+        """Return an object's key in the store."""
+        return f"runloft:object:{volume}:{key}"
+
+    @staticmethod
+    def upload_key(volume: str, key: str, upload: str) -> str:
+        """Return an upload's key in the store; an upload belongs to one object."""
+        return f"runloft:upload:{volume}:{upload}:{key}"
+
+    async def get(self, name: str) -> Placement | None:
+        """Return the placement of a key, None where it has none; raise StoreUnavailableError."""
+        with _unavailable_errors(name):
+            value = await self._redis.get(name)
+        if value is None:
+            return None
+        try:
+            text = value.decode() if isinstance(value, bytes) else value
+            shard, _, size = text.partition(" ")
+            return Placement(int(shard), int(size or UNKNOWN_SIZE))
+        except ValueError as error:
+            raise StoreUnavailableError(f"{name} holds no place", name) from error
+
+    async def put(self, name: str, placement: Placement, upload: bool = False) -> None:
+        """Store a placement, an upload's for a limited time; raise StoreUnavailableError."""
+        with _unavailable_errors(name):
+            ttl_s = UPLOAD_TTL_S if upload else None
+            await self._redis.set(name, f"{placement.shard} {placement.size}", ex=ttl_s)
+
+    async def delete(self, name: str) -> None:
+        """Delete a placement; raise StoreUnavailableError."""
+        with _unavailable_errors(name):
+            await self._redis.delete(name)
+
+    async def close(self) -> None:
+        """Close the connections."""
+        await self._redis.aclose()
+
+
+@contextmanager
+def _unavailable_errors(key: str) -> Iterator[None]:
+    """Raise the client's and the network's errors as StoreUnavailableError."""
+    try:
+        yield
+    except (RedisError, OSError, TimeoutError) as error:
+        raise StoreUnavailableError(str(error), key) from error
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -219,10 +219,10 @@
         if config.objects:
             # Loaded here: the platform, where it is off, needs neither its memory nor its start-up time.
             from runloft.listeners.objects import ObjectFront
-            from runloft.sharing.places import SharedStore
+            from runloft.placement.store import PlacementStore
             from runloft.upstream.http_connection import HttpConnection
 
-            store = SharedStore(config.objects.store)
+            store = PlacementStore(config.objects.store)
             fronts.append(ObjectFront(group, runner.post, deadlines, clock, config, config.objects, store))
             listeners.append(await open_listener_with_retry(config.objects.listen))
             runner.links["http"] = ConnectionPool(
--- a/tests/core/test_guard.py
+++ b/tests/core/test_guard.py
@@ -140,7 +140,7 @@
     """Give the places in the program that call a method of this name, as file:function."""
     found = set()
     for path in Path("runloft").rglob("*.py"):
-        if path.parts[1] in ("lab", "config", "sharing"):
+        if path.parts[1] in ("lab", "config"):
             continue
         for function in ast.walk(ast.parse(path.read_text())):
             if not isinstance(function, ast.FunctionDef | ast.AsyncFunctionDef):
--- a/tests/listeners/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -9,7 +9,7 @@
 from runloft.core.model import RequestReceived, Served
 from runloft.core.timers import TimerQueue
 from runloft.listeners.objects import FREE_ERRORS, LINGER_S, ObjectFront
-from runloft.sharing.places import Place
+from runloft.placement.store import Placement
 from runloft.upstream.response_stream import ResponseStream
 from tests.support.driver import MS, SECOND
 from tests.support.standins import config
@@ -28,7 +28,7 @@
     async def get(self, key):
         self.asked += 1
         await self.answers.wait()
-        return Place(0, SIZE)
+        return Placement(0, SIZE)
 
 
 class Scene:
--- a/tests/sharing/test_shared_store.py
+++ b/tests/placement/test_placement_store.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from runloft.sharing.places import Place, SharedStore, StoreDownError
+from runloft.placement.store import Placement, PlacementStore, StoreUnavailableError
 from tests.support.lab import Redis
 
 
@@ -11,7 +11,7 @@
     server = Redis()
 
     async def main():
-        store = SharedStore(f"redis://{server.address}/0", 2.0)
+        store = PlacementStore(f"redis://{server.address}/0", 2.0)
         try:
             with anyio.fail_after(20):
                 await check(store, server)
@@ -28,9 +28,9 @@
     async def check(store, server):
         name = store.object_key("v", "a b")
         assert await store.get(name) is None
-        await store.put(name, Place(3, 10))
-        assert await store.get(name) == Place(3, 10)
-        await store.forget(name)
+        await store.put(name, Placement(3, 10))
+        assert await store.get(name) == Placement(3, 10)
+        await store.delete(name)
         assert await store.get(name) is None
 
     run(check)
@@ -38,7 +38,7 @@
 
 def test_a_burst_waits_for_a_connection():
     async def check(store, server):
-        await store.put("k", Place(1))
+        await store.put("k", Placement(1))
         got = []
 
         async def get():
@@ -47,7 +47,7 @@
         async with anyio.create_task_group() as group:
             for _ in range(100):
                 group.start_soon(get)
-        assert got == [Place(1)] * 100 and len(server.connections) <= 16
+        assert got == [Placement(1)] * 100 and len(server.connections) <= 16
 
     run(check)
 
@@ -59,7 +59,7 @@
             server.close()
         else:
             server.data[b"k"] = b"no place"
-        with pytest.raises(StoreDownError):
+        with pytest.raises(StoreUnavailableError):
             await store.get("k")
 
     run(check)
