--- a/runloft/discovery/errors.py
+++ b/runloft/discovery/errors.py
@@ -4,6 +4,7 @@
 import h11
 
 from runloft.errors import RunloftError
+from runloft.net.addresses import SocketAddress
 
 
 class MessageError(RunloftError, ValueError):
@@ -13,7 +14,7 @@
 class WatchStatusError(RunloftError, OSError):
     """Discovery at ``peer`` answered a watch request with an HTTP status other than 200."""
 
-    def __init__(self, status: int, peer: tuple[str, int]) -> None:
+    def __init__(self, status: int, peer: SocketAddress) -> None:
         super().__init__(f"discovery at {peer[0]}:{peer[1]} answered {status}")
         self.status = status
         self.peer = peer
--- a/runloft/discovery/message_decoder.py
+++ b/runloft/discovery/message_decoder.py
@@ -6,6 +6,7 @@
 
 from runloft.discovery.errors import MessageError
 
+JsonObject = dict[str, Any]
 MAX_MESSAGE_BYTES = 4 << 20  # far more than a list of a few thousand nodes takes
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 OPENING = (b"{", b"[")
@@ -21,7 +22,7 @@
         self._size = 0
         self._depth = 0
 
-    def receive(self, data: bytes) -> list[dict[str, Any]]:
+    def receive(self, data: bytes) -> list[JsonObject]:
         """Return the objects that are complete with ``data``; raise ValueError where none can follow."""
         first, *others = data.split(b"\n")
         messages = []
@@ -36,7 +37,7 @@
             raise MessageError("a message of the watch is too long")
         return messages
 
-    def _line_complete(self, line: bytes) -> list[dict[str, Any]]:
+    def _line_complete(self, line: bytes) -> list[JsonObject]:
         """Return the object that ends with this line, if one does.
 
         Brackets alone tell the end, so that a list is not parsed again at each of its lines.
--- a/runloft/discovery/node_list.py
+++ b/runloft/discovery/node_list.py
@@ -1,6 +1,5 @@
 """Node lists: what a watch event says, and its entries as the scheduler's ``NodeListUpdate``."""
 
-from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any
 
@@ -8,6 +7,7 @@
 
 from runloft.core.model import NodeListUpdate, NodeUpdate
 from runloft.decisions.contract import ListKind, NodeState
+from runloft.discovery.message_decoder import JsonObject
 
 log = structlog.get_logger()
 NODE_STATES = {
@@ -27,7 +27,7 @@
     entries: Any  # as they came; ``node_list_update`` decodes each on its own
 
     @classmethod
-    def from_json(cls, message: Mapping[str, Any]) -> "WatchEvent":
+    def from_json(cls, message: JsonObject) -> "WatchEvent":
         """Return the event of a message; raise TypeError, ValueError or OverflowError for a bad version."""
         rev = int(message["rev"]) if "rev" in message else None
         kind = ListKind.FULL if message.get("all") else ListKind.DELTA
@@ -35,11 +35,11 @@
 
 
 def node_list_update(
-    kind: ListKind, entries: Any, zones: tuple[str, ...], last_heard_at: int = 0
+    kind: ListKind, entries: Any, zones: tuple[str, ...], last_data_at: int = 0
 ) -> NodeListUpdate:
     """Return the update that a list's entries stand for; invalid entries are skipped and logged.
 
-    ``last_heard_at`` is when discovery was last heard before this list, 0 where that is unknown.
+    ``last_data_at`` is when data last came from discovery before this list, 0 where that is unknown.
     """
     nodes = []
     for entry in entries or ():
@@ -47,7 +47,7 @@
             nodes.append(_node_update(entry, zones))
         except (ArithmeticError, AttributeError, KeyError, TypeError, ValueError) as error:
             log.warning("node entry skipped", error=repr(error))
-    return NodeListUpdate(kind, tuple(nodes), last_heard_at)
+    return NodeListUpdate(kind, tuple(nodes), last_data_at)
 
 
 def _node_update(entry: Any, zones: tuple[str, ...]) -> NodeUpdate:
--- a/runloft/discovery/watch.py
+++ b/runloft/discovery/watch.py
@@ -16,6 +16,7 @@
 from runloft.discovery.errors import WATCH_ERRORS
 from runloft.discovery.node_list import WatchEvent, node_list_update
 from runloft.discovery.watch_call import SILENCE_TIMEOUT_NS, WatchCall
+from runloft.net.addresses import SocketAddress
 from runloft.net.timing import Clock, pause
 
 log = structlog.get_logger()
@@ -42,7 +43,7 @@
 
     def __init__(
         self,
-        address: tuple[str, int],
+        address: SocketAddress,
         rev: int,
         zones: tuple[str, ...],
         post: Callable[[Event], None],
@@ -58,10 +59,10 @@
         self.deadlines = deadlines
         self.clock = clock
         self.has_moved = False  # and nothing has come from there yet
-        self._last_heard_at = 0  # when a call that has ended last got data; 0: never
+        self._last_data_at = 0  # when a call that has ended last got data; 0: never
         self._iteration = anyio.CancelScope()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def move(self, address: SocketAddress) -> None:
         """Watch at another address from now on, without waiting for the calls to the old one."""
         if address != self.address:
             self.address = address
@@ -95,7 +96,7 @@
             log.info("watch ended", error=repr(error), rev=self.rev)
         finally:
             call.close()
-            self._last_heard_at = call.last_data_at or self._last_heard_at
+            self._last_data_at = call.last_data_at or self._last_data_at
         lasted = self.clock() - started_at > SILENCE_TIMEOUT_NS
         backoff_s = MIN_BACKOFF_S if lasted or self.rev != rev_before else self._next_backoff_s(backoff_s)
         await pause(self.deadlines, self.clock, backoff_s)
@@ -106,8 +107,8 @@
         if event.rev is not None:
             self.rev = event.rev
         self.has_moved = False
-        last_heard_at = call.previous_data_at or self._last_heard_at
-        self.post(node_list_update(event.kind, event.entries, self.zones, last_heard_at))
+        last_data_at = call.previous_data_at or self._last_data_at
+        self.post(node_list_update(event.kind, event.entries, self.zones, last_data_at))
 
     def _next_backoff_s(self, backoff_s: float) -> float:
         return min(backoff_s * 2, self.timings.max_backoff_s)
--- a/runloft/discovery/watch_call.py
+++ b/runloft/discovery/watch_call.py
@@ -10,6 +10,7 @@
 from runloft.discovery.errors import WatchStatusError
 from runloft.discovery.message_decoder import MAX_MESSAGE_BYTES, MessageDecoder
 from runloft.discovery.node_list import WatchEvent
+from runloft.net.addresses import SocketAddress
 from runloft.net.connecting import connect, new_client_socket
 from runloft.net.socket_state import close
 from runloft.net.timing import Clock
@@ -18,7 +19,7 @@
 # the silence, the longest backoff before the next call and that call have to fit in.
 SILENCE_TIMEOUT_NS = 2_500_000_000  # an empty line comes every 2 s
 RECEIVE_BYTES = 65536
-OK = 200
+HTTP_OK = 200
 
 
 class WatchCall:
@@ -27,7 +28,7 @@
     The call owns its socket: it is open from the start, and ``close`` closes it.
     """
 
-    def __init__(self, address: tuple[str, int], index: int, deadlines: TimerQueue, clock: Clock) -> None:
+    def __init__(self, address: SocketAddress, index: int, deadlines: TimerQueue, clock: Clock) -> None:
         self.address = address
         self.index = index
         self.deadlines = deadlines
@@ -70,7 +71,7 @@
                 self.previous_data_at = self.last_data_at
                 self.last_data_at = self.clock()
                 self._restart_silence_timer(SILENCE_TIMEOUT_NS)
-            elif isinstance(event, h11.Response) and event.status_code != OK:
+            elif isinstance(event, h11.Response) and event.status_code != HTTP_OK:
                 raise WatchStatusError(event.status_code, self.address)
             elif isinstance(event, h11.Data):
                 for message in decoder.receive(bytes(event.data)):
--- a/runloft/net/buffers.py
+++ b/runloft/net/buffers.py
@@ -4,7 +4,7 @@
 from collections import deque
 from itertools import islice
 
-MAX_PARTS_PER_WRITE = 64  # in one sendmsg
+MAX_CHUNKS_PER_WRITE = 64  # in one sendmsg
 MIN_GROWTH_BYTES = 4096  # of a receive buffer
 
 
@@ -78,7 +78,7 @@
         """Write as much as the socket takes; return whether nothing is left."""
         while self.chunks:
             try:
-                count = sock.sendmsg(list(islice(self.chunks, MAX_PARTS_PER_WRITE)))
+                count = sock.sendmsg(list(islice(self.chunks, MAX_CHUNKS_PER_WRITE)))
             except (BlockingIOError, InterruptedError):
                 return False
             self.size -= count
--- a/runloft/net/connecting.py
+++ b/runloft/net/connecting.py
@@ -7,13 +7,14 @@
 import anyio.lowlevel
 
 from runloft.errors import RunloftError
+from runloft.net.addresses import SocketAddress
 from runloft.net.socket_state import set_no_delay
 
 
 class ConnectError(RunloftError, OSError):
     """A connection to ``peer`` could not be established; ``errno`` says why."""
 
-    def __init__(self, number: int, peer: tuple[str, int]) -> None:
+    def __init__(self, number: int, peer: SocketAddress) -> None:
         super().__init__(number, os.strerror(number))
         self.peer = peer
 
@@ -29,7 +30,7 @@
     return sock
 
 
-async def connect(sock: socket.socket, peer: tuple[str, int]) -> None:
+async def connect(sock: socket.socket, peer: SocketAddress) -> None:
     """Connect to ``peer`` and wait until that is done; raise OSError where it fails."""
     # Prevents a lost wake-up: who waited on a closed socket of the same number wakes first, and takes back
     # its own registration.
--- a/runloft/net/listening.py
+++ b/runloft/net/listening.py
@@ -7,6 +7,8 @@
 import anyio
 import structlog
 
+from runloft.net.addresses import SocketAddress
+
 log = structlog.get_logger()
 BACKLOG = 1024
 MAX_LISTEN_ATTEMPTS = 60
@@ -14,7 +16,7 @@
 PERMANENT_LISTEN_ERRORS = frozenset((errno.EACCES, errno.EPERM, errno.EAFNOSUPPORT))
 
 
-def open_listener(address: tuple[str, int], backlog: int = BACKLOG) -> socket.socket:
+def open_listener(address: SocketAddress, backlog: int = BACKLOG) -> socket.socket:
     """Return a non-blocking socket that listens at this address only."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -29,7 +31,7 @@
 
 
 async def open_listener_with_retry(
-    address: tuple[str, int], pause: Callable[[float], Awaitable[object]] = anyio.sleep
+    address: SocketAddress, pause: Callable[[float], Awaitable[object]] = anyio.sleep
 ) -> socket.socket:
     """Return a listening socket; retry for up to 3 s while an error may be temporary.
 
--- a/runloft/net/resp2/parsing.py
+++ b/runloft/net/resp2/parsing.py
@@ -72,6 +72,9 @@
             return None
         if type_byte == BULK_STRING:
             return self._read_bulk_string(size, max_bulk)
+        return self._read_array(size, depth, max_bulk)
+
+    def _read_array(self, size: int, depth: int, max_bulk: int) -> list[Value]:
         if not 0 <= size <= MAX_ITEMS or depth >= MAX_DEPTH:
             raise RespError("invalid multibulk length")
         return [self.read(depth + 1, max_bulk) for _ in range(size)]
--- a/runloft/upstream/pool.py
+++ b/runloft/upstream/pool.py
@@ -22,7 +22,7 @@
 MAX_REPLY_BYTES = 4 << 20
 REPLY_MEMORY_DIVISOR = 8  # the longest reply takes this part of the spare memory, where that is less
 REPLIES_MEMORY_DIVISOR = 3  # long replies that are half read take this part of the spare memory, together
-SETTLE_NS = 3_000_000  # a second copy of a reply, or noise behind it, arrives within this time
+MIN_IDLE_BEFORE_REUSE_NS = 3_000_000  # a second copy of a reply, or noise behind it, arrives within this time
 RESERVED_DESCRIPTORS = 32  # for all but clients and nodes: listener, watch, log, signals
 POOL_FULL_RETRY_NS = 5_000_000  # until a connection may be free
 LOCAL_ERROR_RETRY_NS = 20_000_000  # until connecting is retried that failed on this machine
@@ -87,9 +87,9 @@
         if connection is not None:
             self._start(connection, effect)
             return
-        if may_wait_for_idle and (settling := self.idle.get(peer)):
+        if may_wait_for_idle and (idle := self.idle.get(peer)):
             # Ready sooner than a new one, at less cost for the node.
-            self._dispatch_later(effect, settling[0].idle_since + SETTLE_NS + 1)
+            self._dispatch_later(effect, idle[0].idle_since + MIN_IDLE_BEFORE_REUSE_NS + 1)
             return
         # Prevents a wrong belief about the node: no descriptor left here says nothing about it.
         if len(self.open) >= self.max_connections and not self._evict_idle():
@@ -148,13 +148,13 @@
     # Connections.
 
     def _take_idle(self, peer: Peer) -> UpstreamConnection | None:
-        """Return the connection that was used last and is settled: the others age and time out.
+        """Return the connection that was used last and may be reused: the others age and time out.
 
-        One that still may get bytes that nobody asked for is not used yet.
+        One that still may get bytes that nobody asked for is not reused yet.
         """
-        settled = self.clock() - SETTLE_NS
+        idle_since_limit = self.clock() - MIN_IDLE_BEFORE_REUSE_NS
         for connection in reversed(list(self.idle.get(peer, ()))):
-            if connection.idle_since > settled:
+            if connection.idle_since > idle_since_limit:
                 continue
             # Prevents a reset of the attempt by a node that died while the connection was idle.
             if is_idle_and_alive(connection.sock):
--- a/runloft/upstream/request_writer.py
+++ b/runloft/upstream/request_writer.py
@@ -49,9 +49,9 @@
             self._on_written()
         elif not self.is_waiting:
             self.is_waiting = True
-            self._task_group.start_soon(self._write_rest)
+            self._task_group.start_soon(self._write_remaining)
 
-    async def _write_rest(self) -> None:
+    async def _write_remaining(self) -> None:
         try:
             while not self.buffer.flush(self._sock):
                 await anyio.wait_writable(self._sock)
--- a/runloft/upstream/resp_connection.py
+++ b/runloft/upstream/resp_connection.py
@@ -37,7 +37,7 @@
         parsed = resp2.parse_reply(inbox.data, inbox.start, inbox.end, pool.max_reply_bytes)
         pool.deadlines.discard(self.timer)
         if parsed is None:
-            await self._wait_for_rest()
+            await self._wait_for_remaining()
             return
         event = attempt_finished(self.current.attempt, parsed.reply)
         reusable = parsed.is_reusable and parsed.end == inbox.end
@@ -45,7 +45,7 @@
         inbox.shrink()
         self.finish_attempt(event, reusable)
 
-    async def _wait_for_rest(self) -> None:
+    async def _wait_for_remaining(self) -> None:
         """Reserve memory for the rest of a reply, and close where it stops half-way."""
         inbox = self.inbox
         pool = self.pool
--- a/runloft/upstream/response_stream.py
+++ b/runloft/upstream/response_stream.py
@@ -4,13 +4,14 @@
 
 import anyio
 
+RawHeader = tuple[bytes, bytes]  # name as the node wrote it, value; h11's form
 READ_AHEAD_BYTES = 256 << 10  # of a response, buffered for a client that reads slowly
 
 
 class ResponseStream:
     """A response in transit: a head, then chunks of the body under back-pressure."""
 
-    def __init__(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
+    def __init__(self, status: int, headers: list[RawHeader]) -> None:
         self.status = status
         self.headers = headers
         self.chunks: deque[bytes] = deque()
