--- a/tests/listeners/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -16,7 +16,7 @@
 from runloft.core.timers import TimerQueue
 from runloft.listeners.resp import IDLE_NS, LINGER_NS, PIPELINED, RespFront
 from runloft.net.connecting import new_client_socket
-from tests.discovery.test_discovery import read_command
+from tests.support.commands import read_command
 from tests.support.driver import MS, SECOND
 from tests.support.standins import Discovery, Program, RespNode, config, entry, reset, until
 
--- a/tests/listeners/test_told_wait.py
+++ b/tests/listeners/test_told_wait.py
@@ -8,8 +8,8 @@
 
 from runloft.core.model import RequestReceived, Served
 from runloft.listeners.resp import PIPELINED
-from tests.discovery.test_discovery import read_command
 from tests.listeners.test_leaving import BAD, play
+from tests.support.commands import read_command
 from tests.support.driver import MS
 
 WAITED_MS = 1000
--- /dev/null
+++ b/tests/net/test_memory_budget.py
@@ -0,0 +1,27 @@
+"""The memory budget that connections share."""
+
+import anyio
+
+from runloft.net.memory_budget import MemoryBudget
+
+
+def test_acquire_waits_until_enough_memory_is_free():
+    async def run():
+        budget, taken = MemoryBudget(10), []
+
+        async def take(size):
+            await budget.acquire(size)
+            taken.append(size)
+
+        async with anyio.create_task_group() as group:
+            for size in (8, 5, 2):
+                group.start_soon(take, size)
+            await anyio.wait_all_tasks_blocked()
+            assert taken == [8, 2]
+            budget.release(8)
+            await anyio.wait_all_tasks_blocked()
+            assert taken == [8, 2, 5]
+            budget.resize(4)
+            assert budget.free == -3
+
+    anyio.run(run)
--- a/tests/upstream/test_node_replies.py
+++ b/tests/net/test_resp2_replies.py
@@ -1,13 +1,13 @@
-"""What a storage node's bytes are taken for, and what they may cost."""
+"""Replies of storage nodes, parsed from a buffer."""
 
-import anyio
 import pytest
 
 from runloft.net.buffers import ReceiveBuffer
-from runloft.net.memory_budget import MemoryBudget
 from runloft.net.resp2 import MAX_BULK, Reply, RespError, parse_reply, reply_size
 
 VALUE = b"*3\r\n$2\r\nok\r\n"
+
+
 MORE = 400_000  # longer than a client's value may be
 
 
@@ -25,7 +25,7 @@
         (b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (MORE, b"v" * MORE), Reply(b"v" * MORE), True),
     ],
 )
-def test_a_reply_and_whether_its_connection_can_go_on(text, reply, clean):
+def test_reply_is_parsed_and_says_whether_its_connection_is_reusable(text, reply, clean):
     data = bytearray(text)
     assert parse_reply(data, 0, len(data), 1 << 20) == (reply, len(data), clean)
     for end in range(0, len(data) - 1, max(1, len(data) // 50)):
@@ -38,36 +38,14 @@
     b"+ok|:1|$2\r\nok|*2|*3\r\n+ok|*3\r\n$-1|*3\r\n$-7|*1000000000".split(b"|")
     + b"*3\r\n$3000000000|*3\r\n$1\r\nokay|x|-|- ERR".split(b"|"),
 )
-def test_what_is_no_reply(text):
+def test_invalid_reply_raises_an_error(text):
     with pytest.raises(RespError):
         parse_reply(bytearray(text + b"\r\n"), 0, len(text) + 2, 1 << 20)
 
 
-def test_the_size_of_a_long_reply_is_known_from_its_head_and_room_made_for_no_more():
+def test_size_of_a_long_reply_is_known_from_its_head_and_only_that_is_reserved():
     data = bytearray(b"*3\r\n$%d\r\nvv" % MORE)
     assert [reply_size(data, 0, end) for end in (3, 6, len(data))] == [0, 0, MORE + 15]
     inbox = ReceiveBuffer(4 * MORE)
     inbox.reserve(MORE)
     assert len(inbox.data) == MORE > MAX_BULK
-
-
-def test_a_budget_makes_who_finds_none_wait():
-    async def run():
-        budget, taken = MemoryBudget(10), []
-
-        async def take(size):
-            await budget.acquire(size)
-            taken.append(size)
-
-        async with anyio.create_task_group() as group:
-            for size in (8, 5, 2):
-                group.start_soon(take, size)
-            await anyio.wait_all_tasks_blocked()
-            assert taken == [8, 2]
-            budget.release(8)
-            await anyio.wait_all_tasks_blocked()
-            assert taken == [8, 2, 5]
-            budget.resize(4)
-            assert budget.free == -3
-
-    anyio.run(run)
--- a/tests/placement/test_placement_store.py
+++ b/tests/placement/test_placement_store.py
@@ -1,4 +1,4 @@
-"""The shared store against its stand-in."""
+"""The placement store against a stand-in of Redis."""
 
 import anyio
 import pytest
@@ -24,7 +24,7 @@
         server.close()
 
 
-def test_a_place_is_kept_and_forgotten():
+def test_placement_is_stored_and_deleted():
     async def check(store, server):
         name = store.object_key("v", "a b")
         assert await store.get(name) is None
@@ -36,7 +36,7 @@
     run(check)
 
 
-def test_a_burst_waits_for_a_connection():
+def test_burst_waits_for_a_free_connection():
     async def check(store, server):
         await store.put("k", Placement(1))
         got = []
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("what", ["closed", "nonsense"])
-def test_what_can_not_be_read_counts_as_down(what):
+def test_unreadable_store_is_unavailable(what):
     async def check(store, server):
         if what == "closed":
             server.close()
--- a/tests/service/test_standing.py
+++ b/tests/service/test_standing.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from tests.discovery.test_discovery import OK, read_command
 from tests.listeners.test_objects import ITEM, World
+from tests.support.commands import OK, read_command
 from tests.support.standins import Discovery, Program, RespNode, config, entry, until
 
 ROOT = Path(__file__).parents[2]
