--- a/tests/upstream/test_connect_failures.py
+++ b/tests/upstream/test_connect_failures.py
@@ -68,7 +68,8 @@
         conn = await scene.accept_at_node()
         assert await scene.read_at_node(conn)
         node = scene.core.scheduler.nodes[1]
-        assert not (node.refused_at or node.down_since or node.failed or node.shut_until)
+        assert not (node.slow_start.unreachable_at or node.slow_start.connect_failing_since)
+        assert not (node.outlier.error_rate or node.backoff.until)
         conn.sendall(BUSY)
         await until(lambda: scene.runner.events)
         scene.process_events()
--- a/tests/upstream/test_first_byte.py
+++ b/tests/upstream/test_first_byte.py
@@ -41,7 +41,7 @@
         assert 1 not in scene.core.attempts and 1 not in scene.pool.in_flight
         # Nothing of it says anything of the node, and what is still wanted is asked again or waits.
         node = next(iter(scene.core.scheduler.nodes.values()))
-        assert node.failed == 0 and not node.down_since
+        assert node.outlier.error_rate == 0 and not node.slow_start.connect_failing_since
         assert ("leaves" in crossing) == (not scene.core.requests) and not sink.replies
 
     play(monkeypatch, story, **LIMITS)
