--- a/tests/net/test_connecting.py
+++ b/tests/net/test_connecting.py
@@ -1,11 +1,13 @@
 """Connecting on real sockets."""
 
 import contextlib
+import errno
 import socket
 
 import anyio
+import pytest
 
-from runloft.net.connecting import connect, new_client_socket
+from runloft.net.connecting import ConnectError, connect, new_client_socket
 from runloft.net.socket_state import close
 
 
@@ -72,3 +74,18 @@
         listener.close()
 
     anyio.run(run)
+
+
+def test_refused_connection_raises_an_error_with_its_peer_and_number():
+    async def run():
+        listener = socket.create_server(("127.0.0.1", 0))
+        peer = listener.getsockname()
+        listener.close()
+        sock = new_client_socket()
+        with pytest.raises(ConnectError) as caught:
+            await connect(sock, peer)
+        sock.close()
+        assert (caught.value.errno, caught.value.peer) == (errno.ECONNREFUSED, peer)
+        assert isinstance(caught.value, OSError) and f"127.0.0.1:{peer[1]}" in str(caught.value)
+
+    anyio.run(run)
