--- a/runloft/upstream/connection.py
+++ b/runloft/upstream/connection.py
@@ -11,7 +11,7 @@
 import structlog
 
 from runloft.config.settings import address
-from runloft.core.counters import COUNTERS, Counted, NodeCloseReason
+from runloft.core.counters import COUNTERS, CounterName, NodeCloseReason
 from runloft.core.model import AttemptFinished, AttemptWithdrawn, Dispatch, Event, RequestWritten
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.core.trace import trace
@@ -227,7 +227,7 @@
         if self.closed:
             return
         self.closed = True
-        COUNTERS.add(Counted.NODE_CLOSED, reason)
+        COUNTERS.add(CounterName.NODE_CONNECTIONS_CLOSED, reason)
         if trace.enabled:
             node = self.peer.node_uid
             trace("node connection closed", connection=self.number, node=node, reason=str(reason))
--- a/runloft/upstream/pool.py
+++ b/runloft/upstream/pool.py
@@ -7,9 +7,9 @@
 import structlog
 
 from runloft.config.settings import Config
-from runloft.core.counters import COUNTERS, Counted, NodeCloseReason
-from runloft.core.guard import SendPermit, SendRefusal
+from runloft.core.counters import COUNTERS, CounterName, NodeCloseReason
 from runloft.core.model import AttemptWithdrawn, Dispatch, Event, NodeUpdate
+from runloft.core.permissions import SendPermit, SendRefusal
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.core.trace import trace
 from runloft.decisions.contract import NodeState
@@ -118,9 +118,9 @@
         permit = self.permit(attempt, self.clock())
         refusal = permit.refusal
         if refusal is None and permit.verify is not None and permit.verify.has_disconnected():
-            refusal = SendRefusal.CLIENT_LEFT
+            refusal = SendRefusal.CLIENT_DISCONNECTED
         if refusal is not None:
-            COUNTERS.add(Counted.NOT_SENT, refusal)
+            COUNTERS.add(CounterName.ATTEMPTS_NOT_SENT, refusal)
             if trace.enabled:
                 trace("attempt not sent", attempt=attempt, reason=str(refusal))
             return 0
@@ -160,7 +160,7 @@
             if is_idle_and_alive(connection.sock):
                 self.remove_idle(connection)
                 return connection
-            connection.close(NodeCloseReason.NOT_QUIET)
+            connection.close(NodeCloseReason.UNEXPECTED_INPUT)
         return None
 
     def add_idle(self, connection: UpstreamConnection) -> None:
@@ -184,7 +184,7 @@
         """Close an idle connection; return whether there was one."""
         for connections in self.idle.values():
             if connections:
-                connections[0].close(NodeCloseReason.MAKE_ROOM)
+                connections[0].close(NodeCloseReason.EVICTED)
                 return True
         return False
 
--- a/tests/upstream/test_connect_failures.py
+++ b/tests/upstream/test_connect_failures.py
@@ -34,7 +34,7 @@
         assert not scene.pool.open and not scene.pool.in_flight
         scene.process_events()
         scene.process_events(100)
-        assert [attempt.request.sends for attempt in scene.core.attempts.values()] == [2]
+        assert [attempt.request.attempt_count for attempt in scene.core.attempts.values()] == [2]
         scene.may_connect.set()  # late
         conn = await scene.accept_at_node()
         assert ID in await scene.read_at_node(conn)
