--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -176,9 +176,8 @@
             "resp",
             RespConnection,
             node_endpoint,
-            descriptors_divisor=4
-            if config.objects
-            else 2,  # the other half of the descriptors is the clients'
+            # The other half of the descriptors is the clients'.
+            descriptors_divisor=4 if config.objects else 2,
         )
         listener = RespFront(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
         await self._listen(listener, ListenAddress("listen", *config.listen))
--- a/tests/support/upstream_scene.py
+++ b/tests/support/upstream_scene.py
@@ -86,18 +86,18 @@
     def update_node(self, kind=ListKind.FULL, **more):
         node = NodeUpdate(**{"uid": "s-1", "endpoint": self.node_address, "shard": 0} | more)
         self.runner.post(NodeListUpdate(kind, (node,)))
-        self.runner.turn()
+        self.runner.process_events()
 
     def receive_request(self, deadline=2000, id_=ID, *body):
         sink = ResponseSink()
         payload = RespPayload((b"IO.IN", b"7f3a9c21e0b4d655", id_, *body), b"d=", b"")
         self.runner.post(RequestReceived(sink, RequestSpec(0, 0, 1, 1.0, deadline * MS, 0, payload, id=id_)))
-        self.runner.turn()
+        self.runner.process_events()
         return sink
 
     def process_events(self, after=0):
         self.now += after * MS
-        self.runner.turn()
+        self.runner.process_events()
 
     async def accept_at_node(self):
         conn, _ = await anyio.to_thread.run_sync(self.listener.accept)
--- a/tests/upstream/test_connection_reuse.py
+++ b/tests/upstream/test_connection_reuse.py
@@ -131,7 +131,7 @@
             scene.process_events(8000)
         assert not (scene.core.requests or scene.core.attempts or scene.core.by_sink or scene.runner.events)
         assert not (scene.pool.open or scene.pool.in_flight or scene.pool.idle or scene.pool.waiting)
-        assert not scene.core.scheduler.requests and not len(scene.runner.deadlines)
+        assert not scene.core.scheduler.requests and not len(scene.runner.timers)
         for conn in connections:
             conn.close()
 
