--- a/runloft/lab/running.py
+++ b/runloft/lab/running.py
@@ -33,7 +33,7 @@
 from runloft.lab.scenario import ArmRecord, EditRecord, EventRecord, Scenario
 
 START_S, STOP_S = 20.0, 10.0
-SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespFront")
+SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespListener")
 
 
 @dataclass
--- a/runloft/lab/scale/datapath.py
+++ b/runloft/lab/scale/datapath.py
@@ -40,15 +40,15 @@
 from runloft.lab.node import LabNode, NodeKind
 from runloft.lab.redis import RedisStandIn
 from runloft.lab.scale.records import Event, Point, Result, Sizes, result_from
-from runloft.listeners.accepting import CLIENT_PART, CROWD_PART
-from runloft.listeners.resp import IDLE_NS
+from runloft.listeners.accepting import CLIENT_FRACTION, PRESSURE_FRACTION
+from runloft.listeners.resp.limits import IDLE_TIMEOUT_NS
 from runloft.net import resp2
 from runloft.upstream.links import OTHERS
 
 Progress = Callable[[str], None]
 # Not taken from the scenarios' module: what a stand-in loads, it loads before each measurement.
 SERVING, ADMIN = (
-    re.compile(rf"serving .*at=(127\.0\.0\.1:\d+) front={front}") for front in ("RespFront", "admin")
+    re.compile(rf"serving .*at=(127\.0\.0\.1:\d+) front={front}") for front in ("RespListener", "admin")
 )
 START_S, STOP_S = 20.0, 10.0
 # Guards what can't see its input close: the kernel ends it should this process be killed.
@@ -93,7 +93,7 @@
     if sizes.nodes < 1 or sizes.clients < 0 or sizes.statements < 0:
         raise SizeError(f"{sizes}: at least one node, and no figure below 0, is wanted")
     clients, nodes = carriers(sizes), sizes.nodes
-    room = int(limits.sockets * CLIENT_PART)
+    room = int(limits.sockets * CLIENT_FRACTION)
     if clients > room:
         raise SizeError(f"{clients} clients: limits.sockets of {limits.sockets} has room for {room}")
     kept = min(nodes + math.ceil(sizes.statements), limits.sockets // 2)  # connections to nodes
@@ -396,10 +396,10 @@
 
 def settling_s(sizes: Sizes, limits: Limits, in_turn: bool) -> float:
     """Say how long the load goes on before it is measured: longer than a rest where rests are ended."""
-    closes = sizes.clients > int(limits.sockets * CROWD_PART) // 2
+    closes = sizes.clients > int(limits.sockets * PRESSURE_FRACTION) // 2
     closes = closes or (sizes.clients > 0 and not in_turn)  # some rest longer than the mean
-    closes = closes or sizes.clients / sizes.statements >= IDLE_NS / 1e9
-    return IDLE_NS / 1e9 + SETTLE_S if closes else SETTLE_S
+    closes = closes or sizes.clients / sizes.statements >= IDLE_TIMEOUT_NS / 1e9
+    return IDLE_TIMEOUT_NS / 1e9 + SETTLE_S if closes else SETTLE_S
 
 
 async def _started(
--- a/runloft/lab/scale/roles.py
+++ b/runloft/lab/scale/roles.py
@@ -13,8 +13,8 @@
 from runloft.config.settings import FENCE_LEASES, MEMORY_MB, AgreementSettings
 from runloft.core.model import Bounds
 from runloft.lab.scale.records import Sizes
-from runloft.listeners.accepting import CLIENT_PART, CROWD_PART
-from runloft.listeners.resp import CROWD_NS, IDLE_NS
+from runloft.listeners.accepting import CLIENT_FRACTION, PRESSURE_FRACTION
+from runloft.listeners.resp.limits import IDLE_TIMEOUT_NS, PRESSURE_IDLE_TIMEOUT_NS
 from runloft.service.admin import MOST_SHOWN
 from runloft.upstream.links import IDLE_PART, OTHERS
 
@@ -78,7 +78,7 @@
 WATCH = "discovery/watch.py: watch, a long-lived stream of changes, resumed by index"
 HEARTBEAT = "agreement/client.py, agreement/store.py: leases with fencing, renewed by heartbeats"
 LOOP = "service/runner.py, core/reducer.py: event loop on one thread"
-FRONT = "listeners/accepting.py, listeners/resp.py: one task a connection"
+FRONT = "listeners/accepting.py, listeners/resp/connection.py: one task a connection"
 POOL = "upstream/links.py: connection pool"
 SCRAPE = "service/admin.py: pull of metrics"
 SERVER = "Redis: single-threaded server"
@@ -100,7 +100,7 @@
     Row("path", "clients open", ("work.scheduler.clients_open_count",), "datapath", "clients", FRONT,
         "clients are closed and connect again"),
     Row("path", "clients closed", ("work.scheduler.client_closes_per_s",), "datapath", None,
-        "listeners/resp.py: idle timeout", "each connects again"),
+        "listeners/resp/lifetime.py: idle timeout", "each connects again"),
     Row("path", "clients connecting", ("work.scheduler.client_connects_per_s",), "datapath", None,
         "listeners/accepting.py: listen backlog", "the backlog of 1,024"),
     Row("path", "connections to nodes", ("work.scheduler.node_connections_count",), "datapath", None, POOL,
@@ -307,11 +307,11 @@
     rest_s = sizes.clients / sizes.statements
     own_mb = WITH_TOOLS_MB + sizes.clients * CLIENT_KB / 1024
     change = FENCE_LEASES * FENCE_OVER + BEHIND_FENCE  # in leases
-    idle_s, crowd_s = IDLE_NS / 1e9, CROWD_NS / 1e9
-    crowd, front = CROWD_PART, "listeners/accepting.py, listeners/resp.py"
+    idle_s, crowd_s = IDLE_TIMEOUT_NS / 1e9, PRESSURE_IDLE_TIMEOUT_NS / 1e9
+    crowd, front = PRESSURE_FRACTION, "listeners/accepting.py, listeners/resp/connection.py"
     return (
-        Need("limits.sockets: clients are kept at all", ceil(sizes.clients / CLIENT_PART),
-             f"{front}: at most {CLIENT_PART:.3g} of them are clients"),
+        Need("limits.sockets: clients are kept at all", ceil(sizes.clients / CLIENT_FRACTION),
+             f"{front}: at most {CLIENT_FRACTION:.3g} of them are clients"),
         Need("limits.sockets: none is closed to make room", ceil(sizes.clients / crowd),
              f"{front}: from {crowd:.3g} of them on the least useful are closed"),
         Need(f"limits.sockets: all may rest {idle_s:g} s", ceil(2 * sizes.clients / crowd),
--- a/runloft/lab/soak/processes.py
+++ b/runloft/lab/soak/processes.py
@@ -18,7 +18,7 @@
 from runloft.lab.soak.schedule import LONGEST_PAUSE_S, SYSTEM_KINDS, Schedule, Trouble, TroubleKind
 from runloft.lab.soak.shim import Fault, environment
 
-SERVING = re.compile(r"serving .*front=RespFront")
+SERVING = re.compile(r"serving .*front=RespListener")
 READY_S, EXIT_S = 10.0, 3.4  # SIGKILL may come 0.7 s after the longest deadline, 2.5 s here
 MS = 1_000_000
 
--- a/runloft/listeners/accepting.py
+++ b/runloft/listeners/accepting.py
@@ -1,9 +1,9 @@
-"""What both fronts do alike: accept connections, and part with the least useful ones in a crowd."""
+"""The part of a listener that does not depend on its protocol: accepting, and evicting idle connections."""
 
 import errno
 import socket
 from collections.abc import Callable, Sequence
-from typing import Generic, Protocol, TypeVar
+from typing import Generic, TypeVar
 
 import anyio
 import anyio.abc
@@ -13,17 +13,18 @@
 from runloft.core.guard import CloseReason
 from runloft.core.model import Event
 from runloft.core.timers import TimerQueue
+from runloft.listeners.connection import ClientConnection
 from runloft.net.sockets import no_delay
 from runloft.net.timing import Clock, pause
 
 log = structlog.get_logger()
-FULL_S = 0.02  # pause in accepting
-BURST = 16  # connections accepted in a row; then the clients that are there have their turn
-CROWD_PART = 1 / 3  # of all descriptors, for clients: beyond it those go that can be spared
-CLIENT_PART = 1 / 2  # at most, while each of them is owed an answer
-FRESH_NS = 100_000_000  # after connecting, or an answer: so long a client is not parted with to make room
-PART_WITH = 8  # connections closed at a time: finding them costs a look at all
-MOST_FAILED = 64  # connections in a row that accept may report as failed before there is a pause
+ACCEPT_RETRY_S = 0.02  # pause after accepting was not possible
+ACCEPT_BURST = 16  # connections accepted in a row before the event loop serves the others
+PRESSURE_FRACTION = 1 / 3  # of all descriptors, for clients: above it idle connections are evicted
+CLIENT_FRACTION = 1 / 2  # of all descriptors: the most that clients may take
+RECENT_ACTIVITY_NS = 100_000_000  # a client is not evicted this soon after it connected or got a response
+EVICTION_BATCH = 8  # connections closed at a time: finding them costs a look at all
+MAX_FAILED_ACCEPTS = 64  # connections in a row that may fail in accept(2) before there is a pause
 # What accept(2) reports of the connection at the head of the queue, not of the listener or the machine.
 CONNECTION_ERRORS = frozenset(
     (
@@ -42,118 +43,110 @@
     )
 )
 
+ClientT = TypeVar("ClientT", bound=ClientConnection)
 
-class Connected(Protocol):
-    """A client's connection."""
 
-    sock: socket.socket
+class ListenerBase(Generic[ClientT]):
+    """A listener of one protocol; ``clients`` holds its open connections.
 
-    async def run(self) -> None:
-        """Serve it until it is over."""
-
-    def may_close(self, reason: CloseReason) -> bool:
-        """Whether the guard permits to close it for this reason."""
-
-    def end(self, reason: CloseReason = CloseReason.FAULT) -> None:
-        """Close it."""
-
-
-C = TypeVar("C", bound=Connected)
-
-
-class AcceptingFront(Generic[C]):
-    """A listening side; ``clients`` holds its open connections."""
+    It closes the sockets that it accepts but can't serve; all others belong to their connection.
+    """
 
     def __init__(
         self,
-        group: anyio.abc.TaskGroup,
+        task_group: anyio.abc.TaskGroup,
         post: Callable[[Event], None],
-        deadlines: TimerQueue,
+        timers: TimerQueue,
         clock: Clock,
         config: Config,
     ) -> None:
-        self.group, self.post, self.deadlines, self.clock = group, post, deadlines, clock
-        self.clients: set[C] = set()
+        self.task_group = task_group
+        self.post = post
+        self.timers = timers
+        self.clock = clock
+        self.clients: set[ClientT] = set()
         self.stopping = False
-        self.was_full = False  # connections have waited in the kernel's queue, so far as is known
+        self.backlog_waits = False  # whether connections have waited in the kernel's queue, as far as known
         self.configure(config)
 
     def configure(self, config: Config) -> None:
-        """Go by this configuration from now on."""
-        fronts = 2 if config.objects else 1
-        self.crowd = int(config.max_sockets * CROWD_PART) // fronts
-        self.most_clients = int(config.max_sockets * CLIENT_PART) // fronts
+        """Apply the limits of this configuration from now on."""
+        listener_count = 2 if config.objects else 1
+        self.pressure_threshold = int(config.max_sockets * PRESSURE_FRACTION) // listener_count
+        self.max_clients = int(config.max_sockets * CLIENT_FRACTION) // listener_count
 
-    def new_client(self, sock: socket.socket) -> C:
-        """Make a client of an accepted socket."""
+    def new_client(self, sock: socket.socket) -> ClientT:
+        """Return the connection that serves an accepted socket."""
         raise NotImplementedError
 
-    def spared(self) -> Sequence[C]:
-        """Those whose close costs nobody an answer, the least useful first."""
+    def eviction_candidates(self) -> Sequence[ClientT]:
+        """Return the connections whose close loses no response, the least useful first."""
         return ()
 
-    def is_crowded(self) -> bool:
-        """Whether connections are so many that an idle one is one too many."""
-        return len(self.clients) > self.crowd // 2
+    def is_under_connection_pressure(self) -> bool:
+        """Return whether there are so many connections that idle ones are closed sooner."""
+        return len(self.clients) > self.pressure_threshold // 2
 
-    def make_room(self) -> None:
-        """Close some of the least useful connections, but none that has just asked for something."""
-        closed = 0
-        for client in self.spared():
-            if closed >= PART_WITH:
+    def evict_idle(self) -> None:
+        """Close some of the least useful connections, but none with a request on its way."""
+        evicted = 0
+        for client in self.eviction_candidates():
+            if evicted >= EVICTION_BATCH:
                 return
             if client.may_close(CloseReason.MAKE_ROOM):
-                client.end(CloseReason.MAKE_ROOM)
-                closed += 1
+                client.close(CloseReason.MAKE_ROOM)
+                evicted += 1
 
-    async def accept(self, listener: socket.socket) -> None:
-        """Accept until the listener closes; whatever else fails is logged and tried again."""
-        while listener.fileno() >= 0:
+    async def accept(self, listening_socket: socket.socket) -> None:
+        """Accept until the listening socket is closed; any other failure is logged and tried again."""
+        while listening_socket.fileno() >= 0:
             try:
-                if not self.accept_waiting(listener, BURST):
+                if not self.accept_waiting(listening_socket, ACCEPT_BURST):
                     # Full or out of descriptors: the rest waits in the kernel.
-                    await pause(self.deadlines, self.clock, FULL_S)
+                    await pause(self.timers, self.clock, ACCEPT_RETRY_S)
                 await anyio.sleep(0)
-                await anyio.wait_readable(listener)
+                await anyio.wait_readable(listening_socket)
             except (OSError, ValueError, anyio.ClosedResourceError) as error:
-                if listener.fileno() < 0:
+                if listening_socket.fileno() < 0:
                     return
                 log.warning("accepting failed and goes on", error=str(error))
-                await pause(self.deadlines, self.clock, FULL_S)
+                await pause(self.timers, self.clock, ACCEPT_RETRY_S)
 
-    def accept_waiting(self, listener: socket.socket, most: int | None = None) -> bool:
-        """Accept what is there, or so many; False while more may wait than could be accepted.
+    def accept_waiting(self, listening_socket: socket.socket, max_count: int | None = None) -> bool:
+        """Accept all connections that wait, or ``max_count``; return False if more may wait than fit.
 
-        True without ``most`` means that the queue was seen empty: only then may a listener close.
+        True without ``max_count`` means that the queue was seen empty: only then may a listener be closed.
+        Raise OSError if the listening socket is closed.
         """
-        count = failed = 0
-        while most is None or count < most:
+        count = 0
+        failed = 0
+        while max_count is None or count < max_count:
             count += 1
-            if len(self.clients) >= self.crowd:
-                self.make_room()
-            if len(self.clients) >= self.most_clients:
-                self.was_full = True
+            if len(self.clients) >= self.pressure_threshold:
+                self.evict_idle()
+            if len(self.clients) >= self.max_clients:
+                self.backlog_waits = True
                 return False
             try:
-                sock, _ = listener.accept()
+                sock, _ = listening_socket.accept()
             except BlockingIOError:
-                self.was_full = False
+                self.backlog_waits = False
                 return True
             except OSError as error:
-                if listener.fileno() < 0:
+                if listening_socket.fileno() < 0:
                     raise
-                self.was_full = True
+                self.backlog_waits = True
                 failed += 1
-                if error.errno in CONNECTION_ERRORS and failed < MOST_FAILED:
-                    continue  # it says something of this connection alone: others wait behind it
-                # Guards the listener: no descriptor left is no reason to stop accepting for good.
+                if error.errno in CONNECTION_ERRORS and failed < MAX_FAILED_ACCEPTS:
+                    continue  # it concerns this connection alone: others wait behind it
+                # Prevents the listener's end: running out of descriptors is no reason to stop for good.
                 log.warning("accept", error=str(error))
                 return False
             self._admit(sock)
         return True
 
     def _admit(self, sock: socket.socket) -> None:
-        """Serve an accepted connection; a fault in this one says nothing of the others."""
+        """Begin to serve an accepted connection; a failure of this one does not concern the others."""
         try:
             sock.setblocking(False)
             no_delay(sock)
@@ -163,12 +156,12 @@
             sock.close()
             return
         self.clients.add(client)
-        self.group.start_soon(self._serve, client)
+        self.task_group.start_soon(self._serve, client)
 
-    async def _serve(self, client: C) -> None:
-        """Guard the program: a fault that one client's bytes bring to light ends that client alone."""
+    async def _serve(self, client: ClientT) -> None:
+        """Run a connection; an unexpected exception in it closes this connection alone."""
         try:
             await client.run()
         except Exception:
             log.exception("client")
-            client.end(CloseReason.FAULT)
+            client.close(CloseReason.FAULT)
--- /dev/null
+++ b/runloft/listeners/objects/connection.py
@@ -0,0 +1,178 @@
+"""An HTTP connection of the object API: its requests, one after the other, and its lifetime."""
+
+import socket
+
+import anyio
+import h11
+import structlog
+
+from runloft.core import guard
+from runloft.core.guard import CloseReason
+from runloft.listeners.connection import ClientConnection, slowdown_s
+from runloft.listeners.objects.errors import NothingToDeleteError, ObjectApiError
+from runloft.listeners.objects.forwarding import RequestForwarder
+from runloft.listeners.objects.limits import BODY_TIMEOUT_S, LINGER_S, MAX_HEAD_BYTES, RETRY_AFTER_NS
+from runloft.listeners.objects.operations import Operation, parse_operation
+from runloft.listeners.objects.reading import RequestReader
+from runloft.listeners.objects.services import ListenerServices
+from runloft.listeners.objects.translation import Headers
+from runloft.listeners.objects.writing import ResponseWriter
+from runloft.net.timing import pause
+
+log = structlog.get_logger()
+SINGLE_HEADERS = (b"range", b"if-range", b"x-expires-in-ms")  # may stand once at most
+
+
+class ObjectClient(ClientConnection):
+    """One HTTP connection. ``is_serving`` from a request's head to the end of its response."""
+
+    def __init__(self, services: ListenerServices, sock: socket.socket) -> None:
+        super().__init__(sock)
+        self.services = services
+        self.protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.writer = ResponseWriter(self, self.protocol, services)
+        self.reader = RequestReader(sock, self.protocol, self.writer, services)
+        self.forwarder = RequestForwarder(sock, self.reader, self.writer, services)
+        self.reading_scope = anyio.CancelScope()
+        self.is_serving = False
+        self.has_sent_request = False
+        self.errors = 0  # in a row
+        self.last_activity_at = services.clock()
+        self._budgeted_bytes = 0  # what the request that is being served has taken of the listener's budget
+
+    async def run(self) -> None:
+        """Serve requests until the connection is over."""
+        try:
+            with self.reading_scope:
+                await self._serve_requests()
+            is_open = not (self.closed or self.lingering)
+            if self.services.stopping and self.has_sent_request and is_open:
+                await self.writer.linger()
+        except (OSError, TimeoutError, h11.ProtocolError, anyio.ClosedResourceError) as error:
+            log.debug("client connection over", error=repr(error))
+        finally:
+            self.close(CloseReason.CLIENT_LEFT)
+
+    def may_close(self, reason: CloseReason) -> bool:
+        """Return whether the guard permits to close; what is already here is read first."""
+        half_read = self.reader.unread_bytes()
+        has_unread = self.has_unread_input()
+        requests = (self,) if self.is_serving else ()
+        return guard.permit_close(reason, requests, 0, half_read, has_unread) is None
+
+    def close_if_idle(self) -> None:
+        """Close between requests; a request that is already here is read first.
+
+        Prevents the loss of the last response: a request that comes just now would turn a close into a reset,
+        which discards what the client has not read.
+        """
+        if self.lingering or not self.may_close(CloseReason.SHUTDOWN):
+            return
+        if self.services.clock() - self.last_activity_at >= LINGER_S * 1e9:
+            self.close(CloseReason.SHUTDOWN)
+        elif not self.reading_scope.cancel_called:
+            self.reading_scope.cancel()
+
+    def unanswered_count(self) -> int:
+        """Return 1 while a request is being served, else 0."""
+        return int(self.is_serving)
+
+    def log_ids(self) -> dict[str, str | int]:
+        """Return the listener's name."""
+        return {"listener": "objects"}
+
+    def release(self, reason: CloseReason, unanswered: int) -> None:
+        """Leave the listener; a request that is out is reported by who forwards it."""
+        self.services.forget(self)
+
+    async def _serve_requests(self) -> None:
+        while not self.closed and await self._serve_one():
+            self.protocol.start_next_cycle()
+            seconds = slowdown_s(self.errors)
+            if seconds:  # prevents one that repeats what can't be served from delaying the other clients
+                await pause(self.services.timers, self.services.clock, seconds)
+
+    async def _serve_one(self) -> bool:
+        """Serve one request; return whether the connection can carry another."""
+        try:
+            self.writer.request_method = b""
+            event = await self.reader.read_head(is_first=not self.has_sent_request)
+            if not isinstance(event, h11.Request):
+                return False
+            self.is_serving = True
+            self.has_sent_request = True
+            self.writer.request_method = bytes(event.method)
+            await self._serve(event)
+            self.errors = 0
+        except NothingToDeleteError:
+            await self.writer.write_no_content()
+        except ObjectApiError as error:
+            self.errors += error.is_client_error
+            await self.writer.write_error(error)
+        finally:
+            self.is_serving = False
+            self.last_activity_at = self.services.clock()
+            self._return_budget()
+        is_done = self.protocol.our_state is h11.DONE and self.protocol.their_state is h11.DONE
+        return is_done and not self.closed
+
+    async def _serve(self, request: h11.Request) -> None:
+        """Serve a request whose head has been read; raise ObjectApiError for an error response."""
+        headers = {bytes(name): bytes(value) for name, value in request.headers}
+        try:
+            _check_single_headers(request)
+            operation = parse_operation(bytes(request.method), bytes(request.target))
+            self.services.translator.check_volume(operation)
+            length = self._body_length(operation, headers)
+        except ObjectApiError as error:
+            if not error.closes:
+                await self.reader.discard_body()
+            raise
+        await self._take_budget(length)
+        body = await self._read_body(length)
+        await self.forwarder.forward(operation, headers, body)
+
+    async def _take_budget(self, length: int) -> None:
+        """Take a body's length from the shared budget; raise ObjectApiError if it is not there in time.
+
+        The core has its own account of bodies; this budget keeps them from being read at all.
+        """
+        try:
+            with self.services.within(BODY_TIMEOUT_S):
+                await self.services.bodies.take(length)
+        except TimeoutError:
+            message = "too many bodies are held"
+            raise ObjectApiError(503, "SlowDown", message, RETRY_AFTER_NS, closes=True) from None
+        self._budgeted_bytes = length
+
+    def _return_budget(self) -> None:
+        """Return what the request took of the budget; it is over, its response is written."""
+        if self._budgeted_bytes:
+            self.services.bodies.give(self._budgeted_bytes)
+            self._budgeted_bytes = 0
+
+    async def _read_body(self, length: int) -> bytes:
+        try:
+            with self.services.within(BODY_TIMEOUT_S):
+                return await self.reader.read_body(length)
+        except TimeoutError:
+            message = "the body was not whole in time"
+            raise ObjectApiError(408, "RequestTimeout", message, closes=True) from None
+
+    def _body_length(self, operation: Operation, headers: Headers) -> int:
+        """Return the body's length in bytes, which an upload has to name."""
+        text = headers.get(b"content-length")
+        if text is None:
+            if b"transfer-encoding" in headers or operation.has_body:
+                message = "a Content-Length is wanted"
+                raise ObjectApiError(411, "MissingContentLength", message, closes=True)
+            return 0
+        if int(text) > self.services.max_body_bytes:
+            raise ObjectApiError(413, "EntityTooLarge", "the body is too large", closes=True)
+        return int(text)
+
+
+def _check_single_headers(request: h11.Request) -> None:
+    names = [bytes(name) for name, _ in request.headers]
+    if any(names.count(name) > 1 for name in SINGLE_HEADERS):
+        raise ObjectApiError(400, "InvalidRequest", "a header stands twice")
--- /dev/null
+++ b/runloft/listeners/objects/exchange.py
@@ -0,0 +1,44 @@
+"""One request of an object API connection, as the core sees it."""
+
+import socket
+
+import anyio
+
+from runloft.core.invariants import INVARIANTS
+from runloft.core.model import Reply, Served
+from runloft.listeners.connection import has_half_closed
+from runloft.upstream.http_link import Stream
+
+NO_SHARD = -1
+
+
+class Exchange:
+    """The sink of one request; ``event`` is set at the response's start or the final reply."""
+
+    def __init__(self, sock: socket.socket) -> None:
+        self.event = anyio.Event()
+        self.stream: Stream | None = None
+        self.reply: Reply | None = None
+        self.shard = NO_SHARD
+        self._sock = sock
+
+    def begin(self, value: object, node: str, shard: int) -> None:
+        """Take the start of a streamed response."""
+        assert isinstance(value, Stream)
+        self.stream = value
+        self.shard = shard
+        self.event.set()
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client ended its sending, even if some input is still to be read."""
+        return self._sock.fileno() < 0 or has_half_closed(self._sock)
+
+    def answer(self, reply: Reply) -> None:
+        """Take the final reply."""
+        INVARIANTS.answered(self.reply is not None, listener="objects")
+        self.reply = reply
+        if isinstance(reply, Served):
+            self.shard = reply.shard
+        elif self.stream:
+            self.stream.end(False)
+        self.event.set()
--- /dev/null
+++ b/runloft/listeners/objects/reading.py
@@ -0,0 +1,119 @@
+"""The reading side of an object API connection: heads, bodies, and the client's disconnect."""
+
+import socket
+
+import anyio
+import h11
+
+from runloft.listeners.connection import DISCONNECT_POLL_S, has_half_closed
+from runloft.listeners.objects.errors import ObjectApiError
+from runloft.listeners.objects.limits import (
+    BODY_TIMEOUT_S,
+    HEAD_TIMEOUT_S,
+    IDLE_TIMEOUT_S,
+    MAX_HEAD_BYTES,
+    MAX_READ_AHEAD_BYTES,
+)
+from runloft.listeners.objects.services import ListenerServices
+from runloft.listeners.objects.writing import ResponseWriter
+from runloft.net.timing import pause
+
+ReadEvent = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
+
+
+class RequestReader:
+    """Reads requests from a connection's socket, which it does not own."""
+
+    def __init__(
+        self,
+        sock: socket.socket,
+        protocol: h11.Connection,
+        writer: ResponseWriter,
+        services: ListenerServices,
+    ) -> None:
+        self._sock = sock
+        self._protocol = protocol
+        self._writer = writer
+        self._services = services
+
+    def unread_bytes(self) -> int:
+        """Return how many bytes have been received and are not parsed yet."""
+        return len(self._protocol.trailing_data[0])
+
+    async def read_head(self, is_first: bool) -> ReadEvent:
+        """Wait for a request's head; a trickle buys it no time.
+
+        Raise ObjectApiError if it is invalid or incomplete in time, TimeoutError if nothing came in time.
+        """
+        if not is_first and not self.unread_bytes():
+            with self._services.within(IDLE_TIMEOUT_S):
+                await anyio.wait_readable(self._sock)
+        try:
+            return await self._next_event(HEAD_TIMEOUT_S)
+        except h11.RemoteProtocolError as error:
+            status = error.error_status_hint
+            raise ObjectApiError(status, "InvalidRequest", str(error), closes=True) from None
+        except TimeoutError:
+            if not self.unread_bytes():
+                raise
+            message = "the head was not whole in time"
+            raise ObjectApiError(408, "RequestTimeout", message, closes=True) from None
+
+    async def read_body(self, length: int) -> bytes:
+        """Return the body of this length in bytes; raise ObjectApiError if it has another."""
+        body = bytearray()
+        while True:
+            try:
+                event = await self._next_event(BODY_TIMEOUT_S)
+            except h11.RemoteProtocolError as error:
+                raise ObjectApiError(400, "IncompleteBody", str(error), closes=True) from None
+            if isinstance(event, h11.Data) and len(body) + len(event.data) <= length:
+                body += event.data
+            elif isinstance(event, h11.EndOfMessage):
+                return bytes(body)
+            else:
+                raise ObjectApiError(400, "IncompleteBody", "the body is not whole", closes=True)
+
+    async def discard_body(self) -> None:
+        """Read a small body of a request that is answered early, so that the connection goes on."""
+        if self._protocol.they_are_waiting_for_100_continue:
+            return
+        discarded = 0
+        while self._protocol.their_state is h11.SEND_BODY and discarded < MAX_READ_AHEAD_BYTES:
+            event = await self._next_event(BODY_TIMEOUT_S)
+            if not isinstance(event, h11.Data):
+                return
+            discarded += len(event.data)
+
+    async def wait_for_disconnect(self) -> None:
+        """Read ahead while a request is out, and return once the client has disconnected."""
+        received = 0
+        try:
+            while received < MAX_READ_AHEAD_BYTES:
+                await anyio.wait_readable(self._sock)
+                try:
+                    data = self._sock.recv(MAX_READ_AHEAD_BYTES - received)
+                except BlockingIOError:
+                    continue
+                if not data:
+                    break
+                self._protocol.receive_data(data)
+                received += len(data)
+            while received >= MAX_READ_AHEAD_BYTES and not has_half_closed(self._sock):
+                # Prevents requests from being forwarded whose client is read no further, and leaves.
+                await pause(self._services.timers, self._services.clock, DISCONNECT_POLL_S)
+        except (OSError, h11.ProtocolError, anyio.ClosedResourceError):
+            pass
+
+    async def _next_event(self, timeout_s: float) -> ReadEvent:
+        with self._services.within(timeout_s):
+            while (event := self._protocol.next_event()) is h11.NEED_DATA:
+                if self._protocol.they_are_waiting_for_100_continue:
+                    await self._writer.write(h11.InformationalResponse(status_code=100, headers=[]))
+                try:
+                    data = self._sock.recv(MAX_HEAD_BYTES)
+                except BlockingIOError:
+                    await anyio.wait_readable(self._sock)
+                    continue
+                self._protocol.receive_data(data)
+        return event
--- /dev/null
+++ b/runloft/listeners/objects/translation.py
@@ -0,0 +1,155 @@
+"""Translation of an operation on an object into the ``RequestSpec`` that the core schedules."""
+
+import math
+import zlib
+from dataclasses import dataclass
+from urllib.parse import quote
+
+from runloft.config.settings import Config, ObjectSettings, VolumeSettings
+from runloft.core.model import RequestSpec
+from runloft.listeners.objects.errors import ObjectApiError
+from runloft.listeners.objects.operations import Operation, OperationKind
+from runloft.sharing.places import Place
+from runloft.upstream.http_link import HttpPayload
+
+Headers = dict[bytes, bytes]
+
+MAX_POSITION_DIGITS = 18  # of a byte position in a range header
+FORWARDED_HEADERS = (
+    b"range",
+    b"if-range",
+    b"if-match",
+    b"if-none-match",
+    b"content-type",
+    b"content-md5",
+)
+METHODS = {
+    OperationKind.GET: b"GET",
+    OperationKind.HEAD: b"HEAD",
+    OperationKind.PUT: b"PUT",
+    OperationKind.DELETE: b"DELETE",
+    OperationKind.CREATE_UPLOAD: b"POST",
+    OperationKind.UPLOAD_PART: b"PUT",
+    OperationKind.COMPLETE_UPLOAD: b"POST",
+    OperationKind.ABORT_UPLOAD: b"DELETE",
+    OperationKind.LIST_PARTS: b"GET",
+}
+
+
+@dataclass(frozen=True, slots=True)
+class ByteRange:
+    """The range header to forward, None for the complete object, and how many bytes it may bring."""
+
+    header: bytes | None
+    size: int
+
+
+def parse_range(text: bytes | None, object_size: int) -> ByteRange:
+    """Return the one range that a header names; ``object_size`` is -1 if it is unknown.
+
+    Several ranges, or none that is understood, stand for the complete object.
+    """
+    unit, separator, spec = (text or b"").strip().partition(b"=")
+    first, dash, last = spec.strip().partition(b"-")
+    is_interval = unit.lower() == b"bytes" and bool(separator and dash)
+    if not is_interval or not _are_positions(first, last):
+        return ByteRange(None, object_size)
+    if not first:
+        length = int(last)
+    elif last:
+        length = int(last) - int(first) + 1
+    else:
+        length = object_size - int(first)
+    return ByteRange(text, max(0, min(length, object_size) if object_size >= 0 else length))
+
+
+def _are_positions(first: bytes, last: bytes) -> bool:
+    """Return whether at least one of the texts is a position, and both are in order."""
+    positions = [text for text in (first, last) if text]
+    if not positions or not all(text.isdigit() and len(text) <= MAX_POSITION_DIGITS for text in positions):
+        return False
+    return not (first and last and int(first) > int(last))
+
+
+class RequestTranslator:
+    """Describes operations to the core, by the classes and volumes of a configuration."""
+
+    def __init__(self, config: Config, objects: ObjectSettings) -> None:
+        self._settings = config.settings
+        self._objects = objects
+
+    def check_volume(self, operation: Operation) -> None:
+        """Raise ObjectApiError unless the operation's volume is one of the configuration's."""
+        if operation.volume not in self._objects.volumes:
+            raise ObjectApiError(404, "NoSuchBucket", "there is no such volume")
+
+    def volume_of(self, operation: Operation) -> VolumeSettings:
+        """Return the settings of the operation's volume, which has to be known."""
+        return self._objects.volumes[operation.volume]
+
+    def translate(
+        self,
+        operation: Operation,
+        headers: Headers,
+        body: bytes,
+        volume: VolumeSettings,
+        place: Place | None,
+    ) -> RequestSpec:
+        """Return the request for the shard that holds the object, for any shard without a ``place``."""
+        byte_range = parse_range(headers.get(b"range"), place.size if place else -1)
+        is_get = operation.kind is OperationKind.GET
+        transfer_bytes = max(0, byte_range.size) if is_get else len(body)
+        request_class = self._objects.classes[operation.kind]
+        return RequestSpec(
+            request_class=request_class,
+            plan=volume.plan,
+            volume=volume.id,
+            units=self._units(transfer_bytes),
+            time_left_ns=self._timeout_ns(headers, request_class),
+            shard=place.shard if place else None,
+            payload=HttpPayload(
+                METHODS[operation.kind],
+                target_of(operation).encode("ascii"),
+                _forwarded_headers(headers, byte_range),
+                body,
+            ),
+            key=zlib.crc32(operation.key.encode()) + 1,
+            volume_hosts=volume.hosts,
+            is_write=operation.has_body,
+        )
+
+    def _units(self, transfer_bytes: int) -> float:
+        units = math.ceil(transfer_bytes / self._objects.unit_bytes)
+        return min(max(1.0, self._settings.max_units), max(1.0, units))
+
+    def _timeout_ns(self, headers: Headers, request_class: int) -> int:
+        deadline_ns = self._settings.classes[request_class].deadline_ns
+        text = headers.get(b"x-expires-in-ms")
+        if text is None:
+            return deadline_ns
+        if not (text.isdigit() and len(text) < 10 and int(text)):
+            raise ObjectApiError(
+                400, "InvalidArgument", "X-Expires-In-Ms takes a whole number of milliseconds"
+            )
+        return min(deadline_ns, int(text) * 1_000_000)
+
+
+def target_of(operation: Operation) -> str:
+    """Return the target under which a storage node's object server knows the operation."""
+    path = f"/volumes/{quote(operation.volume, safe='')}/objects/{quote(operation.key)}"
+    if operation.kind is OperationKind.CREATE_UPLOAD:
+        return f"{path}?uploads&uploadId={operation.upload_id}"
+    if operation.kind is OperationKind.UPLOAD_PART:
+        return f"{path}?partNumber={operation.part_number}&uploadId={operation.upload_id}"
+    if operation.upload_id:
+        return f"{path}?uploadId={operation.upload_id}"
+    return path
+
+
+def _forwarded_headers(headers: Headers, byte_range: ByteRange) -> tuple[tuple[bytes, bytes], ...]:
+    forwarded: list[tuple[bytes, bytes]] = []
+    for name in FORWARDED_HEADERS:
+        value = byte_range.header if name == b"range" else headers.get(name)
+        if value is not None and (name != b"if-range" or byte_range.header is not None):
+            forwarded.append((name, value))
+    return tuple(forwarded)
--- /dev/null
+++ b/runloft/listeners/resp/connection.py
@@ -0,0 +1,186 @@
+"""A RESP2 connection at work: it reads commands, answers the trivial ones and posts the requests."""
+
+import socket
+from collections.abc import Iterator
+from contextlib import contextmanager
+from functools import partial
+
+import anyio
+
+from runloft.core import guard
+from runloft.core.guard import CloseReason
+from runloft.core.model import RequestReceived
+from runloft.core.trace import trace
+from runloft.listeners.connection import FREE_ERRORS, LINGER_BYTES, slowdown_s
+from runloft.listeners.resp.commands import BadCommandError
+from runloft.listeners.resp.lifetime import ClientLifetime
+from runloft.listeners.resp.limits import (
+    COMMAND_BURST,
+    DRAIN_POLL_S,
+    LINGER_NS,
+    MAX_ERRORS,
+    MAX_PIPELINED,
+    SHUTDOWN_LINGER_NS,
+)
+from runloft.listeners.resp.pipelining import PipelinedResponse
+from runloft.net import resp2
+from runloft.net.timing import pause
+
+REQUEST_COMMANDS = (b"IO.IN", b"IO.OUT")
+ACKNOWLEDGED_COMMANDS = (b"CLIENT", b"SELECT")  # accepted for clients that send them, without effect
+
+
+class RespClient(ClientLifetime):
+    """One client connection of the platform's protocol."""
+
+    async def run(self) -> None:
+        """Serve commands until the client leaves, its framing is lost or it does not keep its times."""
+        try:
+            with self.reading_scope:
+                await self._serve_commands()
+            if self.is_closing:
+                await self._linger()
+        except (OSError, BufferError, anyio.ClosedResourceError):
+            self.close_reason = CloseReason.CONNECTION_BROKEN
+        self.close(self.close_reason)
+
+    async def _serve_commands(self) -> None:
+        while not self.closed and not self.is_closing:
+            if not self.has_space():
+                self.space_event = anyio.Event()
+                with self._unread():
+                    await self.space_event.wait()
+            elif self._process_commands():
+                if self.has_disconnected():  # it sent much and left: the rest of it is not begun
+                    return
+                # Prevents a flood on one connection from delaying the other clients.
+                seconds = slowdown_s(self.errors)
+                await (self._pause_unread(seconds) if seconds else anyio.sleep(0))
+            elif not self.is_closing and not await self._receive():
+                return
+
+    async def _receive(self) -> bool:
+        """Wait for input and read once; return False at the end of the stream."""
+        while True:
+            try:
+                received = self.reader.receive()
+            except BlockingIOError:
+                self.reader.shrink()
+                await anyio.wait_readable(self.sock)
+                continue
+            self.listener.relieve_input_memory()
+            return received > 0
+
+    def _process_commands(self) -> bool:
+        """Process some commands; return whether more complete ones may be in the buffer."""
+        reader = self.reader
+        processed = 0
+        while processed < COMMAND_BURST and len(self.pipeline) < MAX_PIPELINED and not self.is_closing:
+            try:
+                words = reader.next_command()
+            except resp2.RespError as error:
+                self.fail(str(error))
+                return False
+            if words is None:
+                self._note_incomplete_command()
+                return False
+            reader.partial_since = None
+            processed += 1
+            self.last_activity_at = self.listener.clock()
+            self.has_sent_command = True
+            arrived_at = reader.arrival_of_last_command(self.last_activity_at)
+            if words:
+                self._execute(words, arrived_at)
+        return not self.is_closing
+
+    def _note_incomplete_command(self) -> None:
+        """Record since when a command is incomplete; what trickles in later does not reset it."""
+        reader = self.reader
+        if not reader.unread_bytes():
+            reader.partial_since = None
+        elif reader.partial_since is None:
+            reader.partial_since = self.listener.clock() if self.has_sent_command else self.last_activity_at
+
+    def _execute(self, words: list[bytes], arrived_at: int) -> None:
+        response = self.pipeline.open()
+        name = words[0].upper()
+        if name in REQUEST_COMMANDS:
+            self._post_request(response, words, arrived_at)
+        elif name == b"PING":
+            response.complete(*(resp2.bulk(words[1]) if len(words) > 1 else (b"+PONG\r\n",)))
+        elif name in ACKNOWLEDGED_COMMANDS:
+            response.complete(b"+OK\r\n")
+        elif name == b"QUIT":
+            self.is_closing = True
+            self.close_reason = CloseReason.CLIENT_QUIT
+            response.complete(b"+OK\r\n")
+        else:
+            self._reject(response, "unknown command")
+
+    def _post_request(self, response: PipelinedResponse, words: list[bytes], arrived_at: int) -> None:
+        try:
+            request = self.listener.translator.translate(words, self.last_activity_at - arrived_at)
+        except BadCommandError as error:
+            self._reject(response, str(error))
+            return
+        if trace.enabled:
+            trace("command", client=self.number, id=request.id)
+        self.errors = min(self.errors, FREE_ERRORS)
+        self.listener.post(RequestReceived(response, request))
+
+    def _reject(self, response: PipelinedResponse, reason: str) -> None:
+        self.errors += 1
+        response.complete(b"-ERR %s\r\n" % reason.encode())
+        if self.errors > MAX_ERRORS:
+            self.fail("too many errors")
+
+    async def _pause_unread(self, seconds: float) -> None:
+        with self._unread():
+            await pause(self.listener.timers, self.listener.clock, seconds)
+
+    @contextmanager
+    def _unread(self) -> Iterator[None]:
+        """Have the listener watch for a disconnect while nothing is read.
+
+        Prevents requests from being forwarded whose client has left unseen.
+        """
+        self.listener.watch_unread(self)
+        try:
+            yield
+        finally:
+            self.listener.unwatch(self)
+
+    async def _linger(self) -> None:
+        """Drop further input until the client has had its responses: a close would reset them away."""
+        while not self.closed and (self.pipeline or self.writer.outbox.size):
+            await self._pause_unread(DRAIN_POLL_S)
+        if self.closed:
+            return
+        self.lingering = True
+        self.sock.shutdown(socket.SHUT_WR)
+        linger_ns = SHUTDOWN_LINGER_NS if self.listener.stopping else LINGER_NS
+        if self.close_reason not in guard.OF_THE_CLIENT:
+            # What comes now is not read: its client sends it again elsewhere.
+            await self._pause_unread(linger_ns / 1e9)
+            return
+        close = partial(self.close, self.close_reason)
+        timer = self.listener.timers.add(self.listener.clock() + linger_ns, close)
+        try:
+            if await self._drop_input():
+                await self._pause_unread(LINGER_NS / 1e9)
+        finally:
+            self.listener.timers.discard(timer)
+
+    async def _drop_input(self) -> bool:
+        """Read and drop a limited amount; return False if the stream's end came first."""
+        remaining = LINGER_BYTES
+        while remaining > 0:
+            try:
+                dropped = self.reader.drop_input()
+            except BlockingIOError:
+                await anyio.wait_readable(self.sock)
+                continue
+            if not dropped:
+                return False
+            remaining -= dropped
+        return True
--- /dev/null
+++ b/runloft/listeners/resp/lifetime.py
@@ -0,0 +1,229 @@
+"""The lifetime of a RESP2 connection: its states, its timeouts, and how it is closed without losing anything.
+
+States, in order: open; closing (``is_closing``: no further command is read, the responses that are owed are
+written); lingering (``lingering``: all is written and the sending side is shut, input is dropped for a
+moment); closed (``closed``). A connection that the client broke or left goes to closed at once.
+"""
+
+import socket
+from collections.abc import Callable
+from itertools import count
+from typing import Protocol
+
+import anyio
+import anyio.abc
+
+from runloft.core import guard
+from runloft.core.guard import CloseReason
+from runloft.core.model import ClientDisconnected, Event
+from runloft.core.timers import TimerHandle, TimerQueue
+from runloft.core.trace import trace
+from runloft.listeners.connection import ClientConnection, has_half_closed
+from runloft.listeners.resp.commands import CommandTranslator
+from runloft.listeners.resp.limits import (
+    COMMAND_TIMEOUT_NS,
+    IDLE_TIMEOUT_NS,
+    LINGER_NS,
+    MAX_PIPELINED,
+    MAX_UNWRITTEN_BYTES,
+    PRESSURE_IDLE_TIMEOUT_NS,
+    RECHECK_NS,
+    WRITE_STALL_TIMEOUT_NS,
+)
+from runloft.listeners.resp.pipelining import BUSY, ResponsePipeline
+from runloft.listeners.resp.reading import CommandReader, InputMemory
+from runloft.listeners.resp.writing import ResponseWriter
+from runloft.net import resp2
+from runloft.net.timing import Clock
+
+
+class ClientOwner(Protocol):
+    """What a connection uses of its listener."""
+
+    task_group: anyio.abc.TaskGroup
+    post: Callable[[Event], None]
+    timers: TimerQueue
+    clock: Clock
+    translator: CommandTranslator
+    input_memory: InputMemory
+    stopping: bool
+    backlog_waits: bool
+
+    def is_under_connection_pressure(self) -> bool:
+        """Return whether there are so many connections that idle ones are closed sooner."""
+
+    def relieve_input_memory(self) -> None:
+        """Close connections with incomplete commands while these take too much memory."""
+
+    def relieve_output_memory(self) -> None:
+        """Close connections that do not read while their responses take too much memory."""
+
+    def watch_unread(self, client: "ClientLifetime") -> None:
+        """Look from time to time whether a client that is not read has disconnected."""
+
+    def unwatch(self, client: "ClientLifetime") -> None:
+        """End the looks that ``watch_unread`` began."""
+
+    def forget(self, client: "ClientLifetime") -> None:
+        """Remove a closed connection."""
+
+
+class ClientLifetime(ClientConnection):
+    """A RESP2 connection's state and its ways to close; ``RespClient`` adds what it does with commands."""
+
+    _numbers = count(1)
+
+    def __init__(self, listener: ClientOwner, sock: socket.socket) -> None:
+        super().__init__(sock)
+        self.listener = listener
+        self.number = next(self._numbers)
+        self.close_reason = CloseReason.CLIENT_LEFT  # why reading ended, unless something else closes it
+        self.is_closing = False
+        self.errors = 0  # in a row
+        self.has_sent_command = False
+        self.last_activity_at = listener.clock()  # the last complete command or written response
+        self.reader = CommandReader(sock, listener.input_memory, listener.clock, listener.backlog_waits)
+        self.pipeline = ResponsePipeline(self)
+        self.writer = ResponseWriter(sock, listener.task_group, listener.clock, self)
+        self.reading_scope = anyio.CancelScope()
+        self.space_event: anyio.Event | None = None  # set once further commands may be processed
+        self._timer: TimerHandle | None = listener.timers.add(
+            self.last_activity_at + COMMAND_TIMEOUT_NS, self._check_timeouts
+        )
+
+    def log_ids(self) -> dict[str, str | int]:
+        """Return the connection's number."""
+        return {"client": self.number}
+
+    def unanswered_count(self) -> int:
+        """Return how many commands have no complete response."""
+        return len(self.pipeline.unanswered())
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client ended its sending, even if some input is unread; it is closed then."""
+        if not self.closed and has_half_closed(self.sock):
+            self.close(CloseReason.CLIENT_LEFT)
+        return self.closed
+
+    def has_space(self) -> bool:
+        """Return whether a further command may be processed."""
+        return len(self.pipeline) < MAX_PIPELINED and self.writer.outbox.size <= MAX_UNWRITTEN_BYTES
+
+    def flush(self) -> None:
+        """Write the responses whose turn has come."""
+        if self.closed:
+            return
+        while (buffers := self.pipeline.pop_ready()) is not None:
+            self.writer.outbox.push(*buffers)
+        self.writer.flush()
+
+    def on_write_blocked(self) -> None:
+        """Have the listener check the memory that unwritten responses take."""
+        self.listener.relieve_output_memory()
+
+    def on_write_progress(self) -> None:
+        """Process further commands if there is space for their responses again."""
+        if self.space_event and self.has_space():
+            self.space_event.set()
+
+    def on_all_written(self) -> None:
+        """Record the activity; during a shutdown close the connection."""
+        self.last_activity_at = self.listener.clock()
+        self.on_write_progress()
+        if self.listener.stopping:
+            self.close_if_idle()
+
+    def on_write_failed(self) -> None:
+        """Close the broken connection."""
+        self.close(CloseReason.CONNECTION_BROKEN)
+
+    def may_close(self, reason: CloseReason) -> bool:
+        """Return whether the guard permits to close; what is already here is read first."""
+        unanswered = self.pipeline.unanswered()
+        half_read = self.reader.unread_bytes()
+        unwritten = self.writer.outbox.size + self.pipeline.pending_bytes
+        has_unread = not (unanswered or unwritten or half_read) and self.has_unread_input()
+        return guard.permit_close(reason, unanswered, unwritten, half_read, has_unread) is None
+
+    def close_if_idle(self, reason: CloseReason = CloseReason.SHUTDOWN) -> None:
+        """Close between requests; a request that is already here is read first."""
+        if self.closed or self.is_closing or not self.may_close(reason):
+            return
+        if self.listener.clock() - self.last_activity_at >= LINGER_NS:
+            self.close(reason)
+            return
+        self.close_after_responses(reason)
+
+    def close_after_responses(self, reason: CloseReason = CloseReason.SHUTDOWN) -> None:
+        """Read nothing more, and close after the responses that are owed.
+
+        Prevents the loss of the last of them: a request that comes just now would turn a close into a reset,
+        which discards what the client has not read.
+        """
+        if not self.is_closing:
+            self._refuse_unprocessed()
+            self.is_closing = True
+            self.close_reason = reason
+            self.reading_scope.cancel()
+
+    def fail(self, reason: str) -> None:
+        """Report a protocol error after the responses that are owed, and close."""
+        if not self.is_closing and not self.closed:
+            self.is_closing = True
+            self.close_reason = CloseReason.PROTOCOL_ERROR
+            self.reading_scope.cancel()
+            self.pipeline.open().complete(b"-ERR Protocol error: %s\r\n" % reason.encode())
+
+    def release(self, reason: CloseReason, unanswered: int) -> None:
+        """Release timer, memory and waiters, and report the requests that nobody waits for any more."""
+        if trace.enabled:
+            trace("client closed", client=self.number, reason=str(reason), unanswered=unanswered)
+        self.listener.timers.discard(self._timer)
+        self.reader.release()
+        self.listener.forget(self)
+        if self.space_event:
+            self.space_event.set()
+        for response in self.pipeline.unanswered():
+            self.listener.post(ClientDisconnected(response))
+        self.pipeline.clear()
+
+    def _refuse_unprocessed(self) -> None:
+        """Answer 'busy' to the complete commands that were read and not begun, so that none is unanswered."""
+        while self.reader.unread_bytes() > 0:
+            try:
+                words = self.reader.next_command()
+            except resp2.RespError:
+                return
+            if words is None:
+                return
+            self.pipeline.open().complete(BUSY)
+
+    def _check_timeouts(self) -> None:
+        """Close a client that keeps a descriptor and asks for nothing; a trickle buys it no time."""
+        if self.closed:
+            return
+        now = self.listener.clock()
+        partial_since = self.reader.partial_since
+        since = self.last_activity_at if partial_since is None else partial_since
+        timeout_ns = self._timeout_ns()
+        if self.writer.outbox.size and now - self.writer.progress_at > WRITE_STALL_TIMEOUT_NS:
+            self.close(CloseReason.NOT_READING)
+            return
+        if not self.is_closing and now - since >= timeout_ns:
+            if partial_since is None:
+                self.close_if_idle(CloseReason.IDLE)
+            else:
+                self.fail("the command was not whole in time")
+        if not self.closed:
+            due = min(since + timeout_ns, now + PRESSURE_IDLE_TIMEOUT_NS)
+            if due <= now:
+                due = now + RECHECK_NS
+            self._timer = self.listener.timers.add(due, self._check_timeouts)
+
+    def _timeout_ns(self) -> int:
+        """Return how long the client may take: for its command, or between requests."""
+        if not self.has_sent_command or self.reader.partial_since is not None:
+            return COMMAND_TIMEOUT_NS
+        if self.listener.is_under_connection_pressure():
+            return PRESSURE_IDLE_TIMEOUT_NS
+        return IDLE_TIMEOUT_NS
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -28,7 +28,7 @@
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import ListKind
 from runloft.discovery.watch import Watch, listed
-from runloft.listeners.resp import RespFront
+from runloft.listeners.resp import RespListener
 from runloft.net.sockets import close, listening_when_possible
 from runloft.net.timing import pause
 from runloft.service.reload import Configured, Reload
@@ -210,17 +210,17 @@
             begin=core.begin_attempt,
             part=4 if config.objects else 2,  # the other half of the descriptors is the clients'
         )
-        fronts: list[Front] = [RespFront(group, runner.post, deadlines, clock, config)]
+        fronts: list[Front] = [RespListener(group, runner.post, deadlines, clock, config)]
         listeners = [await listening_when_possible(config.listen)]
         store = None
         if config.objects:
             # Loaded here: the platform, where it is off, needs neither its memory nor its start-up time.
-            from runloft.listeners.objects import ObjectFront
+            from runloft.listeners.objects import ObjectListener
             from runloft.sharing.places import SharedStore
             from runloft.upstream.http_link import HttpConnection
 
             store = SharedStore(config.objects.store)
-            fronts.append(ObjectFront(group, runner.post, deadlines, clock, config, config.objects, store))
+            fronts.append(ObjectListener(group, runner.post, deadlines, clock, config, config.objects, store))
             listeners.append(await listening_when_possible(config.objects.listen))
             runner.links["http"] = NodeLink(
                 group,
--- a/tests/agreement/test_sharing.py
+++ b/tests/agreement/test_sharing.py
@@ -398,7 +398,7 @@
 
 def ask(log):
     """Ask a sidecar for something on a shard that no node holds, with little time."""
-    line = next(one for one in log.read_text().split("\n") if "RespFront" in one)
+    line = next(one for one in log.read_text().split("\n") if "RespListener" in one)
     port = int(line.split("at=127.0.0.1:")[1].split()[0])
     pairs = b"c=read,t=standard,d=200,volume=00000000000000a1,units=2,shard=1,hosts=2"
     words = (b"IO.IN", b"%016x" % 5, b"%016x" % time.monotonic_ns(), pairs)
@@ -524,7 +524,7 @@
     port = next(
         line.split("at=127.0.0.1:")[1].split()[0]
         for line in log.read_text().split("\n")
-        if "ObjectFront" in line
+        if "ObjectListener" in line
     )
     request = urllib.request.Request(f"http://127.0.0.1:{port}/volumes/boats/objects/a", b"x", method="PUT")
     with pytest.raises(urllib.error.HTTPError) as refused:
--- a/tests/config/test_configs.py
+++ b/tests/config/test_configs.py
@@ -15,9 +15,9 @@
 from runloft.config.operator import MOST_BYTES, check_file, check_text
 from runloft.config.settings import config_from_json, load_config
 from runloft.lab.scale.records import result_from
-from runloft.listeners import objects as objects_front
-from runloft.listeners import resp
-from runloft.listeners.accepting import AcceptingFront
+from runloft.listeners.accepting import ListenerBase
+from runloft.listeners.objects.limits import IDLE_TIMEOUT_S
+from runloft.listeners.resp import limits as resp_limits
 from runloft.upstream import links
 
 HERE = Path(__file__).parent / "files"
@@ -105,9 +105,9 @@
     raw = check_file(str(HERE / "sidecar.toml")).raw | {"limits": {"sockets": 1024}}
     for objects, parts in operator.NODE_PARTS.items():
         held = raw if objects else {key: value for key, value in raw.items() if key != "objects"}
-        front = AcceptingFront(None, None, None, None, config_from_json(held))
+        front = ListenerBase(None, None, None, None, config_from_json(held))
         fronts = 2 if objects else 1
-        assert (front.crowd, front.most_clients) == (
+        assert (front.pressure_threshold, front.max_clients) == (
             int(1024 * operator.CROWD_PART) // fronts,
             int(1024 * operator.CLIENT_PART) // fronts,
         )
@@ -117,8 +117,11 @@
             assert link.most == (1024 - operator.OTHERS) // part
     runner = (HERE.parents[2] / "runloft" / "service" / "runner.py").read_text()
     assert "part=4 if config.objects else 2," in runner and "part=8," in runner
-    assert (operator.IDLE_MS, operator.CROWD_MS) == (resp.IDLE_NS / 1e6, resp.CROWD_NS / 1e6)
-    assert operator.IDLE_MS == objects_front.IDLE_S * 1e3
+    assert (operator.IDLE_MS, operator.CROWD_MS) == (
+        resp_limits.IDLE_TIMEOUT_NS / 1e6,
+        resp_limits.PRESSURE_IDLE_TIMEOUT_NS / 1e6,
+    )
+    assert operator.IDLE_MS == IDLE_TIMEOUT_S * 1e3
 
 
 def test_the_memory_that_is_checked_is_no_less_than_what_was_measured():
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -26,7 +26,7 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome, Idempotency, IdempotencyScope, ListKind, NodeState
-from runloft.listeners.grammar import Translator
+from runloft.listeners.resp.commands import CommandTranslator
 from tests.support.driver import MS, SECOND
 
 DOUBTFUL = (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)
@@ -96,7 +96,10 @@
         self.settings, self.random, self.now = conf.settings, random.Random(seed), 100 * SECOND
         self.names = [(c["Name"], k) for k, c in enumerate(raw["settings"]["Classes"])]
         self.plans = [plan["Name"] for plan in raw["settings"]["ServiceLevels"]]
-        self.translator, self.core = Translator(conf), Core(conf.settings, seed, self.now, TimerQueue())
+        self.translator, self.core = (
+            CommandTranslator(conf),
+            Core(conf.settings, seed, self.now, TimerQueue()),
+        )
         self.serial, self.due = count(), []
         self.open, self.attempts, self.lines, self.rest = {}, {}, defaultdict(list), {}
         self.taken_at, self.extra_at, self.stores = [], [], {}
@@ -136,7 +139,7 @@
         attributes += f",units={self.random.randint(1, 8)},shard={self.random.randint(-1, 3)},hosts=1"
         words = [b"IO.IN", b"%016x" % piece, b"%016x" % next(self.serial), attributes.encode()]
         sink = ResponseSink()
-        ask = self.translator.ask(words)
+        ask = self.translator.translate(words)
         self.open[sink] = self.now + ask.time_left_ns
         sink.ask, sink.request_class = ask, facts
         self.taken_at.append(self.now)
--- a/tests/listeners/test_accepting.py
+++ b/tests/listeners/test_accepting.py
@@ -8,7 +8,7 @@
 from runloft.config.settings import config_from_json
 from runloft.core.guard import CloseReason
 from runloft.core.timers import TimerQueue
-from runloft.listeners.accepting import AcceptingFront
+from runloft.listeners.accepting import ListenerBase
 from tests.support.standins import config
 
 CONFIG = config_from_json(config("127.0.0.1:1", []))
@@ -26,8 +26,8 @@
 
 
 def front(most=5):
-    made = AcceptingFront(None, None, TimerQueue(), lambda: 0, CONFIG)
-    made.most_clients = most
+    made = ListenerBase(None, None, TimerQueue(), lambda: 0, CONFIG)
+    made.max_clients = most
     return made
 
 
@@ -50,17 +50,17 @@
 
 def test_a_fault_in_one_client_ends_that_client_alone():
     class Client:
-        ended = False
+        closed = False
 
         async def run(self):
             raise ZeroDivisionError
 
-        def end(self, reason):
-            self.ended = reason is CloseReason.FAULT
+        def close(self, reason):
+            self.closed = reason is CloseReason.FAULT
 
     client = Client()
     anyio.run(front()._serve, client)
-    assert client.ended
+    assert client.closed
 
 
 class Waiting:
@@ -110,13 +110,13 @@
     async def run(self):
         pass
 
-    def end(self, reason):
+    def close(self, reason):
         pass
 
 
 def serving():
     made = front()
-    made.group, made.new_client = Group(), Client
+    made.task_group, made.new_client = Group(), Client
     return made
 
 
@@ -154,7 +154,7 @@
 
     async def story():
         made, listener, calls = serving(), Waiting(Accepted(), Accepted(), Accepted()), []
-        made.deadlines, made.clock = TimerQueue(), lambda: 0
+        made.timers, made.clock = TimerQueue(), lambda: 0
 
         async def wait(_):
             calls.append(1)
--- a/tests/listeners/test_exchanges.py
+++ b/tests/listeners/test_exchanges.py
@@ -90,7 +90,7 @@
 def test_an_exchange_goes_as_recorded(path, tmp_path):
     discovery, store = Discovery(), Redis()
     store.data[b"runloft:object:tracks:k"] = b"0 10"
-    front = "ObjectFront" if path.stem.startswith("http-") else "RespFront"
+    front = "ObjectListener" if path.stem.startswith("http-") else "RespListener"
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.settimeout(10)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
--- a/tests/listeners/test_grammar.py
+++ b/tests/listeners/test_grammar.py
@@ -6,7 +6,7 @@
 import pytest
 
 from runloft.config.settings import config_from_json
-from runloft.listeners.grammar import TRAVEL_NS, BadCommandError, Translator
+from runloft.listeners.resp.commands import TRAVEL_ALLOWANCE_NS, BadCommandError, CommandTranslator
 from tests.support.driver import MS
 from tests.support.standins import Discovery, Program, config, until
 
@@ -16,13 +16,13 @@
 
 
 def ask(attributes=GOOD, piece=ID, id_=ID, word=b"IO.IN", body=()):
-    return Translator(CONFIG).ask([word, piece, id_, attributes, *body])
+    return CommandTranslator(CONFIG).translate([word, piece, id_, attributes, *body])
 
 
 def test_a_command_is_read_field_by_field():
     got = ask(GOOD + b",r=1")
     assert (got.volume, got.units, got.shard, got.volume_hosts) == (0x3B4D60021, 2.0, 5, 3.0)
-    assert got.time_left_ns == 480 * MS - TRAVEL_NS and got.is_client_retry and got.id == ID
+    assert got.time_left_ns == 480 * MS - TRAVEL_ALLOWANCE_NS and got.is_client_retry and got.id == ID
     assert b"".join(got.payload.parts(7 * MS)).count(b"d=7,volume=00000003b4d60021") == 1
     assert ask(GOOD.replace(b"shard=5", b"shard=-1")).shard is None
 
@@ -146,7 +146,7 @@
 def test_hundreds_that_say_nothing_do_not_lock_the_others_out(program):
     silent = []
     for _ in range(120):  # more than the descriptors allow
-        silent.append(socket.create_connection(("127.0.0.1", program.ports["RespFront"]), timeout=10))
+        silent.append(socket.create_connection(("127.0.0.1", program.ports["RespListener"]), timeout=10))
     with program.connect() as sock:
         sock.sendall(b"*1\r\n$4\r\nPING\r\n")
         assert sock.recv(100) == b"+PONG\r\n"
--- a/tests/listeners/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -14,7 +14,8 @@
 from runloft.core.guard import CloseReason
 from runloft.core.model import ClientDisconnected, RequestReceived, Served
 from runloft.core.timers import TimerQueue
-from runloft.listeners.resp import IDLE_NS, LINGER_NS, PIPELINED, RespFront
+from runloft.listeners.resp import RespListener
+from runloft.listeners.resp.limits import IDLE_TIMEOUT_NS, LINGER_NS, MAX_PIPELINED
 from runloft.net.sockets import connecting
 from tests.discovery.test_discovery import read_command
 from tests.support.driver import MS, SECOND
@@ -31,7 +32,7 @@
     def __init__(self, group):
         self.now, self.deadlines, self.posted = 100 * SECOND, TimerQueue(), []
         conf = config_from_json(config("127.0.0.1:1", []))
-        self.front = RespFront(group, self.posted.append, self.deadlines, lambda: self.now, conf)
+        self.front = RespListener(group, self.posted.append, self.deadlines, lambda: self.now, conf)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
 
@@ -73,7 +74,7 @@
             finally:
                 scene.listener.close()
                 for client in list(scene.front.clients):
-                    client.end(CloseReason.CLIENT_LEFT)
+                    client.close(CloseReason.CLIENT_LEFT)
                 group.cancel_scope.cancel()
 
     anyio.run(run)
@@ -82,7 +83,7 @@
 @pytest.mark.parametrize(
     "sent, open_",
     [
-        (b"".join(read_command(0) for _ in range(PIPELINED + 9)), PIPELINED),  # a full pipeline
+        (b"".join(read_command(0) for _ in range(MAX_PIPELINED + 9)), MAX_PIPELINED),  # a full pipeline
         (read_command(0) + QUIT, 1),
         (read_command(0) + b"?\r\n", 1),  # its framing is lost
         (BAD * 9 + read_command(0) + BAD * 18, 1),  # slowed down
@@ -97,12 +98,12 @@
         while len(scene.taken()) < open_:
             await anyio.sleep(0.001)
             scene.wait(0.1)
-        await scene.until(lambda: scene.front.unread)
+        await scene.until(lambda: scene.front.unread_clients)
         sock.close()
         for _ in range(9):  # within 0.1 s of the client's own time
             scene.wait(10)
         assert set(scene.left()) == set(scene.taken()) and not scene.front.clients
-        assert not scene.front.unread
+        assert not scene.front.unread_clients
 
     play(story)
 
@@ -117,7 +118,7 @@
         await scene.until(lambda: not scene.front.clients)
         await anyio.wait_all_tasks_blocked()
         scene.wait(50)
-        assert not scene.front.unread
+        assert not scene.front.unread_clients
 
     play(story)
 
@@ -198,7 +199,7 @@
         answered.sendall(PING)
         assert await anyio.to_thread.run_sync(answered.recv, 100) == b"+PONG\r\n"
         fresh = scene.connect()
-        spared = scene.front.spared()
+        spared = scene.front.eviction_candidates()
         assert [client.sock.getpeername() for client in spared] == [old.getsockname()]
         for sock in (old, answered, fresh):
             sock.close()
@@ -208,8 +209,8 @@
 
 CLOSERS = {
     "the program winds down": lambda scene: scene.front.stop(),
-    "it has rested long": lambda scene: scene.wait(IDLE_NS / MS),
-    "room is made": lambda scene: scene.front.make_room(),
+    "it has rested long": lambda scene: scene.wait(IDLE_TIMEOUT_NS / MS),
+    "room is made": lambda scene: scene.front.evict_idle(),
 }
 
 
@@ -251,14 +252,14 @@
 
 def test_a_pipeline_longer_than_is_taken_at_once_is_answered_whole_and_in_order():
     """Its first answers wait for a request that is open; the rest of it waits in the socket meanwhile."""
-    many = 3 * PIPELINED
+    many = 3 * MAX_PIPELINED
 
     async def story(scene):
         sock = scene.connect()
         sock.sendall(
             read_command(0) + b"".join(b"*2\r\n$4\r\nPING\r\n$3\r\n%03d\r\n" % n for n in range(many))
         )
-        await scene.until(lambda: scene.front.unread)  # its pipeline is full
+        await scene.until(lambda: scene.front.unread_clients)  # its pipeline is full
         scene.taken()[0].answer(Served(b"ok"))
         wanted = b"$2\r\nok\r\n" + b"".join(b"$3\r\n%03d\r\n" % n for n in range(many))
         got = b""
@@ -278,7 +279,7 @@
         read_command(0),
         read_command(0)[:30],
         BAD * 9,
-        read_command(0) * (PIPELINED + 9),
+        read_command(0) * (MAX_PIPELINED + 9),
         QUIT,
     )
 
@@ -297,7 +298,11 @@
             sock.close()
         await scene.until(lambda: scene.wait(50) or not scene.front.clients)
         scene.wait(5000)
-        assert not scene.front.unread and not scene.front.buffers and not len(scene.deadlines)
+        assert (
+            not scene.front.unread_clients
+            and not scene.front.input_memory.used_bytes
+            and not len(scene.deadlines)
+        )
 
     play(story)
 
@@ -361,18 +366,18 @@
         node.close()
 
 
-@pytest.mark.parametrize("more", [9, PIPELINED + 20])
+@pytest.mark.parametrize("more", [9, MAX_PIPELINED + 20])
 def test_commands_that_were_read_behind_a_full_pipeline_are_answered_at_the_end(more):
     """They were read, and dropped unanswered when the last close came."""
 
     async def story(scene):
         sock = scene.connect()
-        sock.sendall(read_command(0) * (PIPELINED + more) + read_command(0)[:-9])
-        await scene.until(lambda: len(scene.taken()) == PIPELINED)
+        sock.sendall(read_command(0) * (MAX_PIPELINED + more) + read_command(0)[:-9])
+        await scene.until(lambda: len(scene.taken()) == MAX_PIPELINED)
         for _ in range(6):  # what fits is read ahead
             scene.wait(10)
         client = next(iter(scene.front.clients))
-        assert client.inbox.end > client.inbox.start
+        assert client.reader.inbox.end > client.reader.inbox.start
         scene.front.stop(last=True)
         for sink in scene.taken():
             sink.answer(Served(b"ok"))
@@ -380,8 +385,8 @@
         answers = b""
         while got := sock.recv(65536):
             answers += got
-        assert answers == b"$2\r\nok\r\n" * PIPELINED + BUSY * more
-        assert len(scene.taken()) == PIPELINED  # and nothing of them was begun
+        assert answers == b"$2\r\nok\r\n" * MAX_PIPELINED + BUSY * more
+        assert len(scene.taken()) == MAX_PIPELINED  # and nothing of them was begun
         scene.wait(101)
         await scene.until(lambda: not scene.front.clients)
         sock.close()
@@ -400,12 +405,12 @@
         value = b"v" * (4 << 20)
         scene.taken()[0].answer(Served(value))
         client = next(iter(scene.front.clients))
-        assert client.writing and client.outbox.size
+        assert client.writer.is_waiting and client.writer.outbox.size
         scene.front.stop()
         sock.sendall(read_command(0) * 3)
         await scene.until(lambda: len(scene.taken()) == 4)
         scene.front.stop()
-        assert not client.ended and not client.closing
+        assert not client.closed and not client.is_closing
         for sink in scene.taken()[1:]:
             sink.answer(Served(b"ok"))
         scene.front.stop(last=True)
@@ -421,7 +426,7 @@
             async with anyio.create_task_group() as group:
 
                 async def ticks():
-                    while not client.ended:
+                    while not client.closed:
                         scene.wait(1)
                         await anyio.sleep(0.001)
 
--- a/tests/listeners/test_objects.py
+++ b/tests/listeners/test_objects.py
@@ -31,7 +31,7 @@
         )
 
     def http(self):
-        return http.client.HTTPConnection("127.0.0.1", self.program.ports["ObjectFront"], timeout=10)
+        return http.client.HTTPConnection("127.0.0.1", self.program.ports["ObjectListener"], timeout=10)
 
     def ask(self, method, target=ITEM, body=None, headers=None, conn=None):
         conn = conn or self.http()
@@ -124,7 +124,7 @@
     ],
 )
 def test_bad_input_is_named_and_never_reaches_a_node(world, request_, status):
-    with world.program.connect("ObjectFront") as sock:
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(request_)
         assert int(sock.recv(65536).split()[1]) == status
     assert [server.log for server in world.servers] == [[], []]
@@ -187,7 +187,7 @@
 
 def test_a_client_that_drops_mid_range_frees_its_attempt_and_connection(world):
     half = half_world(world)
-    with world.program.connect("ObjectFront") as sock:
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\nRange: bytes=0-8999999\r\n\r\n".encode())
         assert until(lambda: sock.recv(65536)).startswith(b"HTTP/1.1 206")
     assert half.closed.wait(5)  # the node's side is closed soon after the client's
@@ -197,7 +197,7 @@
 def test_an_answer_that_breaks_off_ends_short_of_its_length(world):
     half = half_world(world)
     half.go.set()
-    with world.program.connect("ObjectFront") as sock:
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         got = b""
         while data := sock.recv(65536):
@@ -213,7 +213,7 @@
     world.holder().objects[ITEM] = data
     memory = Path(f"/proc/{world.program.process.pid}/statm")
     before = int(memory.read_text().split()[1])
-    with world.program.connect("ObjectFront") as sock:
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         sock.recv(1, socket.MSG_PEEK)
         time.sleep(0.3)
@@ -262,7 +262,7 @@
     world.ask("PUT", body=b"x")
     server, reached, held = world.holder(), threading.Event(), threading.Event()
     server.held = SimpleNamespace(wait=lambda seconds: reached.set() or held.wait(seconds))
-    with socket.create_connection(("127.0.0.1", world.program.ports["ObjectFront"])) as client:
+    with socket.create_connection(("127.0.0.1", world.program.ports["ObjectListener"])) as client:
         client.sendall(b"GET %s HTTP/1.1\r\nHost: x\r\n\r\n" % ITEM.encode() + b"x" * (90 << 10))
         assert reached.wait(5)
     at = server.connections[-1]
@@ -323,7 +323,7 @@
                 answers.append(("resp", line))
 
     def http_client(number):
-        conn = http.client.HTTPConnection("127.0.0.1", program.ports["ObjectFront"], timeout=20)
+        conn = http.client.HTTPConnection("127.0.0.1", program.ports["ObjectListener"], timeout=20)
         for _ in range(12):
             conn.request("GET", "/volumes/logs/objects/k")
             answer = conn.getresponse()
@@ -386,7 +386,7 @@
 )
 def test_a_bad_client_gets_an_error_or_a_close_in_time(shared, sent, status, seconds):
     began = time.monotonic()
-    with shared.program.connect("ObjectFront") as sock:
+    with shared.program.connect("ObjectListener") as sock:
         sock.sendall(sent)
         got = sock.recv(65536)
     assert got[9:12] == status and time.monotonic() - began < seconds
@@ -394,7 +394,7 @@
 
 
 def test_hundreds_that_say_nothing_do_not_lock_object_clients_out(shared):
-    silent = [shared.program.connect("ObjectFront") for _ in range(120)]
+    silent = [shared.program.connect("ObjectListener") for _ in range(120)]
     assert shared.ask("GET")[0] == 404
     for sock in silent:
         sock.close()
--- a/tests/listeners/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -8,7 +8,9 @@
 from runloft.config.settings import config_from_json
 from runloft.core.model import RequestReceived, Served
 from runloft.core.timers import TimerQueue
-from runloft.listeners.objects import FREE_ERRORS, LINGER_S, ObjectFront
+from runloft.listeners.connection import FREE_ERRORS
+from runloft.listeners.objects import ObjectListener
+from runloft.listeners.objects.limits import LINGER_S
 from runloft.sharing.places import Place
 from runloft.upstream.http_link import Stream
 from tests.support.driver import MS, SECOND
@@ -38,7 +40,7 @@
         self.now, self.deadlines, self.posted = 100 * SECOND, TimerQueue(), []
         conf = config_from_json(config("127.0.0.1:1", [], "127.0.0.1:2"))
         parts = (group, self.posted.append, self.deadlines, lambda: self.now, conf)
-        self.front = ObjectFront(*parts, conf.objects, Store())
+        self.front = ObjectListener(*parts, conf.objects, Store())
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
 
@@ -63,7 +65,7 @@
         stream.end(True)
         exchange.begin(stream, "s-1", 0)
         exchange.answer(Served(stream, "s-1", 0))
-        await self.until(lambda: not client.busy)
+        await self.until(lambda: not client.is_serving)
 
     def wait(self, milliseconds):
         self.now += int(milliseconds * MS)
@@ -85,7 +87,7 @@
             finally:
                 scene.listener.close()
                 for client in list(scene.front.clients):
-                    client.end()
+                    client.close()
                 group.cancel_scope.cancel()
 
     anyio.run(run)
@@ -147,7 +149,7 @@
     async def story(scene):
         sock, client = scene.connect()
         sock.sendall(ASK.replace(b"GET", b"PATCH") * (FREE_ERRORS + 1) + ASK)
-        await scene.until(lambda: client.errors > FREE_ERRORS and not client.busy)
+        await scene.until(lambda: client.errors > FREE_ERRORS and not client.is_serving)
         assert not scene.asked()
         scene.front.stop()
         await scene.until(lambda: scene.wait(10) or scene.asked())
@@ -163,7 +165,7 @@
         scene.front.stopping = True
         large = ASK.replace(b"GET", b"PUT").replace(b"Host", b"Content-Length: 60000000\r\nHost")
         sock.sendall(large + b"k" * 1000)
-        await scene.until(lambda: client.lingers)
+        await scene.until(lambda: client.lingering)
         scene.wait(LINGER_S * 1000 + 1)
         await scene.until(lambda: not scene.front.clients)
         sock.close()
@@ -182,7 +184,7 @@
         await scene.until(scene.asked)
         await scene.answer(client, scene.asked()[0])
         fresh, _ = scene.connect()
-        assert [one.sock.getpeername() for one in scene.front.spared()] == [old.getsockname()]
+        assert [one.sock.getpeername() for one in scene.front.eviction_candidates()] == [old.getsockname()]
         for sock in (old, answered, fresh):
             sock.close()
 
@@ -194,21 +196,21 @@
     """Its request was sent on first and called off then; and its time ran from the store's answer."""
 
     async def story(scene):
-        scene.front.store.answers = anyio.Event()
+        scene.front.places.store.answers = anyio.Event()
         sock, client = scene.connect()
         sock.sendall(ASK.replace(b"Host", b"X-Expires-In-Ms: 900\r\nHost"))
-        await scene.until(lambda: scene.front.store.asked)
+        await scene.until(lambda: scene.front.places.store.asked)
         scene.wait(400)
         if leaves:
             sock.close()
-        scene.front.store.answers.set()
+        scene.front.places.store.answers.set()
         if leaves:
-            await scene.until(lambda: client.ended)
+            await scene.until(lambda: client.closed)
             assert not scene.posted
         else:
             await scene.until(scene.asked)
             assert scene.posted[0].ask.time_left_ns == 500 * MS
             sock.close()
-            await scene.until(lambda: client.ended)
+            await scene.until(lambda: client.closed)
 
     play(story)
--- a/tests/listeners/test_told_wait.py
+++ b/tests/listeners/test_told_wait.py
@@ -7,7 +7,7 @@
 import pytest
 
 from runloft.core.model import RequestReceived, Served
-from runloft.listeners.resp import PIPELINED
+from runloft.listeners.resp.limits import MAX_PIPELINED
 from tests.discovery.test_discovery import read_command
 from tests.listeners.test_leaving import BAD, play
 from tests.support.driver import MS
@@ -49,11 +49,11 @@
     async def story(scene):
         sock = scene.connect()
         sender = socket.socket.sendall
-        await anyio.to_thread.run_sync(sender, sock, read_command(0) * (PIPELINED + more))
-        await scene.until(lambda: len(scene.taken()) == PIPELINED)
+        await anyio.to_thread.run_sync(sender, sock, read_command(0) * (MAX_PIPELINED + more))
+        await scene.until(lambda: len(scene.taken()) == MAX_PIPELINED)
         await waited(scene, WAITED_MS)
-        await answered(scene, PIPELINED + 9)
-        first, late = left_ms(scene)[:PIPELINED], left_ms(scene)[PIPELINED:]
+        await answered(scene, MAX_PIPELINED + 9)
+        first, late = left_ms(scene)[:MAX_PIPELINED], left_ms(scene)[MAX_PIPELINED:]
         assert min(first) > D_MS - 100
         assert max(late) <= D_MS - WAITED_MS + LOOK_MS
         if more == 9:  # not a moment is taken off that can be told
@@ -68,12 +68,12 @@
 
     async def story(scene):
         sock = scene.connect()
-        sock.sendall(read_command(0) * PIPELINED)
-        await scene.until(lambda: len(scene.taken()) == PIPELINED)
+        sock.sendall(read_command(0) * MAX_PIPELINED)
+        await scene.until(lambda: len(scene.taken()) == MAX_PIPELINED)
         await waited(scene, WAITED_MS - 100)
         sock.sendall(read_command(0))
         await waited(scene, 100)
-        await answered(scene, PIPELINED + 1)
+        await answered(scene, MAX_PIPELINED + 1)
         assert D_MS - 250 <= left_ms(scene)[-1] <= D_MS - 100 + LOOK_MS
         sock.close()
 
@@ -84,7 +84,7 @@
     async def story(scene):
         sock = scene.connect()
         sock.sendall(BAD * 16 + read_command(0) * 20)
-        await scene.until(lambda: scene.front.unread)
+        await scene.until(lambda: scene.front.unread_clients)
         await waited(scene, SLOWED_MS)
         await scene.until(lambda: scene.wait(1) or len(scene.taken()) >= 16)
         assert max(left_ms(scene)) <= D_MS - SLOWED_MS
@@ -99,11 +99,11 @@
 
     async def story(scene):
         sock = socket.create_connection(scene.listener.getsockname(), timeout=10)
-        most, scene.front.most_clients = scene.front.most_clients, 0
+        most, scene.front.max_clients = scene.front.max_clients, 0
         sock.sendall(write_command(size))
         assert scene.front.accept_waiting(scene.listener) is False
         await anyio.sleep(0.3)  # the kernel's own clock tells how long it waited
-        scene.front.most_clients = most
+        scene.front.max_clients = most
         assert scene.front.accept_waiting(scene.listener) is True
         await scene.until(scene.taken)
         assert left_ms(scene)[0] <= D_MS - 200
@@ -117,7 +117,7 @@
 
     async def story(scene):
         sock = socket.create_connection(scene.listener.getsockname(), timeout=10)
-        sock.sendall(read_command(0) * PIPELINED)  # all of it is here before any of it is read
+        sock.sendall(read_command(0) * MAX_PIPELINED)  # all of it is here before any of it is read
         scene.front.accept_waiting(scene.listener)
         real, taking = scene.front.post, []
 
@@ -127,9 +127,9 @@
             real(event)
 
         scene.front.post = post
-        await scene.until(lambda: len(scene.taken()) == PIPELINED)
+        await scene.until(lambda: len(scene.taken()) == MAX_PIPELINED)
         left = left_ms(scene)
-        assert left[0] >= D_MS - 50 and left[-1] <= D_MS - 5 * (PIPELINED - 1)
+        assert left[0] >= D_MS - 50 and left[-1] <= D_MS - 5 * (MAX_PIPELINED - 1)
         assert all(later <= sooner for sooner, later in pairwise(left))
         sock.close()
 
--- a/tests/service/test_standing.py
+++ b/tests/service/test_standing.py
@@ -91,7 +91,7 @@
     server.serve = serve
     for conn in server.connections:
         conn.shutdown(socket.SHUT_RDWR)
-    with world.program.connect("ObjectFront") as sock:
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         got = b""
         while b"a" * 1000 not in got:
