--- a/runloft/errors.py
+++ b/runloft/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that runloft defines."""
+"""The base of every exception that this package defines."""
 
 
 class RunloftError(Exception):
-    """An error that runloft defines; its subclasses carry what went wrong as attributes."""
+    """Base class of the package's exceptions; subclasses carry what went wrong."""
