--- a/tests/listeners/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -6,6 +6,7 @@
 import pytest
 
 from runloft.config.settings import config_from_json
+from runloft.core.guard import CloseReason
 from runloft.core.model import RequestReceived, Served
 from runloft.core.timers import TimerQueue
 from runloft.listeners.connection import FREE_ERRORS
@@ -87,7 +88,7 @@
             finally:
                 scene.listener.close()
                 for client in list(scene.front.clients):
-                    client.close()
+                    client.close(CloseReason.CLIENT_LEFT)
                 group.cancel_scope.cancel()
 
     anyio.run(run)
