--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -5,7 +5,7 @@
 import os
 import re
 import socket
-from itertools import count, pairwise
+from itertools import pairwise
 from pathlib import Path
 
 import anyio
@@ -13,9 +13,9 @@
 
 from runloft.core.timers import TimerQueue
 from runloft.discovery.watch import Messages, Watch
+from tests.support.resp_commands import OK, read_command
 from tests.support.standins import Discovery, Program, RespNode, config, entry, reset, until
 
-OK = b"$2\r\nok\r\n"
 DELTA = {"rev": 3, "all": False, "targets": [entry("127.0.0.1:1", uid='odd "{[ name')]}
 LIST = {"rev": 2, "all": True, "targets": [entry(f"127.0.0.1:{n}", f"s-{n}", n) for n in range(1, 1101)]}
 
@@ -262,15 +262,6 @@
     assert 0.45 < new.calls[0][0] <= 0.5
 
 
-IDS = count(1)
-
-
-def read_command(shard):
-    words = [b"IO.IN", b"7f3a9c21e0b4d655", b"%016x" % next(IDS)]
-    words += [b"c=position-read,t=basic,d=2000,volume=00000003b4d60021,units=2,shard=%d,hosts=1" % shard]
-    return b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words)
-
-
 def test_the_least_of_limits_holds_a_thousand_nodes_and_peers(tmp_path):
     """More nodes than descriptors: idle connections make room, and no node is left without one."""
     node, discovery = RespNode(), Discovery()
--- a/tests/listeners/test_objects.py
+++ b/tests/listeners/test_object_api.py
@@ -12,42 +12,9 @@
 import pytest
 
 from tests.support.lab import Redis
+from tests.support.object_world import ITEM, World
 from tests.support.standins import Discovery, ObjectServer, Program, RespNode, config, entry, settings, until
 
-ITEM = "/volumes/tracks/objects/2026/run.csv"
-
-
-class World:
-    """One sidecar with two shards behind it."""
-
-    def __init__(self, path, **extra):
-        self.store, self.discovery = Redis(), Discovery()
-        self.servers = [ObjectServer(), ObjectServer()]
-        self.nodes = [
-            entry("127.0.0.1:9", f"s-{n}", n, objects=s.address) for n, s in enumerate(self.servers)
-        ]
-        self.program = Program(
-            config(self.discovery.address, self.nodes, self.store.address, **extra), path / "config.json"
-        )
-
-    def http(self):
-        return http.client.HTTPConnection("127.0.0.1", self.program.ports["ObjectListener"], timeout=10)
-
-    def ask(self, method, target=ITEM, body=None, headers=None, conn=None):
-        conn = conn or self.http()
-        conn.request(method, target, body, headers or {})
-        answer = conn.getresponse()
-        return answer.status, dict(answer.headers), answer.read()
-
-    def holder(self):
-        """Which server got the last object or upload."""
-        return next(s for s in self.servers if s.objects or s.uploads)
-
-    def close(self):
-        self.program.close()
-        for part in (self.store, self.discovery, *self.servers):
-            part.close()
-
 
 @pytest.fixture
 def world(tmp_path, request):
@@ -61,49 +28,49 @@
 
 
 def start_upload(world):
-    status, _, body = world.ask("POST", ITEM + "?uploads")
+    status, _, body = world.request("POST", ITEM + "?uploads")
     assert status == 200
     return re.search(rb"<UploadId>(\w+)</UploadId>", body)[1].decode()
 
 
 def test_an_object_is_written_read_by_ranges_and_deleted(world):
     conn = world.http()
-    assert world.ask("GET", conn=conn)[0] == 404
-    status, headers, _ = world.ask("PUT", body=b"0123456789", conn=conn)
+    assert world.request("GET", conn=conn)[0] == 404
+    status, headers, _ = world.request("PUT", body=b"0123456789", conn=conn)
     assert (status, headers["ETag"]) == (200, '"e1"')
-    assert world.ask("GET", conn=conn)[2] == b"0123456789"
-    status, headers, body = world.ask("HEAD", conn=conn)
+    assert world.request("GET", conn=conn)[2] == b"0123456789"
+    status, headers, body = world.request("HEAD", conn=conn)
     assert (status, headers["Content-Length"], body) == (200, "10", b"")
     for text, want, span in (
         ("bytes=2-4", b"234", "bytes 2-4/10"),
         ("bytes=7-", b"789", "bytes 7-9/10"),
         ("bytes=-2", b"89", "bytes 8-9/10"),
     ):
-        status, headers, body = world.ask("GET", headers={"Range": text}, conn=conn)
+        status, headers, body = world.request("GET", headers={"Range": text}, conn=conn)
         assert (status, headers["Content-Range"], body) == (206, span, want)
-    status, headers, _ = world.ask("GET", headers={"Range": "bytes=20-"}, conn=conn)
+    status, headers, _ = world.request("GET", headers={"Range": "bytes=20-"}, conn=conn)
     assert (status, headers["Content-Range"]) == (416, "bytes */10")
     changed = {"Range": "bytes=2-4", "If-Range": '"e0"'}
-    assert world.ask("GET", headers=changed, conn=conn)[::2] == (200, b"0123456789")
+    assert world.request("GET", headers=changed, conn=conn)[::2] == (200, b"0123456789")
     several = {"Range": "bytes=1-2,4-5"}
-    assert world.ask("GET", headers=several, conn=conn)[::2] == (200, b"0123456789")
-    assert world.ask("DELETE", conn=conn)[0] == 204
-    assert world.ask("GET", conn=conn)[0] == 404
-    assert world.ask("DELETE", conn=conn)[0] == 204
+    assert world.request("GET", headers=several, conn=conn)[::2] == (200, b"0123456789")
+    assert world.request("DELETE", conn=conn)[0] == 204
+    assert world.request("GET", conn=conn)[0] == 404
+    assert world.request("DELETE", conn=conn)[0] == 204
 
 
 def test_an_upload_is_assembled_by_the_node_that_began_it(world):
     upload = start_upload(world)
     for number in (2, 1):
         target = f"{ITEM}?partNumber={number}&uploadId={upload}"
-        assert world.ask("PUT", target, b"part%d;" % number)[0] == 200
-    assert b"<PartNumber>2</PartNumber>" in world.ask("GET", f"{ITEM}?uploadId={upload}")[2]
-    assert world.ask("POST", f"{ITEM}?uploadId={upload}", b"<CompleteMultipartUpload/>")[0] == 200
-    assert world.ask("GET")[2] == b"part1;part2;"
-    assert world.ask("PUT", f"{ITEM}?partNumber=3&uploadId={upload}", b"x")[0] == 404
+        assert world.request("PUT", target, b"part%d;" % number)[0] == 200
+    assert b"<PartNumber>2</PartNumber>" in world.request("GET", f"{ITEM}?uploadId={upload}")[2]
+    assert world.request("POST", f"{ITEM}?uploadId={upload}", b"<CompleteMultipartUpload/>")[0] == 200
+    assert world.request("GET")[2] == b"part1;part2;"
+    assert world.request("PUT", f"{ITEM}?partNumber=3&uploadId={upload}", b"x")[0] == 404
     other = start_upload(world)
-    assert world.ask("DELETE", f"{ITEM}?uploadId={other}")[0] == 204
-    assert world.ask("GET", f"{ITEM}?uploadId={other}")[0] == 404
+    assert world.request("DELETE", f"{ITEM}?uploadId={other}")[0] == 204
+    assert world.request("GET", f"{ITEM}?uploadId={other}")[0] == 404
 
 
 @pytest.mark.parametrize(
@@ -128,32 +95,32 @@
         sock.sendall(request_)
         assert int(sock.recv(65536).split()[1]) == status
     assert [server.log for server in world.servers] == [[], []]
-    assert world.ask("PUT", body=b"still serving")[0] == 200
+    assert world.request("PUT", body=b"still serving")[0] == 200
 
 
 def test_the_store_down_is_503_with_a_time_to_come_back(world):
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     world.store.close()
-    status, headers, _ = world.ask("GET")
+    status, headers, _ = world.request("GET")
     assert status == 503 and int(headers["Retry-After"]) >= 1
 
 
 def test_a_silent_node_is_504_and_a_failing_one_502(world):
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     server = world.holder()
     server.held.clear()
     began = time.monotonic()
-    status, _, _ = world.ask("GET", headers={"X-Expires-In-Ms": "400"})
+    status, _, _ = world.request("GET", headers={"X-Expires-In-Ms": "400"})
     assert status == 504 and time.monotonic() - began < 3
     server.held.set()
     server.act = lambda *_: (500, {}, b"")
-    assert world.ask("GET")[0] == 502
+    assert world.request("GET")[0] == 502
 
 
 def test_a_full_node_is_refused_with_a_time(world):
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     world.holder().act = lambda *_: (503, {}, b"")
-    status, headers, _ = world.ask("GET", headers={"X-Expires-In-Ms": "900"})
+    status, headers, _ = world.request("GET", headers={"X-Expires-In-Ms": "900"})
     assert status == 503 and int(headers["Retry-After"]) >= 1
 
 
@@ -176,11 +143,11 @@
 
 
 def half_world(world):
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     place = next(n for n, s in enumerate(world.servers) if s.objects)
     half = HalfServer()
     world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, objects=half.address))
-    until(lambda: world.ask("HEAD", "/volumes/tracks/objects/none")[0] == 404)
+    until(lambda: world.request("HEAD", "/volumes/tracks/objects/none")[0] == 404)
     time.sleep(0.1)
     return half
 
@@ -208,7 +175,7 @@
 
 
 def test_a_slow_reader_holds_its_node_back_not_the_memory(world):
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     data = bytes(48 << 20)
     world.holder().objects[ITEM] = data
     memory = Path(f"/proc/{world.program.process.pid}/statm")
@@ -226,13 +193,13 @@
 def test_parts_that_land_in_a_drain_wait_for_the_new_holder_and_none_is_lost_or_doubled(world):
     upload = start_upload(world)
     target = f"{ITEM}?partNumber=%d&uploadId={upload}"
-    assert world.ask("PUT", target % 1, b"one;")[0] == 200
+    assert world.request("PUT", target % 1, b"one;")[0] == 200
     old = world.holder()
     place = world.servers.index(old)
     world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, "terminating", objects=old.address))
     time.sleep(0.3)
     results = []
-    waiting = threading.Thread(target=lambda: results.append(world.ask("PUT", target % 2, b"two;")[0]))
+    waiting = threading.Thread(target=lambda: results.append(world.request("PUT", target % 2, b"two;")[0]))
     waiting.start()
     time.sleep(0.3)
     assert not results and len(old.log) == 2  # it waits: the draining node gets nothing new
@@ -241,25 +208,25 @@
     world.discovery.tell(entry("127.0.0.1:9", "s-new", place, objects=new.address))
     waiting.join(10)
     assert results == [200] and [t for _, _, t in new.log] == [target % 2]
-    assert world.ask("POST", f"{ITEM}?uploadId={upload}", b"<x/>")[0] == 200
+    assert world.request("POST", f"{ITEM}?uploadId={upload}", b"<x/>")[0] == 200
     assert new.objects[ITEM] == b"one;two;"
     new.close()
 
 
 def test_a_drain_with_no_new_holder_refuses_and_sends_nothing(world):
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     old = world.holder()
     place = world.servers.index(old)
     world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, "terminated", objects=old.address))
     time.sleep(0.3)
     before = len(old.log)
-    status, headers, _ = world.ask("GET", headers={"X-Expires-In-Ms": "600"})
+    status, headers, _ = world.request("GET", headers={"X-Expires-In-Ms": "600"})
     assert status == 503 and "Retry-After" in headers and len(old.log) == before
 
 
 def test_a_client_that_sends_much_ahead_and_leaves_frees_its_attempt(world):
     """Behind 64 KiB that were read ahead its close went unseen, and its request was waited for to the end."""
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     server, reached, held = world.holder(), threading.Event(), threading.Event()
     server.held = SimpleNamespace(wait=lambda seconds: reached.set() or held.wait(seconds))
     with socket.create_connection(("127.0.0.1", world.program.ports["ObjectListener"])) as client:
@@ -277,7 +244,7 @@
 
 @pytest.mark.parametrize("world", [ONLY_COLD_UNITS], indirect=True)
 def test_a_cold_node_gets_no_more_than_its_units_over_http(world):
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     old = world.holder()
     place = world.servers.index(old)
     cold = ObjectServer()
@@ -288,7 +255,7 @@
     )
     time.sleep(0.1)
     threads = [
-        threading.Thread(target=world.ask, args=("GET",), kwargs={"headers": {"X-Expires-In-Ms": "1500"}})
+        threading.Thread(target=world.request, args=("GET",), kwargs={"headers": {"X-Expires-In-Ms": "1500"}})
         for _ in range(40)
     ]
     for thread in threads:
@@ -345,7 +312,7 @@
 
 
 def test_at_sigterm_an_object_that_was_asked_for_is_served(world):
-    world.ask("PUT", body=b"data")
+    world.request("PUT", body=b"data")
     world.holder().held.clear()
     conn = world.http()
     conn.request("GET", ITEM)
@@ -395,6 +362,6 @@
 
 def test_hundreds_that_say_nothing_do_not_lock_object_clients_out(shared):
     silent = [shared.program.connect("ObjectListener") for _ in range(120)]
-    assert shared.ask("GET")[0] == 404
+    assert shared.request("GET")[0] == 404
     for sock in silent:
         sock.close()
--- a/tests/service/test_reasons.py
+++ b/tests/service/test_reasons.py
@@ -8,7 +8,7 @@
 from runloft.core.counters import COUNTERS, Counted, Counters
 from runloft.core.invariants import INVARIANTS, Violation
 from runloft.service import admin
-from tests.discovery.test_discovery import OK, read_command
+from tests.support.resp_commands import OK, read_command
 from tests.support.standins import Discovery, Program, RespNode, config, entry
 
 
--- /dev/null
+++ b/tests/service/test_signals.py
@@ -0,0 +1,79 @@
+"""Signals: SIGTERM at any moment ends the program with exit code 0, and none is lost beside another."""
+
+import json
+import os
+import signal
+import subprocess
+import sys
+
+import pytest
+
+from tests.support.resp_commands import OK, read_command
+from tests.support.standins import Discovery, Program, RespNode, config, entry, until
+
+HOOKED = """
+import os, signal, sys
+from runloft import cli
+from runloft.service import runner
+def hooked(call, stop):
+    def inner(*args, **more):
+        if stop is None or args[:1] == (stop,):
+            os.kill(os.getpid(), signal.SIGTERM)
+        return call(*args, **more)
+    return inner
+if sys.argv[1] == "start":
+    cli.load_config = hooked(cli.load_config, None)
+else:
+    log = runner.log
+    class Log:
+        warning = error = lambda *args, **more: None
+        info = hooked(lambda *args, **more: log.info(*args, **more), "stopped")
+    runner.log = Log
+sys.exit(cli.main(["serve"]))
+"""
+
+
+@pytest.mark.parametrize("where", ["start", "end"])
+def test_sigterm_ends_the_program_with_0_before_it_serves_and_on_its_way_out(tmp_path, where):
+    """Before and behind the time in which signals were received, their own end of the process stood."""
+    discovery, node = Discovery(), RespNode()
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(config(discovery.address, [entry(node.address)])))
+    process = subprocess.Popen(
+        [sys.executable, "-c", HOOKED, where],
+        env=os.environ | {"ROUTER_CONFIG": str(path)},
+        stderr=subprocess.PIPE,
+        text=True,
+    )
+    try:
+        if where == "end":
+            next(line for line in process.stderr if "serving" in line)
+            process.send_signal(signal.SIGTERM)
+        assert process.wait(10) == 0
+    finally:
+        process.kill()
+        process.stderr.close()
+        discovery.close()
+        node.close()
+
+
+def test_a_reload_and_the_end_that_come_in_one_turn_are_both_heeded(tmp_path):
+    discovery, moved, node = Discovery(), Discovery(), RespNode(delay=0.3)
+    raw = config(discovery.address, [entry(node.address)])
+    program = Program(raw, tmp_path / "config.json")
+    try:
+        with program.connect() as sock:
+            sock.sendall(read_command(0))
+            until(lambda: node.connections)
+            program.process.send_signal(signal.SIGSTOP)
+            program.path.write_text(json.dumps(raw | {"discovery": moved.address}))
+            program.process.send_signal(signal.SIGHUP)
+            program.process.send_signal(signal.SIGTERM)
+            program.process.send_signal(signal.SIGCONT)
+            assert sock.recv(100) == OK
+            until(lambda: moved.asked)
+        assert program.process.wait(15) == 0
+    finally:
+        program.close()
+        for server in (discovery, moved, node):
+            server.close()
--- a/tests/service/test_standing.py
+++ b/tests/service/test_standing.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from tests.discovery.test_discovery import OK, read_command
-from tests.listeners.test_objects import ITEM, World
+from tests.support.object_world import ITEM, World
+from tests.support.resp_commands import OK, read_command
 from tests.support.standins import Discovery, Program, RespNode, config, entry, until
 
 ROOT = Path(__file__).parents[2]
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("cut", [False, True])
 def test_an_answer_of_no_length_is_whole_at_its_end_and_not_at_a_reset(world, cut):
     """A reset is no end: passed on as one, half an object would be taken for the whole."""
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     server = world.holder()
 
     def serve(conn, lines):
--- /dev/null
+++ b/tests/support/listener_harness.py
@@ -0,0 +1,146 @@
+"""A listener by itself: real sockets, a clock that the test moves, and what it posts to the core."""
+
+import socket
+
+import anyio
+
+from runloft.config.settings import config_from_json
+from runloft.core.guard import CloseReason
+from runloft.core.model import ClientDisconnected, RequestReceived, Served
+from runloft.core.timers import TimerQueue
+from runloft.listeners.objects import ObjectListener
+from runloft.listeners.resp import RespListener
+from runloft.sharing.places import Place
+from runloft.upstream.http_link import Stream
+from tests.support.driver import MS, SECOND
+from tests.support.resp_commands import read_command
+from tests.support.standins import config
+
+OBJECT_REQUEST = b"GET /volumes/tracks/objects/k HTTP/1.1\r\nHost: x\r\n\r\n"
+OBJECT_SIZE = 60_000  # more than its client takes before it reads, less than the system takes of the listener
+
+
+class ListenerHarness:
+    """What both listeners' harnesses share; ``listener`` is made by the subclass."""
+
+    def __init__(self):
+        self.now = 100 * SECOND
+        self.timers = TimerQueue()
+        self.posted = []
+        self.listening_socket = socket.create_server(("127.0.0.1", 0))
+        self.listening_socket.setblocking(False)
+
+    def received(self):
+        """The sinks of all requests that were posted, in order."""
+        return [event.sink for event in self.posted if isinstance(event, RequestReceived)]
+
+    def disconnected(self):
+        """The sinks of all requests whose client was reported to have left, in order."""
+        return [event.sink for event in self.posted if isinstance(event, ClientDisconnected)]
+
+    def advance(self, milliseconds):
+        """Move the clock, and run the timers that are due."""
+        self.now += int(milliseconds * MS)
+        for callback in self.timers.sweep(self.now):
+            callback()
+
+    async def wait_until(self, check):
+        with anyio.fail_after(10):
+            while not check():
+                await anyio.sleep(0.001)
+
+    def close(self):
+        self.listening_socket.close()
+        for client in list(self.listener.clients):
+            client.close(CloseReason.CLIENT_LEFT)
+
+
+class RespHarness(ListenerHarness):
+    """The RESP2 listener; a test answers its requests where it says so."""
+
+    def __init__(self, group):
+        super().__init__()
+        parsed = config_from_json(config("127.0.0.1:1", []))
+        self.listener = RespListener(group, self.posted.append, self.timers, lambda: self.now, parsed)
+
+    def connect(self):
+        sock = socket.create_connection(self.listening_socket.getsockname(), timeout=10)
+        self.listener.accept_waiting(self.listening_socket)
+        return sock
+
+    async def connect_and_send_request(self):
+        """Connect and send a request; it has been posted."""
+        sock = self.connect()
+        sock.sendall(read_command(0))
+        await self.wait_until(self.received)
+        return sock
+
+
+class PlaceStore:
+    """A shared store that knows every object; ``may_answer`` holds its answers back."""
+
+    object_key = staticmethod(lambda volume, key: key)
+
+    def __init__(self):
+        self.lookups = 0
+        self.may_answer = anyio.Event()
+        self.may_answer.set()
+
+    async def get(self, key):
+        self.lookups += 1
+        await self.may_answer.wait()
+        return Place(0, OBJECT_SIZE)
+
+
+class ObjectHarness(ListenerHarness):
+    """The object API's listener; a test answers its requests where it says so."""
+
+    def __init__(self, group):
+        super().__init__()
+        parsed = config_from_json(config("127.0.0.1:1", [], "127.0.0.1:2"))
+        self.store = PlaceStore()
+        self.listener = ObjectListener(
+            group,
+            self.posted.append,
+            self.timers,
+            lambda: self.now,
+            parsed,
+            parsed.objects,
+            self.store,
+        )
+
+    def connect(self):
+        """Connect with small buffers; return the socket and the listener's side of the connection."""
+        sock = socket.socket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        sock.settimeout(10)
+        sock.connect(self.listening_socket.getsockname())
+        before = set(self.listener.clients)
+        self.listener.accept_waiting(self.listening_socket)
+        (client,) = self.listener.clients - before
+        client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * OBJECT_SIZE)
+        return sock, client
+
+    async def respond(self, client, exchange):
+        """Respond; all of it is the system's then, and the most of it not the client's yet."""
+        stream = Stream(200, [(b"Content-Length", b"%d" % OBJECT_SIZE)])
+        stream.put(b"a" * OBJECT_SIZE)
+        stream.end(True)
+        exchange.begin(stream, "s-1", 0)
+        exchange.answer(Served(stream, "s-1", 0))
+        await self.wait_until(lambda: not client.is_serving)
+
+
+def run_with_listener(make_harness, story):
+    """Run a coroutine function with a harness, and close what it leaves open."""
+
+    async def run():
+        async with anyio.create_task_group() as group:
+            harness = make_harness(group)
+            try:
+                await story(harness)
+            finally:
+                harness.close()
+                group.cancel_scope.cancel()
+
+    anyio.run(run)
