--- a/tests/listeners/test_accepting.py
+++ b/tests/listeners/test_accepting.py
@@ -1,4 +1,4 @@
-"""Accepting, with sockets that exist only here."""
+"""Accepting connections, with scripted sockets."""
 
 import errno
 
@@ -14,7 +14,7 @@
 CONFIG = config_from_json(config("127.0.0.1:1", []))
 
 
-class Listener:
+class FailingSocket:
     def __init__(self, error, number=7):
         self.error, self.number = error, number
 
@@ -25,30 +25,30 @@
         raise self.error
 
 
-def front(most=5):
-    made = ListenerBase(None, None, TimerQueue(), lambda: 0, CONFIG)
-    made.max_clients = most
-    return made
+def make_listener(max_clients=5):
+    listener = ListenerBase(None, None, TimerQueue(), lambda: 0, CONFIG)
+    listener.max_clients = max_clients
+    return listener
 
 
-def test_no_descriptor_left_is_a_pause_and_not_the_end():
-    assert front().accept_waiting(Listener(OSError(errno.EMFILE, "too many"))) is False
+def test_accepting_pauses_when_no_descriptor_is_left():
+    assert make_listener().accept_waiting(FailingSocket(OSError(errno.EMFILE, "too many"))) is False
 
 
-def test_nothing_there_is_room_for_all():
-    assert front().accept_waiting(Listener(BlockingIOError())) is True
+def test_an_empty_queue_is_reported_as_fully_accepted():
+    assert make_listener().accept_waiting(FailingSocket(BlockingIOError())) is True
 
 
-def test_a_full_front_accepts_nothing():
-    assert front(0).accept_waiting(Listener(AssertionError("asked"))) is False
+def test_a_full_listener_accepts_nothing():
+    assert make_listener(0).accept_waiting(FailingSocket(AssertionError("asked"))) is False
 
 
-def test_a_closed_listener_ends_accepting():
+def test_a_closed_listening_socket_raises():
     with pytest.raises(OSError):
-        front().accept_waiting(Listener(OSError(errno.EBADF, "closed"), -1))
+        make_listener().accept_waiting(FailingSocket(OSError(errno.EBADF, "closed"), -1))
 
 
-def test_a_fault_in_one_client_ends_that_client_alone():
+def test_an_exception_in_one_connection_closes_only_that_connection():
     class Client:
         closed = False
 
@@ -59,12 +59,12 @@
             self.closed = reason is CloseReason.FAULT
 
     client = Client()
-    anyio.run(front()._serve, client)
+    anyio.run(make_listener()._serve, client)
     assert client.closed
 
 
-class Waiting:
-    """A listener whose queue gives what is listed, one after the other; errors are raised."""
+class ScriptedSocket:
+    """A listening socket whose queue gives these results, one after the other; errors are raised."""
 
     def __init__(self, *results):
         self.results, self.closed = list(results), False
@@ -81,7 +81,7 @@
         return result, ("127.0.0.1", 1)
 
 
-class Accepted:
+class AcceptedSocket:
     """An accepted socket, on which an option may fail."""
 
     def __init__(self, error=None):
@@ -114,67 +114,77 @@
         pass
 
 
-def serving():
-    made = front()
-    made.task_group, made.new_client = Group(), Client
-    return made
+def listener_with_clients():
+    listener = make_listener()
+    listener.task_group, listener.new_client = TaskGroup(), Client
+    return listener
 
 
-class Group:
+class TaskGroup:
     def start_soon(self, *_):
         pass
 
 
-PASSING = [errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EHOSTUNREACH, errno.EPERM, errno.ETIMEDOUT]
+CONNECTION_ERRORS = [
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.ENETDOWN,
+    errno.EHOSTUNREACH,
+    errno.EPERM,
+    errno.ETIMEDOUT,
+]
 
 
-@pytest.mark.parametrize("number", PASSING)
-def test_a_connection_that_failed_in_the_queue_hides_none_behind_it(number):
-    """'Nothing there' was said with connections still waiting: a shutdown then reset them."""
-    made = serving()
-    assert made.accept_waiting(Waiting(OSError(number, "gone"), Accepted())) is True
-    assert len(made.clients) == 1
+@pytest.mark.parametrize("number", CONNECTION_ERRORS)
+def test_connections_behind_a_failed_one_are_accepted(number):
+    """An empty queue was reported while connections waited: a shutdown then reset them."""
+    listener = listener_with_clients()
+    assert listener.accept_waiting(ScriptedSocket(OSError(number, "gone"), AcceptedSocket())) is True
+    assert len(listener.clients) == 1
 
 
-def test_an_error_of_the_machine_is_never_taken_for_an_empty_queue():
-    made = serving()
-    assert made.accept_waiting(Waiting(OSError(errno.ENFILE, "full"), Accepted())) is False
-    assert made.accept_waiting(Waiting(*(OSError(errno.ECONNABORTED, "gone") for _ in range(5000)))) is False
+def test_accept_errors_of_the_machine_do_not_count_as_an_empty_queue():
+    listener = listener_with_clients()
+    assert listener.accept_waiting(ScriptedSocket(OSError(errno.ENFILE, "full"), AcceptedSocket())) is False
+    many_failures = [OSError(errno.ECONNABORTED, "gone") for _ in range(5000)]
+    assert listener.accept_waiting(ScriptedSocket(*many_failures)) is False
 
 
-def test_a_connection_whose_option_fails_is_served_all_the_same():
-    made, sock = serving(), Accepted(OSError(errno.EINVAL, "gone"))
-    assert made.accept_waiting(Waiting(sock, Accepted())) is True
-    assert len(made.clients) == 2 and sock.blocking is False
+def test_a_connection_is_served_even_if_a_socket_option_fails():
+    listener, sock = listener_with_clients(), AcceptedSocket(OSError(errno.EINVAL, "gone"))
+    assert listener.accept_waiting(ScriptedSocket(sock, AcceptedSocket())) is True
+    assert len(listener.clients) == 2 and sock.blocking is False
 
 
 @pytest.mark.parametrize("fails_at", ["wait", "client"])
-def test_accepting_goes_on_whatever_fails_behind_accept(monkeypatch, fails_at):
-    """Any OSError ended the listener's task without a line in the log: nobody new was served."""
+def test_accepting_continues_after_any_failure(monkeypatch, fails_at):
+    """Any OSError ended the listener's task without a log line: no new client was served."""
 
-    async def story():
-        made, listener, calls = serving(), Waiting(Accepted(), Accepted(), Accepted()), []
-        made.timers, made.clock = TimerQueue(), lambda: 0
+    async def scenario():
+        listener = listener_with_clients()
+        listening_socket = ScriptedSocket(AcceptedSocket(), AcceptedSocket(), AcceptedSocket())
+        calls = []
+        listener.timers, listener.clock = TimerQueue(), lambda: 0
 
         async def wait(_):
             calls.append(1)
             if fails_at == "wait" and len(calls) == 1:
-                listener.results.append(Accepted())
+                listening_socket.results.append(AcceptedSocket())
                 raise OSError(errno.ENOMEM, "no memory")
             if len(calls) == 3:
-                listener.closed = True
+                listening_socket.closed = True
                 raise anyio.ClosedResourceError
 
         def new_client(sock):
-            made.new_client = Client
+            listener.new_client = Client
             raise OSError(errno.EBADF, "gone")
 
         if fails_at == "client":
-            made.new_client = new_client
+            listener.new_client = new_client
         monkeypatch.setattr(anyio, "wait_readable", wait)
         monkeypatch.setattr("runloft.listeners.accepting.pause", lambda *_: anyio.sleep(0))
         with anyio.fail_after(10):
-            await made.accept(listener)
-        assert len(made.clients) >= 2
+            await listener.accept(listening_socket)
+        assert len(listener.clients) >= 2
 
-    anyio.run(story)
+    anyio.run(scenario)
--- a/tests/listeners/test_exchanges.py
+++ b/tests/listeners/test_exchanges.py
@@ -4,7 +4,7 @@
 ``> `` the client sends, ``< `` the client gets, ``N> `` a storage node gets, ``N< `` it sends,
 ``>$ `` and ``N>$ `` are a command of the words that follow, as an array of bulk strings;
 ``<|`` and ``N>|`` a close is seen, ``|>`` and ``N<|`` a side closes.  ``*`` in what is got stands for
-anything.  ``#`` is a comment.  Files named http-* speak to the object front, whose shared store knows
+anything.  ``#`` is a comment.  Files named http-* are sent to the object API, whose shared store knows
 one object.
 """
 
@@ -43,8 +43,10 @@
     return pattern.replace("[", "[[]").replace("?", "[?]")
 
 
-def play(text, program, front, listener):
-    client, node, answer = Side(program.connect(front)), None, b""
+def play(text, program, protocol_listener, listening_socket):
+    client = Side(program.connect(protocol_listener))
+    node = None
+    answer = b""
     for number, step in enumerate(text.splitlines(), 1):
         mark, _, rest = step.partition(" ")
         if not step or mark == "#":
@@ -61,7 +63,7 @@
             words = rest.encode().split()
             client.sock.sendall(b"".join(command(*words)))
         elif mark == "N>$":
-            node = node or Side(listener.accept()[0])
+            node = node or Side(listening_socket.accept()[0])
             got = [word.decode() for word in words_of(node.lines)]
             wanted = rest.split()
             fits = len(got) == len(wanted) and all(map(fnmatch.fnmatchcase, got, map(escaped, wanted)))
@@ -70,7 +72,7 @@
             client.close()
         elif mark in ("<", "N>"):
             if mark == "N>" and node is None:
-                node = Side(listener.accept()[0])
+                node = Side(listening_socket.accept()[0])
             got = (client if mark == "<" else node).lines.readline().decode().removesuffix("\r\n")
             assert fnmatch.fnmatchcase(got, escaped(rest)), f"line {number}: {got!r}, wanted {rest!r}"
         elif mark in ("<|", "N>|"):
@@ -87,17 +89,17 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_an_exchange_goes_as_recorded(path, tmp_path):
+def test_recorded_exchange_is_reproduced(path, tmp_path):
     discovery, store = Discovery(), Redis()
     store.data[b"runloft:object:tracks:k"] = b"0 10"
-    front = "ObjectListener" if path.stem.startswith("http-") else "RespListener"
-    with socket.create_server(("127.0.0.1", 0)) as listener:
-        listener.settimeout(10)
-        address = f"127.0.0.1:{listener.getsockname()[1]}"
+    protocol_listener = "ObjectListener" if path.stem.startswith("http-") else "RespListener"
+    with socket.create_server(("127.0.0.1", 0)) as listening_socket:
+        listening_socket.settimeout(10)
+        address = f"127.0.0.1:{listening_socket.getsockname()[1]}"
         raw = config(discovery.address, [entry(address, objects=address)], store.address)
         program = Program(raw, tmp_path / "config.json")
         try:
-            play(path.read_text(), program, front, listener)
+            play(path.read_text(), program, protocol_listener, listening_socket)
             assert program.process.poll() is None, "the program ended"
         finally:
             program.close()
--- a/tests/listeners/test_object_api.py
+++ b/tests/listeners/test_object_api.py
@@ -23,7 +23,7 @@
     made.close()
 
 
-# The stand-ins do thousands a second, which the rule lets a cold node have; here ColdUnits alone bind.
+# The stand-ins serve thousands a second, which lets a node leave slow start early; here ColdUnits alone bind.
 ONLY_COLD_UNITS = {"Safety": settings()["Safety"] | {"FallMultiple": 0.001}}
 
 
@@ -59,7 +59,7 @@
     assert world.request("DELETE", conn=conn)[0] == 204
 
 
-def test_an_upload_is_assembled_by_the_node_that_began_it(world):
+def test_an_upload_is_assembled_by_the_node_that_created_it(world):
     upload = start_upload(world)
     for number in (2, 1):
         target = f"{ITEM}?partNumber={number}&uploadId={upload}"
@@ -90,7 +90,7 @@
         (b"GET /volumes/tracks/objects/k HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 40000 + b"\r\n\r\n", 431),
     ],
 )
-def test_bad_input_is_named_and_never_reaches_a_node(world, request_, status):
+def test_invalid_requests_get_their_status_and_reach_no_node(world, request_, status):
     with world.program.connect("ObjectListener") as sock:
         sock.sendall(request_)
         assert int(sock.recv(65536).split()[1]) == status
@@ -98,14 +98,14 @@
     assert world.request("PUT", body=b"still serving")[0] == 200
 
 
-def test_the_store_down_is_503_with_a_time_to_come_back(world):
+def test_an_unavailable_store_is_503_with_retry_after(world):
     world.request("PUT", body=b"x")
     world.store.close()
     status, headers, _ = world.request("GET")
     assert status == 503 and int(headers["Retry-After"]) >= 1
 
 
-def test_a_silent_node_is_504_and_a_failing_one_502(world):
+def test_a_silent_node_is_504_and_a_failing_node_502(world):
     world.request("PUT", body=b"x")
     server = world.holder()
     server.held.clear()
@@ -117,7 +117,7 @@
     assert world.request("GET")[0] == 502
 
 
-def test_a_full_node_is_refused_with_a_time(world):
+def test_a_full_node_is_503_with_retry_after(world):
     world.request("PUT", body=b"x")
     world.holder().act = lambda *_: (503, {}, b"")
     status, headers, _ = world.request("GET", headers={"X-Expires-In-Ms": "900"})
@@ -125,7 +125,7 @@
 
 
 class HalfServer(ObjectServer):
-    """Sends a head and a part of the body, then waits for the test's word."""
+    """Sends a head and a part of the body, then waits until the test says to end."""
 
     def __init__(self):
         self.go, self.closed, self.body = threading.Event(), threading.Event(), b"a" * 1000
@@ -152,7 +152,7 @@
     return half
 
 
-def test_a_client_that_drops_mid_range_frees_its_attempt_and_connection(world):
+def test_a_client_that_disconnects_mid_range_frees_its_attempt_and_connection(world):
     half = half_world(world)
     with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\nRange: bytes=0-8999999\r\n\r\n".encode())
@@ -161,7 +161,7 @@
     half.close()
 
 
-def test_an_answer_that_breaks_off_ends_short_of_its_length(world):
+def test_a_response_that_breaks_off_ends_short_of_its_length(world):
     half = half_world(world)
     half.go.set()
     with world.program.connect("ObjectListener") as sock:
@@ -174,7 +174,7 @@
     half.close()
 
 
-def test_a_slow_reader_holds_its_node_back_not_the_memory(world):
+def test_a_slow_reader_slows_its_node_down_and_takes_no_memory(world):
     world.request("PUT", body=b"x")
     data = bytes(48 << 20)
     world.holder().objects[ITEM] = data
@@ -190,7 +190,7 @@
             got += len(sock.recv(1 << 20))
 
 
-def test_parts_that_land_in_a_drain_wait_for_the_new_holder_and_none_is_lost_or_doubled(world):
+def test_parts_uploaded_during_a_drain_wait_for_the_new_holder_and_arrive_once(world):
     upload = start_upload(world)
     target = f"{ITEM}?partNumber=%d&uploadId={upload}"
     assert world.request("PUT", target % 1, b"one;")[0] == 200
@@ -202,7 +202,7 @@
     waiting = threading.Thread(target=lambda: results.append(world.request("PUT", target % 2, b"two;")[0]))
     waiting.start()
     time.sleep(0.3)
-    assert not results and len(old.log) == 2  # it waits: the draining node gets nothing new
+    assert not results and len(old.log) == 2  # it waits: the draining node gets no new request
     new = ObjectServer()
     new.uploads = old.uploads  # the shard's data moves on with its new holder
     world.discovery.tell(entry("127.0.0.1:9", "s-new", place, objects=new.address))
@@ -213,7 +213,7 @@
     new.close()
 
 
-def test_a_drain_with_no_new_holder_refuses_and_sends_nothing(world):
+def test_a_drain_without_a_new_holder_sheds_and_forwards_nothing(world):
     world.request("PUT", body=b"x")
     old = world.holder()
     place = world.servers.index(old)
@@ -224,8 +224,8 @@
     assert status == 503 and "Retry-After" in headers and len(old.log) == before
 
 
-def test_a_client_that_sends_much_ahead_and_leaves_frees_its_attempt(world):
-    """Behind 64 KiB that were read ahead its close went unseen, and its request was waited for to the end."""
+def test_a_client_that_disconnects_after_much_pipelined_input_frees_its_attempt(world):
+    """After 64 KiB that were read ahead its close went unseen, and its request ran to its end."""
     world.request("PUT", body=b"x")
     server, reached, held = world.holder(), threading.Event(), threading.Event()
     server.held = SimpleNamespace(wait=lambda seconds: reached.set() or held.wait(seconds))
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.parametrize("world", [ONLY_COLD_UNITS], indirect=True)
-def test_a_cold_node_gets_no_more_than_its_units_over_http(world):
+def test_a_node_in_slow_start_gets_no_more_than_its_units_over_http(world):
     world.request("PUT", body=b"x")
     old = world.holder()
     place = world.servers.index(old)
@@ -266,7 +266,7 @@
     cold.close()
 
 
-def test_mixed_floods_of_both_fronts_get_the_same_shares_and_one_answer_each(tmp_path):
+def test_floods_of_both_protocols_get_equal_shares_and_one_response_each(tmp_path):
     lock = threading.Lock()  # one node, two wires: it does one thing at a time
     served = {"resp": 0, "http": 0}
     resp, objects = RespNode(0.01, lock), ObjectServer(0.01, lock)
@@ -311,7 +311,7 @@
     assert served["resp"] and 0.7 < served["http"] / served["resp"] < 1.4, served
 
 
-def test_at_sigterm_an_object_that_was_asked_for_is_served(world):
+def test_an_object_requested_before_sigterm_is_served(world):
     world.request("PUT", body=b"data")
     world.holder().held.clear()
     conn = world.http()
@@ -351,7 +351,7 @@
         (b"", b"", 3),
     ],
 )
-def test_a_bad_client_gets_an_error_or_a_close_in_time(shared, sent, status, seconds):
+def test_an_invalid_or_slow_client_gets_an_error_or_a_close_in_time(shared, sent, status, seconds):
     began = time.monotonic()
     with shared.program.connect("ObjectListener") as sock:
         sock.sendall(sent)
@@ -360,7 +360,7 @@
     assert shared.program.process.poll() is None
 
 
-def test_hundreds_that_say_nothing_do_not_lock_object_clients_out(shared):
+def test_many_silent_connections_do_not_block_object_clients(shared):
     silent = [shared.program.connect("ObjectListener") for _ in range(120)]
     assert shared.request("GET")[0] == 404
     for sock in silent:
--- a/tests/listeners/test_object_closing.py
+++ b/tests/listeners/test_object_closing.py
@@ -1,4 +1,4 @@
-"""Closes of the object API's listener that bytes cross: real sockets, a clock that the test moves."""
+"""Closes without the loss of a response, on connections of the object API."""
 
 import anyio
 import pytest
@@ -21,53 +21,53 @@
     return got
 
 
-@pytest.mark.parametrize("stops", ["behind its answer", "before its answer"])
-def test_a_request_that_crosses_the_close_takes_no_answer_with_it(stops):
-    """At SIGTERM a kept connection closed at once: a request just then made a reset, and cut the answer."""
+@pytest.mark.parametrize("stops", ["after the response", "before the response"])
+def test_a_request_that_crosses_the_close_does_not_cut_the_last_response(stops):
+    """At SIGTERM a kept connection closed at once: a request then made a reset, which cut the response."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock, client = harness.connect()
         sock.sendall(OBJECT_REQUEST)
         await harness.wait_until(harness.received)
-        if stops == "before its answer":
+        if stops == "before the response":
             harness.listener.stop()
         await harness.respond(client, harness.received()[0])
         harness.listener.stop()
         await anyio.wait_all_tasks_blocked()
         sock.sendall(OBJECT_REQUEST)  # crosses the close
-        harness.listener.stop()  # as each turn of winding down does
+        harness.listener.stop()  # as each step of the shutdown does
         await anyio.wait_all_tasks_blocked()
         got = await anyio.to_thread.run_sync(read_all, sock)
         assert got.count(b"a") >= OBJECT_SIZE
-        assert len(harness.received()) == 1  # and what crossed it is not sent on
+        assert len(harness.received()) == 1  # what crossed it is not forwarded
         sock.close()
         await harness.wait_until(lambda: not harness.listener.clients)
 
-    run_with_listener(ObjectHarness, story)
+    run_with_listener(ObjectHarness, scenario)
 
 
-@pytest.mark.parametrize("rested, left", [(0, 1), (LINGER_S * 1000, 0)])
-def test_a_client_that_does_nothing_is_parted_with_in_time(rested, left):
-    async def story(harness):
+@pytest.mark.parametrize("idle_ms, clients_left", [(0, 1), (LINGER_S * 1000, 0)])
+def test_an_idle_client_is_closed_in_time_at_shutdown(idle_ms, clients_left):
+    async def scenario(harness):
         sock, client = harness.connect()
         sock.sendall(OBJECT_REQUEST)
         await harness.wait_until(harness.received)
         await harness.respond(client, harness.received()[0])
-        harness.advance(rested)
+        harness.advance(idle_ms)
         harness.listener.stop()
-        assert len(harness.listener.clients) == left
+        assert len(harness.listener.clients) == clients_left
         await anyio.wait_all_tasks_blocked()
         harness.advance(LINGER_S * 1000 + 1)
         await harness.wait_until(lambda: not harness.listener.clients)
         sock.close()
 
-    run_with_listener(ObjectHarness, story)
+    run_with_listener(ObjectHarness, scenario)
 
 
-def test_a_request_that_is_here_is_read_first_also_where_its_client_is_slowed_down():
-    """Read ahead while the one before it was out, it was dropped by the close between the two."""
+def test_a_request_that_has_arrived_is_served_before_the_close_of_a_slowed_down_client():
+    """It was read ahead while the one before it was out, and dropped by the close between the two."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock, client = harness.connect()
         sock.sendall(OBJECT_REQUEST.replace(b"GET", b"PATCH") * (FREE_ERRORS + 1) + OBJECT_REQUEST)
         await harness.wait_until(lambda: client.errors > FREE_ERRORS and not client.is_serving)
@@ -77,11 +77,11 @@
         await harness.respond(client, harness.received()[0])
         sock.close()
 
-    run_with_listener(ObjectHarness, story)
+    run_with_listener(ObjectHarness, scenario)
 
 
-def test_who_is_answered_early_while_the_program_stops_lingers_once():
-    async def story(harness):
+def test_an_early_response_during_shutdown_lingers_once():
+    async def scenario(harness):
         sock, client = harness.connect()
         harness.listener.stopping = True
         large = OBJECT_REQUEST.replace(b"GET", b"PUT").replace(b"Host", b"Content-Length: 60000000\r\nHost")
@@ -91,13 +91,13 @@
         await harness.wait_until(lambda: not harness.listener.clients)
         sock.close()
 
-    run_with_listener(ObjectHarness, story)
+    run_with_listener(ObjectHarness, scenario)
 
 
-def test_room_is_made_by_those_that_rest_and_not_by_those_just_answered_or_come():
-    """In a crowd fresh connections went first, and kept ones right behind their answers."""
+def test_only_idle_connections_are_eviction_candidates():
+    """Fresh connections were evicted first, and kept ones right after their responses."""
 
-    async def story(harness):
+    async def scenario(harness):
         (old, _), (answered, client) = harness.connect(), harness.connect()
         await anyio.wait_all_tasks_blocked()
         harness.advance(150)
@@ -111,23 +111,23 @@
         for sock in (old, answered, fresh):
             sock.close()
 
-    run_with_listener(ObjectHarness, story)
+    run_with_listener(ObjectHarness, scenario)
 
 
-@pytest.mark.parametrize("leaves", [False, True])
-def test_a_client_that_leaves_while_the_store_is_asked_is_begun_for_no_more(leaves):
-    """Its request was sent on first and called off then; and its time ran from the store's answer."""
+@pytest.mark.parametrize("disconnects", [False, True])
+def test_a_request_is_not_posted_if_its_client_disconnects_during_the_store_lookup(disconnects):
+    """Its request was forwarded first and cancelled then; and its time ran from the store's reply."""
 
-    async def story(harness):
+    async def scenario(harness):
         harness.store.may_answer = anyio.Event()
         sock, client = harness.connect()
         sock.sendall(OBJECT_REQUEST.replace(b"Host", b"X-Expires-In-Ms: 900\r\nHost"))
         await harness.wait_until(lambda: harness.store.lookups)
         harness.advance(400)
-        if leaves:
+        if disconnects:
             sock.close()
         harness.store.may_answer.set()
-        if leaves:
+        if disconnects:
             await harness.wait_until(lambda: client.closed)
             assert not harness.posted
         else:
@@ -136,4 +136,4 @@
             sock.close()
             await harness.wait_until(lambda: client.closed)
 
-    run_with_listener(ObjectHarness, story)
+    run_with_listener(ObjectHarness, scenario)
--- a/tests/listeners/test_resp_closing.py
+++ b/tests/listeners/test_resp_closing.py
@@ -1,4 +1,4 @@
-"""Clients that leave unseen, and closes that bytes cross: real sockets, a clock that the test moves."""
+"""Disconnects of unread clients, and closes without the loss of a response, on RESP2 connections."""
 
 import socket
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    "sent, open_",
+    "sent, open_count",
     [
         (b"".join(read_command(0) for _ in range(MAX_PIPELINED + 9)), MAX_PIPELINED),  # a full pipeline
         (read_command(0) + QUIT, 1),
@@ -23,13 +23,13 @@
         (UNKNOWN_COMMAND * 9 + read_command(0) + UNKNOWN_COMMAND * 18, 1),  # slowed down
     ],
 )
-def test_who_leaves_while_not_read_is_noticed_before_another_attempt(sent, open_):
-    """Nothing was read of such a client, so its close was not seen: its requests were still sent on."""
+def test_a_client_that_disconnects_while_unread_is_noticed_before_another_attempt(sent, open_count):
+    """Nothing was read of such a client, so its close was not seen and its requests were still forwarded."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock = harness.connect()
         sock.sendall(sent)
-        while len(harness.received()) < open_:
+        while len(harness.received()) < open_count:
             await anyio.sleep(0.001)
             harness.advance(0.1)
         await harness.wait_until(lambda: harness.listener.unread_clients)
@@ -39,13 +39,13 @@
         assert set(harness.disconnected()) == set(harness.received()) and not harness.listener.clients
         assert not harness.listener.unread_clients
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_who_sends_much_and_resets_is_no_fault_of_the_front():
-    """Its end came with the first answer, before the rest that its errors earned: a look found no socket."""
+def test_a_reset_after_many_errors_leaves_no_connection_to_watch():
+    """It was closed at the first response, before the pause for its errors: a poll then found no socket."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock = harness.connect()
         sock.sendall(UNKNOWN_COMMAND * 30)
         reset(sock)
@@ -54,13 +54,13 @@
         harness.advance(50)
         assert not harness.listener.unread_clients
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_the_last_answer_is_followed_by_a_lingering_close():
-    """A request that crossed the close made a reset of it, behind an answer that was still on its way."""
+def test_the_last_response_is_followed_by_a_lingering_close():
+    """A request that crossed the close turned it into a reset, which discarded a response on its way."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock = await harness.connect_and_send_request()
         harness.listener.stop()
         harness.received()[0].answer(Served(b"ok"))
@@ -69,9 +69,9 @@
         sock.sendall(read_command(0))  # crosses the close
         assert sock.recv(100) == OK and sock.recv(100) == b""
         assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # no reset
-        harness.listener.stop()  # as each turn of winding down does
+        harness.listener.stop()  # as each step of the shutdown does
         await anyio.wait_all_tasks_blocked()
-        assert len(harness.received()) == 1 and harness.listener.clients  # and what crossed it is not sent on
+        assert len(harness.received()) == 1 and harness.listener.clients  # what crossed it is not forwarded
         sock.close()
         harness.advance(40)
         assert not harness.listener.clients
@@ -82,13 +82,13 @@
         await harness.wait_until(lambda: not harness.listener.clients)
         rests.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_who_goes_on_asking_to_the_end_is_answered_what_was_read():
-    """What was read in the last turn was taken, and the program ended before its answer."""
+def test_requests_read_before_the_final_stop_are_answered():
+    """What was read last was posted, and the program ended before its response."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock = await harness.connect_and_send_request()
         harness.listener.stop()
         sock.sendall(read_command(0))
@@ -110,11 +110,11 @@
         await harness.wait_until(lambda: not harness.listener.clients)
         sock.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_a_lingering_close_ends_whatever_its_client_does():
-    async def story(harness):
+def test_a_lingering_close_ends_even_if_the_client_stays_connected():
+    async def scenario(harness):
         sock = harness.connect()
         sock.sendall(PING)
         assert await anyio.to_thread.run_sync(sock.recv, 100) == PONG
@@ -124,54 +124,54 @@
         await harness.wait_until(lambda: not harness.listener.clients)
         sock.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_room_is_made_by_those_that_rest_and_not_by_those_just_answered_or_come():
-    async def story(harness):
+def test_only_idle_connections_are_eviction_candidates():
+    async def scenario(harness):
         old, answered, fresh = harness.connect(), harness.connect(), None
         await anyio.wait_all_tasks_blocked()
         harness.advance(150)
         answered.sendall(PING)
         assert await anyio.to_thread.run_sync(answered.recv, 100) == PONG
         fresh = harness.connect()
-        spared = harness.listener.eviction_candidates()
-        assert [client.sock.getpeername() for client in spared] == [old.getsockname()]
+        candidates = harness.listener.eviction_candidates()
+        assert [client.sock.getpeername() for client in candidates] == [old.getsockname()]
         for sock in (old, answered, fresh):
             sock.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-CLOSERS = {
-    "the program winds down": lambda harness: harness.listener.stop(),
-    "it has rested long": lambda harness: harness.advance(IDLE_TIMEOUT_NS / MS),
-    "room is made": lambda harness: harness.listener.evict_idle(),
+CLOSE_TRIGGERS = {
+    "graceful shutdown": lambda harness: harness.listener.stop(),
+    "idle timeout": lambda harness: harness.advance(IDLE_TIMEOUT_NS / MS),
+    "eviction": lambda harness: harness.listener.evict_idle(),
 }
 
 
-@pytest.mark.parametrize("closer", CLOSERS)
-def test_a_request_that_is_here_when_its_resting_connection_would_close_is_read_first(closer):
-    """Not read yet, and in that very turn: a close over it would be a reset."""
+@pytest.mark.parametrize("trigger", CLOSE_TRIGGERS)
+def test_a_request_that_has_arrived_is_read_before_its_idle_connection_is_closed(trigger):
+    """It is not read yet: a close with unread input would be a reset."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock = harness.connect()
         sock.sendall(PING)
         assert await anyio.to_thread.run_sync(sock.recv, 100) == PONG
         await anyio.wait_all_tasks_blocked()
         harness.advance(LINGER_NS / MS + 100)
         sock.sendall(read_command(0))
-        CLOSERS[closer](harness)
+        CLOSE_TRIGGERS[trigger](harness)
         await harness.wait_until(harness.received)
         harness.received()[0].answer(Served(b"ok"))
         assert await anyio.to_thread.run_sync(sock.recv, 100) == OK
         sock.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_commands_that_come_byte_by_byte_are_taken_each_once_and_whole():
-    async def story(harness):
+def test_commands_sent_byte_by_byte_are_each_processed_once():
+    async def scenario(harness):
         sock, words = harness.connect(), read_command(0) + read_command(0)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for n in range(len(words)):
@@ -183,14 +183,14 @@
         assert len({event.ask.id for event in harness.posted}) == 2
         sock.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_a_pipeline_longer_than_is_taken_at_once_is_answered_whole_and_in_order():
-    """Its first answers wait for a request that is open; the rest of it waits in the socket meanwhile."""
+def test_a_pipeline_longer_than_the_limit_is_answered_completely_and_in_order():
+    """Its first responses wait for an open request; the rest of the pipeline waits in the socket."""
     many = 3 * MAX_PIPELINED
 
-    async def story(harness):
+    async def scenario(harness):
         sock = harness.connect()
         sock.sendall(
             read_command(0) + b"".join(b"*2\r\n$4\r\nPING\r\n$3\r\n%03d\r\n" % n for n in range(many))
@@ -204,11 +204,11 @@
         assert got == wanted
         sock.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_clients_that_came_and_went_leave_nothing_behind():
-    """Of the long day's 45 minutes: some leave half-way, some err, some rest, some ask and are gone."""
+def test_clients_that_have_gone_leave_no_timers_memory_or_watches():
+    """Some disconnect half-way, some send errors, some stay idle, some send a request and disconnect."""
     sent = (
         b"",
         PING,
@@ -219,7 +219,7 @@
         QUIT,
     )
 
-    async def story(harness):
+    async def scenario(harness):
         socks = []
         for number in range(6 * len(sent)):
             socks.append(harness.connect())
@@ -240,27 +240,27 @@
             and not len(harness.timers)
         )
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_what_is_written_is_held_back_on_no_connection():
-    """Small writes that the system holds back are lost where a close is a reset."""
+def test_small_writes_are_sent_at_once_on_every_connection():
+    """Small writes that the system holds back are lost if a close becomes a reset."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock = harness.connect()
         accepted = next(iter(harness.listener.clients)).sock
         for one in (accepted, connecting()):
             assert one.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         sock.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
 @pytest.mark.parametrize("more", [9, MAX_PIPELINED + 20])
-def test_commands_that_were_read_behind_a_full_pipeline_are_answered_at_the_end(more):
-    """They were read, and dropped unanswered when the last close came."""
+def test_commands_read_behind_a_full_pipeline_are_refused_at_the_final_stop(more):
+    """They were read, and dropped unanswered at the final close."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock = harness.connect()
         sock.sendall(read_command(0) * (MAX_PIPELINED + more) + read_command(0)[:-9])
         await harness.wait_until(lambda: len(harness.received()) == MAX_PIPELINED)
@@ -276,18 +276,18 @@
         while got := sock.recv(65536):
             answers += got
         assert answers == OK * MAX_PIPELINED + BUSY * more
-        assert len(harness.received()) == MAX_PIPELINED  # and nothing of them was begun
+        assert len(harness.received()) == MAX_PIPELINED  # none of them was begun
         harness.advance(101)
         await harness.wait_until(lambda: not harness.listener.clients)
         sock.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
 
 
-def test_who_pipelines_more_behind_a_half_written_answer_is_answered_whole():
-    """SIGTERM while an answer waits for a slow reader: nothing of it is cut, what is read has its answer."""
+def test_a_partly_written_response_and_those_behind_it_are_written_completely_at_the_final_stop():
+    """At SIGTERM a response waits for a slow reader: it is not cut, and all that was read is answered."""
 
-    async def story(harness):
+    async def scenario(harness):
         sock = harness.connect()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         sock.sendall(read_command(0))
@@ -326,4 +326,4 @@
         assert size == wanted and last.endswith(OK * 3)
         sock.close()
 
-    run_with_listener(RespHarness, story)
+    run_with_listener(RespHarness, scenario)
--- a/tests/listeners/test_resp_commands.py
+++ b/tests/listeners/test_resp_commands.py
@@ -1,4 +1,4 @@
-"""What the platform's front takes for a command, and what it owes to a client that sends none."""
+"""Translation of commands into requests, and the rejection of those that deviate."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     return CommandTranslator(CONFIG).translate([word, piece, id_, attributes, *body])
 
 
-def test_a_command_is_read_field_by_field():
+def test_a_command_is_translated_field_by_field():
     got = translate(GOOD + b",r=1")
     assert (got.volume, got.units, got.shard, got.volume_hosts) == (0x3B4D60021, 2.0, 5, 3.0)
     assert got.time_left_ns == 480 * MS - TRAVEL_ALLOWANCE_NS and got.is_client_retry and got.id == ID
@@ -51,7 +51,7 @@
         (b"t=basic", b"t=gold"),
     ],
 )
-def test_what_does_not_fit_to_the_letter_is_not_taken(old, new):
+def test_attributes_that_deviate_are_rejected(old, new):
     assert old in GOOD
     with pytest.raises(BadCommandError):
         translate(GOOD.replace(old, new))
@@ -68,6 +68,6 @@
         {"word": b"IO.OUT", "body": (b"x",)},
     ],
 )
-def test_ids_have_their_width_and_commands_their_words(more):
+def test_ids_of_another_width_and_missing_arguments_are_rejected(more):
     with pytest.raises(BadCommandError):
         translate(**more)
--- a/tests/listeners/test_resp_limits.py
+++ b/tests/listeners/test_resp_limits.py
@@ -32,13 +32,13 @@
 
 
 @pytest.mark.parametrize("first, answer", [(b"", b""), (b"*4\r\n$5\r\nIO.IN\r\n$1", b"-ERR")])
-def test_a_client_that_says_nothing_whole_is_closed_in_time(program, first, answer):
+def test_a_client_without_a_complete_command_is_closed_in_time(program, first, answer):
     began, sock = time.monotonic(), program.connect()
     sock.sendall(first)
     assert receive_all(sock, 8).startswith(answer) and time.monotonic() - began < 3
 
 
-def test_a_trickle_buys_no_time(program):
+def test_a_trickle_does_not_extend_the_command_timeout(program):
     began, sock = time.monotonic(), program.connect()
     sock.settimeout(0.1)
     for byte in b"*4\r\n$5\r\nIO.IN\r\n$16\r\n" * 9:
@@ -53,7 +53,7 @@
     assert time.monotonic() - began < 3.5
 
 
-def test_a_slow_command_on_a_rested_connection_has_its_own_time(program):
+def test_the_command_timeout_of_an_idle_connection_starts_at_the_first_byte(program):
     with program.connect() as sock:
         for pause in (0, 1.8):  # resting and writing together take longer than a command may
             time.sleep(pause)
@@ -63,20 +63,20 @@
             assert sock.recv(100) == PONG
 
 
-def test_an_oversized_length_is_answered_from_its_head_and_the_error_arrives(program):
+def test_an_oversized_length_is_rejected_from_its_head_and_the_error_is_received(program):
     sock = program.connect()
     sock.sendall(b"*5\r\n$6\r\nIO.OUT\r\n$60000000\r\n" + b"k" * 100_000)
     assert receive_all(sock, 8).startswith(b"-ERR Protocol error: invalid bulk length")
 
 
-def test_a_flood_of_errors_is_answered_slowed_down_and_closed(program):
+def test_a_flood_of_errors_is_slowed_down_and_closed(program):
     sock = program.connect()
     sock.sendall(b"*1\r\n$5\r\nIO.IN\r\n" * 300)
     got = receive_all(sock, 10)
     assert got.count(b"-ERR wrong number") < 40 and got.endswith(b"too many errors\r\n")
 
 
-def test_hundreds_that_say_nothing_do_not_lock_the_others_out(program):
+def test_many_silent_connections_do_not_block_other_clients(program):
     silent = []
     for _ in range(120):  # more than the descriptors allow
         silent.append(socket.create_connection(("127.0.0.1", program.ports["RespListener"]), timeout=10))
--- a/tests/service/test_signals.py
+++ b/tests/service/test_signals.py
@@ -34,8 +34,8 @@
 
 
 @pytest.mark.parametrize("where", ["start", "end"])
-def test_sigterm_ends_the_program_with_0_before_it_serves_and_on_its_way_out(tmp_path, where):
-    """Before and behind the time in which signals were received, their own end of the process stood."""
+def test_sigterm_exits_with_0_before_serving_and_during_the_shutdown(tmp_path, where):
+    """Before and after the time in which signals were received, their default action ended the process."""
     discovery, node = Discovery(), RespNode()
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(discovery.address, [entry(node.address)])))
@@ -57,7 +57,7 @@
         node.close()
 
 
-def test_a_reload_and_the_end_that_come_in_one_turn_are_both_heeded(tmp_path):
+def test_sighup_and_sigterm_at_the_same_time_are_both_handled(tmp_path):
     discovery, moved, node = Discovery(), Discovery(), RespNode(delay=0.3)
     raw = config(discovery.address, [entry(node.address)])
     program = Program(raw, tmp_path / "config.json")
--- a/tests/support/listener_harness.py
+++ b/tests/support/listener_harness.py
@@ -131,14 +131,14 @@
         await self.wait_until(lambda: not client.is_serving)
 
 
-def run_with_listener(make_harness, story):
+def run_with_listener(make_harness, scenario):
     """Run a coroutine function with a harness, and close what it leaves open."""
 
     async def run():
         async with anyio.create_task_group() as group:
             harness = make_harness(group)
             try:
-                await story(harness)
+                await scenario(harness)
             finally:
                 harness.close()
                 group.cancel_scope.cancel()
