--- a/runloft/listeners/accepting.py
+++ b/runloft/listeners/accepting.py
@@ -10,8 +10,8 @@
 import structlog
 
 from runloft.config.settings import Config
-from runloft.core.guard import CloseReason
 from runloft.core.model import Event
+from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerQueue
 from runloft.listeners.connection import ClientConnection
 from runloft.net.sockets import no_delay
@@ -93,8 +93,8 @@
         for client in self.eviction_candidates():
             if evicted >= EVICTION_BATCH:
                 return
-            if client.may_close(CloseReason.MAKE_ROOM):
-                client.close(CloseReason.MAKE_ROOM)
+            if client.may_close(CloseReason.EVICTED):
+                client.close(CloseReason.EVICTED)
                 evicted += 1
 
     async def accept(self, listening_socket: socket.socket) -> None:
--- a/runloft/listeners/connection.py
+++ b/runloft/listeners/connection.py
@@ -3,10 +3,10 @@
 import socket
 from abc import ABC, abstractmethod
 
-from runloft.core import guard
-from runloft.core.counters import COUNTERS, Counted
-from runloft.core.guard import CloseReason
+from runloft.core import permissions
+from runloft.core.counters import COUNTERS, CounterName
 from runloft.core.invariants import INVARIANTS
+from runloft.core.permissions import CloseReason
 from runloft.net.sockets import close, half_closed, nothing_to_read
 
 DISCONNECT_POLL_S = 0.04  # between looks whether a client that is not read has disconnected
@@ -42,7 +42,7 @@
 
     @abstractmethod
     def may_close(self, reason: CloseReason) -> bool:
-        """Return whether the guard permits to close the connection for this reason now."""
+        """Return whether the connection may be closed for this reason now."""
 
     @abstractmethod
     def unanswered_count(self) -> int:
@@ -65,10 +65,10 @@
         if self.closed:
             return
         unanswered = self.unanswered_count()
-        is_decided_here = reason not in guard.OF_THE_CLIENT
-        loses_input = is_decided_here and not self.lingering and self.has_unread_input()
-        INVARIANTS.closed(unanswered, loses_input, is_decided_here, **self.log_ids(), reason=str(reason))
-        COUNTERS.add(Counted.CLIENT_CLOSED, reason)
+        is_caused_here = reason not in permissions.CAUSED_BY_CLIENT
+        loses_input = is_caused_here and not self.lingering and self.has_unread_input()
+        INVARIANTS.check_close(unanswered, loses_input, is_caused_here, **self.log_ids(), reason=str(reason))
+        COUNTERS.add(CounterName.CLIENT_CONNECTIONS_CLOSED, reason)
         self.closed = True
         close(self.sock)
         self.release(reason, unanswered)
--- a/runloft/listeners/objects/connection.py
+++ b/runloft/listeners/objects/connection.py
@@ -6,8 +6,8 @@
 import h11
 import structlog
 
-from runloft.core import guard
-from runloft.core.guard import CloseReason
+from runloft.core import permissions
+from runloft.core.permissions import CloseReason
 from runloft.listeners.connection import ClientConnection, slowdown_s
 from runloft.listeners.objects.errors import NothingToDeleteError, ObjectApiError
 from runloft.listeners.objects.forwarding import RequestForwarder
@@ -51,14 +51,14 @@
         except (OSError, TimeoutError, h11.ProtocolError, anyio.ClosedResourceError) as error:
             log.debug("client connection over", error=repr(error))
         finally:
-            self.close(CloseReason.CLIENT_LEFT)
+            self.close(CloseReason.CLIENT_DISCONNECTED)
 
     def may_close(self, reason: CloseReason) -> bool:
-        """Return whether the guard permits to close; what is already here is read first."""
+        """Return whether the connection may be closed; input that has arrived is read first."""
         half_read = self.reader.unread_bytes()
         has_unread = self.has_unread_input()
         requests = (self,) if self.is_serving else ()
-        return guard.permit_close(reason, requests, 0, half_read, has_unread) is None
+        return permissions.permit_close(reason, requests, 0, half_read, has_unread) is None
 
     def close_if_idle(self) -> None:
         """Close between requests; a request that is already here is read first.
--- a/runloft/listeners/objects/exchange.py
+++ b/runloft/listeners/objects/exchange.py
@@ -35,7 +35,7 @@
 
     def answer(self, reply: Reply) -> None:
         """Take the final reply."""
-        INVARIANTS.answered(self.reply is not None, listener="objects")
+        INVARIANTS.check_response(self.reply is not None, listener="objects")
         self.reply = reply
         if isinstance(reply, Served):
             self.shard = reply.shard
--- a/runloft/listeners/resp/connection.py
+++ b/runloft/listeners/resp/connection.py
@@ -7,9 +7,9 @@
 
 import anyio
 
-from runloft.core import guard
-from runloft.core.guard import CloseReason
+from runloft.core import permissions
 from runloft.core.model import RequestReceived
+from runloft.core.permissions import CloseReason
 from runloft.core.trace import trace
 from runloft.listeners.connection import FREE_ERRORS, LINGER_BYTES, slowdown_s
 from runloft.listeners.resp.commands import BadCommandError
@@ -159,7 +159,7 @@
         self.lingering = True
         self.sock.shutdown(socket.SHUT_WR)
         linger_ns = SHUTDOWN_LINGER_NS if self.listener.stopping else LINGER_NS
-        if self.close_reason not in guard.OF_THE_CLIENT:
+        if self.close_reason not in permissions.CAUSED_BY_CLIENT:
             # What comes now is not read: its client sends it again elsewhere.
             await self._pause_unread(linger_ns / 1e9)
             return
--- a/runloft/listeners/resp/lifetime.py
+++ b/runloft/listeners/resp/lifetime.py
@@ -13,9 +13,9 @@
 import anyio
 import anyio.abc
 
-from runloft.core import guard
-from runloft.core.guard import CloseReason
+from runloft.core import permissions
 from runloft.core.model import ClientDisconnected, Event
+from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.core.trace import trace
 from runloft.listeners.connection import ClientConnection, has_half_closed
@@ -77,7 +77,9 @@
         super().__init__(sock)
         self.listener = listener
         self.number = next(self._numbers)
-        self.close_reason = CloseReason.CLIENT_LEFT  # why reading ended, unless something else closes it
+        self.close_reason = (
+            CloseReason.CLIENT_DISCONNECTED
+        )  # why reading ended, unless something else closes it
         self.is_closing = False
         self.errors = 0  # in a row
         self.has_sent_command = False
@@ -102,7 +104,7 @@
     def has_disconnected(self) -> bool:
         """Return whether the client ended its sending, even if some input is unread; it is closed then."""
         if not self.closed and has_half_closed(self.sock):
-            self.close(CloseReason.CLIENT_LEFT)
+            self.close(CloseReason.CLIENT_DISCONNECTED)
         return self.closed
 
     def has_space(self) -> bool:
@@ -138,12 +140,12 @@
         self.close(CloseReason.CONNECTION_BROKEN)
 
     def may_close(self, reason: CloseReason) -> bool:
-        """Return whether the guard permits to close; what is already here is read first."""
+        """Return whether the connection may be closed; input that has arrived is read first."""
         unanswered = self.pipeline.unanswered()
         half_read = self.reader.unread_bytes()
         unwritten = self.writer.outbox.size + self.pipeline.pending_bytes
         has_unread = not (unanswered or unwritten or half_read) and self.has_unread_input()
-        return guard.permit_close(reason, unanswered, unwritten, half_read, has_unread) is None
+        return permissions.permit_close(reason, unanswered, unwritten, half_read, has_unread) is None
 
     def close_if_idle(self, reason: CloseReason = CloseReason.SHUTDOWN) -> None:
         """Close between requests; a request that is already here is read first."""
--- a/runloft/listeners/resp/listener.py
+++ b/runloft/listeners/resp/listener.py
@@ -6,8 +6,8 @@
 import anyio.abc
 
 from runloft.config.settings import Config
-from runloft.core.guard import CloseReason
 from runloft.core.model import Event
+from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerQueue
 from runloft.listeners.accepting import RECENT_ACTIVITY_NS, ListenerBase
 from runloft.listeners.connection import DISCONNECT_POLL_NS
@@ -129,7 +129,7 @@
         disconnected = half_closed(client.sock for client in self.unread_clients)
         for client in list(self.unread_clients):
             if client.sock.fileno() in disconnected or not self._read_ahead(client):
-                client.close(CloseReason.CLIENT_LEFT)
+                client.close(CloseReason.CLIENT_DISCONNECTED)
         self._is_poll_due = False
         if self.unread_clients:
             self._schedule_poll()
--- a/runloft/listeners/resp/pipelining.py
+++ b/runloft/listeners/resp/pipelining.py
@@ -39,7 +39,7 @@
     def complete(self, *buffers: bytes) -> None:
         """Set the response; it is written once all before it are complete."""
         if self.is_complete:
-            INVARIANTS.violated(Violation.SECOND_ANSWER, client=self._owner.number)
+            INVARIANTS.record(Violation.DUPLICATE_RESPONSE, client=self._owner.number)
             return
         self.buffers = buffers
         self.is_complete = True
--- a/tests/listeners/test_object_closing.py
+++ b/tests/listeners/test_object_closing.py
@@ -132,7 +132,7 @@
             assert not harness.posted
         else:
             await harness.wait_until(harness.received)
-            assert harness.posted[0].ask.time_left_ns == 500 * MS
+            assert harness.posted[0].spec.time_left_ns == 500 * MS
             sock.close()
             await harness.wait_until(lambda: client.closed)
 
--- a/tests/listeners/test_resp_closing.py
+++ b/tests/listeners/test_resp_closing.py
@@ -180,7 +180,7 @@
             await anyio.sleep(0.0003)
             harness.advance(5)
         await harness.wait_until(lambda: len(harness.received()) == 2)
-        assert len({event.ask.id for event in harness.posted}) == 2
+        assert len({event.spec.id for event in harness.posted}) == 2
         sock.close()
 
     run_with_listener(RespHarness, scenario)
--- a/tests/listeners/test_resp_time_left.py
+++ b/tests/listeners/test_resp_time_left.py
@@ -20,7 +20,7 @@
 
 def time_left_ms(harness):
     """The time left of each request that was posted, in order."""
-    return [event.ask.time_left_ns / MS for event in harness.posted if isinstance(event, RequestReceived)]
+    return [event.spec.time_left_ns / MS for event in harness.posted if isinstance(event, RequestReceived)]
 
 
 async def advance_in_steps(harness, milliseconds):
--- a/tests/support/listener_harness.py
+++ b/tests/support/listener_harness.py
@@ -5,8 +5,8 @@
 import anyio
 
 from runloft.config.settings import config_from_json
-from runloft.core.guard import CloseReason
 from runloft.core.model import ClientDisconnected, RequestReceived, Served
+from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerQueue
 from runloft.listeners.objects import ObjectListener
 from runloft.listeners.resp import RespListener
@@ -41,7 +41,7 @@
     def advance(self, milliseconds):
         """Move the clock, and run the timers that are due."""
         self.now += int(milliseconds * MS)
-        for callback in self.timers.sweep(self.now):
+        for callback in self.timers.pop_due(self.now):
             callback()
 
     async def wait_until(self, check):
@@ -52,7 +52,7 @@
     def close(self):
         self.listening_socket.close()
         for client in list(self.listener.clients):
-            client.close(CloseReason.CLIENT_LEFT)
+            client.close(CloseReason.CLIENT_DISCONNECTED)
 
 
 class RespHarness(ListenerHarness):
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -356,7 +356,7 @@
         assert not scene.link.open and not scene.link.out
         scene.turn()
         scene.turn(100)
-        assert [attempt.request.sends for attempt in scene.core.attempts.values()] == [2]
+        assert [attempt.request.attempt_count for attempt in scene.core.attempts.values()] == [2]
         scene.up.set()  # late
         conn = await scene.node()
         assert ID in await scene.read(conn)
