--- a/tests/service/test_signals.py
+++ b/tests/service/test_signals.py
@@ -14,7 +14,7 @@
 HOOKED = """
 import os, signal, sys
 from runloft import cli
-from runloft.service import runner
+from runloft.service import server
 def hooked(call, stop):
     def inner(*args, **more):
         if stop is None or args[:1] == (stop,):
@@ -24,11 +24,11 @@
 if sys.argv[1] == "start":
     cli.load_config = hooked(cli.load_config, None)
 else:
-    log = runner.log
+    log = server.log
     class Log:
         warning = error = lambda *args, **more: None
         info = hooked(lambda *args, **more: log.info(*args, **more), "stopped")
-    runner.log = Log
+    server.log = Log
 sys.exit(cli.main(["serve"]))
 """
 
