--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -17,7 +17,7 @@
 from runloft.decisions.contract import ListKind
 from runloft.discovery.node_list import node_list_update
 from runloft.discovery.watch import Watch
-from runloft.listeners.resp import RespFront
+from runloft.listeners.resp import RespListener
 from runloft.net.listening import open_listener_with_retry
 from runloft.service.clock import MonotonicClock
 from runloft.service.errors import (
@@ -179,7 +179,7 @@
             # The other half of the descriptors is the clients'.
             descriptors_divisor=4 if config.objects else 2,
         )
-        listener = RespFront(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
+        listener = RespListener(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
         await self._listen(listener, ListenAddress("listen", *config.listen))
         if config.objects:
             await self._open_object_api(config.objects)
@@ -187,13 +187,13 @@
     async def _open_object_api(self, settings: ObjectSettings) -> None:
         # Imported here: the platform, where it is off, needs neither its memory nor its start-up time.
         with packages_required_by("objects"):
-            from runloft.listeners.objects import ObjectFront
+            from runloft.listeners.objects import ObjectListener
             from runloft.placement.store import PlacementStore
             from runloft.upstream.http_connection import HttpConnection
         with value_checked_by_use("objects.store"):
             self.store = PlacementStore(settings.store)
         runner = self.runner
-        listener = ObjectFront(
+        listener = ObjectListener(
             self.tasks, runner.post, runner.timers, runner.clock, self.config, settings, self.store
         )
         await self._listen(listener, ListenAddress("objects.listen", *settings.listen))
