--- /dev/null
+++ b/tests/agreement/test_golden_sequences.py
@@ -0,0 +1,261 @@
+"""Seeded sequences of events, whose outcomes have the digests that version 9c33a60 gave.
+
+Outcomes are rendered by value and in stored bytes, never by the name of a class, a field or a log event.
+"""
+
+import hashlib
+import json
+import random
+import re
+
+from runloft.agreement.member import (
+    Adopt,
+    Begin,
+    Exchange,
+    Extend,
+    Found,
+    Keep,
+    Member,
+    Restore,
+    Say,
+    Settle,
+)
+from runloft.agreement.records import Force, Stage, View
+from runloft.agreement.rollout import DropStage, Phase, PutForce, PutStage, RollOut, Tell
+from tests.agreement.test_agreement import CHOICES, FENCE, LEASE, TICK, Tool, World, content
+
+REPLICA_DIGEST = "ee9f62abca1f465d3b505cc9becb522ab11671d215038c369d2bd0cf1f275424"
+CLOSED_LOOP_DIGEST = "91c765a3dba03a74d9dffbf7f50c84812f5489da26b2fa54bbd22991a214ce7f"
+FIRST_EVENT = "from copy"
+LINKS = ("up", "up", "down", "deaf", "half")
+CLOCK_STEPS = (-3 * LEASE + 7, -LEASE // 2, LEASE // 2, 3 * LEASE)
+
+
+def stored(record):
+    return record.dump() if record is not None else None
+
+
+def pairs(marks):
+    return sorted([name, *mark] for name, mark in marks.items())
+
+
+def rendered(effect):
+    """Render an effect as plain values."""
+    match effect:
+        case Exchange():
+            return [1, stored(effect.lease), stored(effect.verdict)]
+        case Restore():
+            return [2, stored(effect.force)]
+        case Found():
+            return [3, stored(effect.force)]
+        case Begin():
+            return [4, effect.era, effect.expects]
+        case Settle():
+            return [5, effect.era]
+        case Adopt():
+            return [6, effect.content.as_json(), effect.generation, effect.reserves]
+        case Keep():
+            return [7, stored(effect.force)]
+        case Say():
+            return [8, effect.event == FIRST_EVENT, effect.generation, re.findall(r"\d+", effect.detail)]
+        case Extend():
+            return [9, stored(effect.force), list(effect.expects)]
+        case PutStage():
+            return [10, stored(effect.stage), list(effect.expects)]
+        case PutForce():
+            return [
+                11,
+                stored(effect.force),
+                list(effect.expects),
+                sorted(effect.names),
+                effect.in_ns,
+                pairs(effect.left_out),
+                pairs(effect.fenced),
+            ]
+        case DropStage():
+            return [12, effect.token]
+        case Tell():
+            return [13, effect.text]
+    raise AssertionError(effect)
+
+
+class Recording:
+    """A digest over everything that happened."""
+
+    def __init__(self):
+        self.hash = hashlib.sha256()
+        self.count = 0
+        self.kinds = set()
+
+    def add(self, *values):
+        self.count += 1
+        self.hash.update(json.dumps(values, sort_keys=True).encode() + b"\n")
+
+    def add_effects(self, effects):
+        some = [rendered(effect) for effect in effects]
+        self.kinds |= {one[0] for one in some}
+        self.add(some)
+
+    def add_replica(self, replica, now):
+        self.add(
+            replica.next_at() - now,
+            list(replica.served),
+            replica.reserves,
+            replica.connected(now),
+            replica.change_at,
+            stored(replica.force),
+            stored(replica.lease()),
+        )
+
+    def add_rollout(self, rollout):
+        self.add(
+            tuple(Phase).index(rollout.phase),
+            rollout.over,
+            rollout.why,
+            sorted(rollout.unheard),
+            sorted(rollout.left_out),
+            rollout.step,
+            stored(rollout.wanted),
+        )
+
+    def wrap(self, monkeypatch, owner, name, add_state):
+        """Record what a method of a state machine returns, and the state that it leaves."""
+        real = getattr(owner, name)
+
+        def call(machine, *arguments):
+            effects = real(machine, *arguments)
+            self.add_effects(effects)
+            add_state(machine, *arguments)
+            return effects
+
+        monkeypatch.setattr(owner, name, call)
+
+
+def any_generation(chance, epoch):
+    token = chance.choice(("", "t.0", "t.1", "u.0"))
+    return Force(
+        chance.randrange(1, 6),
+        chance.choice(CHOICES),
+        chance.choice((0, chance.randrange(900_000, 1_100_000))),
+        chance.choice((None, *CHOICES)),
+        token,
+        chance.choice(("", "me")),
+        epoch if token else 0,
+    )
+
+
+def any_stage(chance, epoch):
+    token = chance.choice(("t.0", "t.1", "u.0"))
+    return Stage(token, chance.randrange(1, 7), chance.choice(CHOICES), "me", epoch)
+
+
+def replica_sequence(seed, recording):
+    """Feed a replica with views of any store, mostly of one that holds what it held before."""
+    chance = random.Random(seed)
+    own = content(8, 2, more=chance.choice(((), ("x",), ("x", "y"))))
+    now = chance.randrange(0, 1000)
+    replica = Member(
+        "s0", f"i{seed}", own, LEASE, FENCE, lambda new: ["no"] * (len(new.plans["p1"]) % 3), now
+    )
+    store_ahead = 1_000_000
+    epoch, settled, generation, stage = 0, False, None, None
+    if chance.random() < 0.4:
+        generation = any_generation(chance, 0)
+        recording.add_effects(replica.remember(generation, chance.randrange(0, 90) / 4, now))
+    for _ in range(250):
+        match chance.randrange(24):
+            case 0:
+                epoch = chance.choice((0, epoch, epoch + 1, now + store_ahead))
+                settled = False
+            case 1 | 2:
+                settled = True
+            case 3:
+                generation = chance.choice((None, any_generation(chance, chance.choice((0, epoch)))))
+            case 4:
+                stage = chance.choice((None, any_stage(chance, epoch)))
+            case 5:
+                store_ahead += chance.choice(CLOCK_STEPS)
+            case 6:
+                own = content(8, 2, more=chance.choice(((), ("x",), ("z",))))
+                replica.own_changed(own)
+            case 7:
+                replica.settled(chance.randrange(3), chance.randrange(3))
+        now = max(now, chance.choice((now + chance.randrange(LEASE), replica.next_at())))
+        effects = replica.due(now)
+        recording.add_effects(effects)
+        for effect in effects:
+            if not isinstance(effect, Exchange):
+                continue
+            now += chance.randrange(TICK)
+            if chance.random() < 0.2:
+                recording.add_effects(replica.lost(now))
+                continue
+            view = View(now + store_ahead, generation, stage, era=epoch, settled=settled)
+            answers = replica.seen(view, now)
+            recording.add_effects(answers)
+            for answer in answers:
+                match answer:
+                    case Begin() if chance.random() < 0.7:
+                        epoch, settled = answer.era, False
+                    case Settle() if chance.random() < 0.7:
+                        settled = True
+                    case Restore() | Found() | Extend() if chance.random() < 0.7:
+                        generation = answer.force
+        recording.add_replica(replica, now)
+
+
+def closed_loop_sequence(seed, recording):
+    """Run three sidecars, a store and roll-outs, with faults, as one seeded sequence."""
+    chance = random.Random(seed)
+    world = World(seed=seed)
+    world.advance(4 * LEASE // TICK)
+    for number in range(12):
+        sidecar = chance.choice(world.sidecars)
+        match chance.randrange(9):
+            case 0 | 1:
+                sidecar.link = chance.choice(LINKS)
+            case 2:
+                for one in world.sidecars:
+                    one.link = "up"
+            case 3:
+                sidecar.alive = False
+                world.advance(chance.randrange(40))
+                sidecar.copy = chance.choice((None, sidecar.copy))
+                sidecar.start(world.now)
+            case 4 if chance.random() < 0.3:
+                world.store.empty()
+            case 5 if chance.random() < 0.3:
+                world.store.clock += chance.choice(CLOCK_STEPS)
+            case 6 if chance.random() < 0.3:
+                world.tools.clear()
+            case _:
+                tool = Tool(f"t{number}", chance.choice(CHOICES), world.now)
+                tool.link = chance.choice(("up", "up", "half"))
+                world.tools.append(tool)
+        world.advance(chance.randrange(80))
+    world.settle()
+    store = world.store
+    recording.add(stored(store.force), [stored(store.leases[name]) for name in sorted(store.leases)])
+    recording.add([stored(store.verdicts[name]) for name in sorted(store.verdicts)], store.era)
+
+
+def test_a_replica_fed_with_seeded_events_does_what_it_did():
+    recording = Recording()
+    for seed in range(40):
+        replica_sequence(seed, recording)
+    assert recording.kinds == set(range(1, 10))
+    assert recording.hash.hexdigest() == REPLICA_DIGEST
+
+
+def test_replicas_and_rollouts_over_one_store_do_what_they_did(monkeypatch):
+    recording = Recording()
+    for name in ("due", "seen", "lost"):
+        recording.wrap(
+            monkeypatch, Member, name, lambda replica, *rest: recording.add_replica(replica, rest[-1])
+        )
+    for name in ("seen", "staged", "committed", "stopped"):
+        recording.wrap(monkeypatch, RollOut, name, lambda rollout, *_: recording.add_rollout(rollout))
+    for seed in range(30):
+        closed_loop_sequence(seed, recording)
+    assert recording.kinds == set(range(1, 14))
+    assert recording.hash.hexdigest() == CLOSED_LOOP_DIGEST
--- /dev/null
+++ b/tests/agreement/test_stored_records.py
@@ -0,0 +1,159 @@
+"""Records as version 9c33a60 stored them: read, and written back byte for byte.
+
+Sidecars of both versions share one store during an upgrade.  ``lmdb.copy`` is from the version before that.
+"""
+
+import json
+import shutil
+from dataclasses import replace
+from pathlib import Path
+
+import anyio
+import pytest
+
+from runloft.agreement.local_snapshot import BootTime, LocalCopy
+from runloft.agreement.member import Begin, Exchange, Extend, Found, Restore, Settle
+from runloft.agreement.records import Force, force_from, lease_from, stage_from, verdict_from
+from runloft.agreement.rollout import DropStage, PutForce, PutStage
+from runloft.agreement.store import AgreementStore
+from runloft.lab.redis import RedisStandIn
+from tests.support.lab import running
+
+STORED = Path(__file__).parent / "stored"
+UNIX_NS = 1_764_684_010_000_000_000
+BOOT = BootTime("4c0c1a52-0000-4000-8000-000000000001", 90_000_000_000)
+LEASE_NS = 400_000_000
+EPOCH = 1_764_000_000_000_000_001
+
+
+def stored(name):
+    return (STORED / name).read_bytes()
+
+
+def written(record):
+    return record.dump().encode()
+
+
+@pytest.mark.parametrize(
+    "name, read",
+    [
+        ("generation-first.json", force_from),
+        ("generation-rolled-out.json", force_from),
+        ("stage.json", stage_from),
+        ("lease.json", lease_from),
+        ("lease-at-start.json", lease_from),
+        ("verdict.json", verdict_from),
+        ("verdict-refusing.json", verdict_from),
+    ],
+)
+def test_a_stored_record_is_written_back_byte_for_byte(name, read):
+    assert written(read(stored(name))) == stored(name)
+
+
+def test_a_lease_is_read_field_by_field():
+    lease = lease_from(stored("lease.json"))
+    assert (lease.name, lease.incarnation, lease.generation) == ("s0", "0f0e0d0c0b0a", 8)
+    assert (lease.digest, lease.own) == ("391bbfcd1c8a6618", "539addc558e09575")
+    assert (lease.differences, lease.held, lease.since_ns) == (3, 2, 1_764_684_000_123_456_000)
+    assert (lease.copy_age_s, lease.asked, lease.heard) == (12.25, 17, 15)
+    assert (lease.heard_ns, lease.fence_ns) == (1_764_684_009_000_000_000, 7_500_000_000)
+    assert lease.reserves is True
+
+
+def test_a_generation_is_read_field_by_field():
+    force = force_from(stored("generation-rolled-out.json"))
+    assert (force.generation, force.at_ns, force.era) == (8, 1_764_684_000_123_456_000, EPOCH)
+    assert (force.token, force.by) == ("0123456789ab.1", "me@host")
+    assert force.content.digest == "391bbfcd1c8a6618"
+    assert force.content.volumes["vé"]["shards"] == [0, 1, 7]
+    assert force.before.digest == "539addc558e09575"
+
+
+@pytest.mark.parametrize(
+    "name, boot, generation, age_s",
+    [("s0", BOOT, "generation-rolled-out.json", 5.0), ("s1", None, "generation-first.json", 60.0)],
+)
+def test_a_local_copys_file_is_written_back_byte_for_byte(tmp_path, name, boot, generation, age_s):
+    shutil.copy(STORED / f"{name}.copy", tmp_path)
+    later = BootTime(BOOT.boot, BOOT.since_ns + 5_000_000_000) if boot else None
+    kept = LocalCopy(str(tmp_path), name, lambda: UNIX_NS + 60_000_000_000, lambda: later).read()
+    assert kept.age_s == age_s and written(kept.force) == stored(generation)
+    again = LocalCopy(str(tmp_path / "again"), name, lambda: UNIX_NS, lambda: boot)
+    again.keep(kept.force)
+    assert again.path.read_bytes() == stored(f"{name}.copy")
+    assert again.path.name == f"{name}.copy"
+
+
+def test_the_lmdb_copy_of_the_version_before_is_read_and_replaced_by_a_file(tmp_path):
+    shutil.copy(STORED / "lmdb.copy", tmp_path / "s0.copy")
+    copy = LocalCopy(str(tmp_path), "s0", lambda: UNIX_NS, lambda: BOOT)
+    kept = copy.read()
+    assert kept.age_s == 0.0 and written(kept.force) == stored("generation-rolled-out.json")
+    copy.keep(kept.force)
+    assert copy.path.read_bytes() == stored("s0.copy")
+
+
+async def every_command(store):
+    """Use each of the store client's operations once or more, with success and without."""
+    first, second = (
+        force_from(stored("generation-first.json")),
+        force_from(stored("generation-rolled-out.json")),
+    )
+    lease, verdict = lease_from(stored("lease.json")), verdict_from(stored("verdict.json"))
+    other = lease_from(stored("lease-at-start.json"))
+    stage = stage_from(stored("stage.json"))
+    await store.exchange(Exchange(lease))
+    await store.begin(Begin(EPOCH, 0))
+    await store.begin(Begin(EPOCH + 1, 0))
+    await store.settle(Settle(EPOCH))
+    await store.found(Found(first))
+    await store.found(Found(first))
+    added = Force(2, replace(first.content, classes={}), by="s1")
+    await store.extend(Extend(added, first.rank))
+    await store.extend(Extend(added, first.rank))
+    await store.put_stage(PutStage(stage, added.rank))
+    await store.put_stage(PutStage(replace(stage, token="x.0"), added.rank))
+    await store.exchange(Exchange(other, verdict))
+    await store.exchange(Exchange(lease, verdict_from(stored("verdict-refusing.json"))))
+    names = frozenset(("s0", "s1"))
+    put = PutForce(second, added.rank, names, LEASE_NS, {"s1": other.hearing}, {"s1": other.mark})
+    await store.put_force(replace(put, expects=first.rank))
+    await store.put_force(put)
+    await store.view()
+    await store.put_stage(PutStage(stage, second.rank))
+    await store.drop_stage(DropStage("x.0"))
+    await store.drop_stage(DropStage(stage.token))
+    await store.restore(Restore(first))
+    await store.restore(Restore(replace(second, generation=9)))
+    await store.exchange(Exchange(other))
+    await store.forget("s1", ("a0b0", 7))
+    await store.forget("s1", other.mark)
+    await store.leave("s0", "other")
+    await store.leave("s0", lease.incarnation)
+    await store.view()
+
+
+def test_the_commands_to_the_store_and_what_it_holds_then_are_what_they_were():
+    commands = []
+    with running(RedisStandIn()) as (server,):
+        server.keys.unix_ns = lambda: UNIX_NS
+        act = server.keys.act
+
+        def recorded(session, words):
+            commands.append([word.decode() for word in words])
+            reply = act(session, words)
+            return reply
+
+        server.keys.act = recorded
+
+        async def main():
+            store = AgreementStore(f"redis://{server.address}/0", "runloft", LEASE_NS, 1.0)
+            try:
+                with anyio.fail_after(20):
+                    await every_command(store)
+            finally:
+                await store.close()
+
+        anyio.run(main)
+    text = "".join(json.dumps(words) + "\n" for words in commands)
+    assert text.encode() == stored("commands.jsonl")
--- /dev/null
+++ b/tests/sharing/test_stored_places.py
@@ -0,0 +1,66 @@
+"""Places of objects and uploads as version 9c33a60 stored them: read, and written back byte for byte."""
+
+import anyio
+import pytest
+
+from runloft.sharing.places import Place, SharedStore
+from tests.support.lab import Redis
+
+# The key, the text of the record, and what it says; as 9c33a60 wrote them.
+OBJECT_KEY = "runloft:object:tracks:a b/é"
+UPLOAD_KEY = "runloft:upload:tracks:0123456789abcdef:a b/é"
+RECORDS = [
+    (OBJECT_KEY, b"3 10", Place(3, 10), False),
+    (OBJECT_KEY, b"3 -1", Place(3), False),
+    (OBJECT_KEY, b"0 0", Place(0, 0), False),
+    (UPLOAD_KEY, b"63 -1", Place(63), True),
+]
+UPLOAD_MS = 604_800_000
+
+
+@pytest.mark.parametrize("key, text, place, is_upload", RECORDS)
+def test_a_stored_place_is_written_back_byte_for_byte(key, text, place, is_upload):
+    server = Redis()
+    keys = server.server.keys
+    keys.unix_ns = lambda: 1_764_684_010_000_000_000
+
+    async def main():
+        store = SharedStore(f"redis://{server.address}/0", 2.0)
+        name = (
+            store.upload_key("tracks", "a b/é", "0123456789abcdef")
+            if is_upload
+            else store.object_key("tracks", "a b/é")
+        )
+        assert name == key
+        try:
+            with anyio.fail_after(20):
+                keys.data[key.encode()] = text
+                assert await store.get(name) == place
+                await store.put(name, place, is_upload)
+        finally:
+            await store.close()
+
+    try:
+        anyio.run(main)
+        assert keys.data == {key.encode(): text}
+        lasts = {key.encode(): keys.now_ms + UPLOAD_MS} if is_upload else {}
+        assert keys.expires == lasts
+    finally:
+        server.close()
+
+
+def test_a_place_without_a_size_is_read_as_of_unknown_size():
+    server = Redis()
+
+    async def main():
+        store = SharedStore(f"redis://{server.address}/0", 2.0)
+        try:
+            server.data[b"k"] = b"5"
+            assert await store.get("k") == Place(5, -1)
+        finally:
+            await store.close()
+
+    try:
+        anyio.run(main)
+    finally:
+        server.close()
