--- /dev/null
+++ b/runloft/agreement/codec.py
@@ -0,0 +1,166 @@
+"""The agreement's records as the store and the local snapshot hold them: one JSON object for each.
+
+The keys are part of the storage format: sidecars of two versions share one store during an upgrade, so
+every key is spelled out here and none is derived from a field's name.  Keys are sorted and nothing is
+added between them, so that equal records have equal bytes.
+"""
+
+import json
+from typing import Any
+
+from runloft.agreement.content import ContentError, content_from
+from runloft.agreement.records import Force, Lease, RecordError, Stage, Verdict
+
+FORMAT = 1
+LEASE_FORMAT = 2  # 1 had no fence and ran out by the store's clock: whoever writes it can't be left out
+
+
+def encode_force(force: Force) -> str:
+    """Return the stored text of a committed generation."""
+    return _encode(
+        {
+            "format": FORMAT,
+            "generation": force.generation,
+            "content": force.content.as_json(),
+            "at_ns": force.at_ns,
+            "before": force.before.as_json() if force.before else None,
+            "token": force.token,
+            "by": force.by,
+            "era": force.era,
+        }
+    )
+
+
+def decode_force(text: str | bytes) -> Force:
+    """Return the committed generation that a text holds; raise RecordError if it holds none."""
+    raw = _decode(text, FORMAT)
+    try:
+        before = raw["before"]
+        return Force(
+            generation=int(raw["generation"]),
+            content=content_from(raw["content"]),
+            at_ns=int(raw["at_ns"]),
+            before=content_from(before) if before is not None else None,
+            token=str(raw["token"]),
+            by=str(raw["by"]),
+            era=int(raw.get("era", 0)),
+        )
+    except (KeyError, TypeError, ValueError, ContentError) as error:
+        raise RecordError(f"not what is in force: {error!r}") from error
+
+
+def encode_stage(stage: Stage) -> str:
+    """Return the stored text of a stage."""
+    return _encode(
+        {
+            "format": FORMAT,
+            "token": stage.token,
+            "generation": stage.generation,
+            "content": stage.content.as_json(),
+            "by": stage.by,
+            "era": stage.era,
+        }
+    )
+
+
+def decode_stage(text: str | bytes) -> Stage:
+    """Return the stage that a text holds; raise RecordError if it holds none."""
+    raw = _decode(text, FORMAT)
+    try:
+        return Stage(
+            token=str(raw["token"]),
+            generation=int(raw["generation"]),
+            content=content_from(raw["content"]),
+            by=str(raw["by"]),
+            era=int(raw.get("era", 0)),
+        )
+    except (KeyError, TypeError, ValueError, ContentError) as error:
+        raise RecordError(f"no stage: {error!r}") from error
+
+
+def encode_lease(lease: Lease) -> str:
+    """Return the stored text of a lease."""
+    return _encode(
+        {
+            "format": LEASE_FORMAT,
+            "name": lease.name,
+            "incarnation": lease.incarnation,
+            "generation": lease.generation,
+            "digest": lease.digest,
+            "own": lease.own,
+            "differences": lease.differences,
+            "held": lease.held,
+            "since_ns": lease.since_ns,
+            "copy_age_s": lease.copy_age_s,
+            "asked": lease.asked,
+            "heard": lease.heard,
+            "heard_ns": lease.heard_ns,
+            "fence_ns": lease.fence_ns,
+            "reserves": lease.reserves,
+        }
+    )
+
+
+def decode_lease(text: str | bytes) -> Lease:
+    """Return the lease that a text holds; raise RecordError if it holds none."""
+    raw = _decode(text, LEASE_FORMAT)
+    try:
+        return Lease(
+            name=str(raw["name"]),
+            incarnation=str(raw["incarnation"]),
+            generation=int(raw["generation"]),
+            digest=str(raw["digest"]),
+            own=str(raw["own"]),
+            differences=int(raw["differences"]),
+            held=int(raw["held"]),
+            since_ns=int(raw["since_ns"]),
+            copy_age_s=float(raw["copy_age_s"]),
+            asked=int(raw["asked"]),
+            heard=int(raw["heard"]),
+            heard_ns=int(raw["heard_ns"]),
+            fence_ns=int(raw["fence_ns"]),
+            reserves=bool(raw["reserves"]),
+        )
+    except (KeyError, TypeError, ValueError) as error:
+        raise RecordError(f"no lease: {error!r}") from error
+
+
+def encode_verdict(verdict: Verdict) -> str:
+    """Return the stored text of a verdict."""
+    return _encode(
+        {
+            "format": FORMAT,
+            "name": verdict.name,
+            "incarnation": verdict.incarnation,
+            "token": verdict.token,
+            "refusals": list(verdict.refusals),
+        }
+    )
+
+
+def decode_verdict(text: str | bytes) -> Verdict:
+    """Return the verdict that a text holds; raise RecordError if it holds none."""
+    raw = _decode(text, FORMAT)
+    try:
+        return Verdict(
+            name=str(raw["name"]),
+            incarnation=str(raw["incarnation"]),
+            token=str(raw["token"]),
+            refusals=tuple(str(reason) for reason in raw["refusals"]),
+        )
+    except (KeyError, TypeError, ValueError) as error:
+        raise RecordError(f"no verdict: {error!r}") from error
+
+
+def _encode(record: dict[str, Any]) -> str:
+    return json.dumps(record, sort_keys=True, separators=(",", ":"))
+
+
+def _decode(text: str | bytes, expected_format: int) -> dict[str, Any]:
+    try:
+        raw = json.loads(text)
+    except (ValueError, RecursionError) as error:
+        raise RecordError(f"no record: {error}") from error
+    if not isinstance(raw, dict) or raw.get("format") != expected_format:
+        raise RecordError("a record of another format")
+    return raw
--- a/runloft/agreement/local_snapshot.py
+++ b/runloft/agreement/local_snapshot.py
@@ -16,7 +16,8 @@
 
 import structlog
 
-from runloft.agreement.records import Force, RecordError, force_from
+from runloft.agreement.codec import decode_force, encode_force
+from runloft.agreement.records import Force, RecordError
 
 log = structlog.get_logger()
 FORMAT = b"runloft-copy-2\n"
@@ -75,7 +76,7 @@
     def keep(self, force: Force) -> None:
         """Write it, whole or not at all; CopyError where it can't be written."""
         boot = self.boot()
-        record = {"name": self.name, "at_ns": self.unix_ns(), "force": force.dump()}
+        record = {"name": self.name, "at_ns": self.unix_ns(), "force": encode_force(force)}
         if boot is not None:
             record |= {"boot": boot.boot, "boot_ns": boot.since_ns}
         body = json.dumps(record).encode()
@@ -141,7 +142,7 @@
             raw = json.loads(body)
             if raw["name"] != self.name:
                 raise CopyError(f"{self.path}: it is {raw['name']}'s")
-            return Copy(force_from(raw["force"]), self._age_s(raw))
+            return Copy(decode_force(raw["force"]), self._age_s(raw))
         except (KeyError, TypeError, ValueError, RecordError) as error:
             raise CopyError(f"{self.path}: {error!r}") from None
 
--- a/runloft/agreement/records.py
+++ b/runloft/agreement/records.py
@@ -1,13 +1,9 @@
-"""What lies in the store: what is in force, what is staged, who serves by what; and reading it back."""
+"""What lies in the store: what is in force, what is staged, who serves by what."""
 
-import json
 from dataclasses import dataclass, field
-from typing import Any
 
-from runloft.agreement.content import Content, ContentError, content_from
+from runloft.agreement.content import Content
 
-FORMAT = 1
-LEASE_FORMAT = 2  # 1 had no fence and ran out by the store's clock: whoever writes it can't be left out
 Rank = tuple[int, int, str]
 Mark = tuple[str, int]
 NOTHING: Rank = (0, 0, "")  # the rank of no generation at all
@@ -39,18 +35,6 @@
         """Give what a lease says of it."""
         return self.generation, self.content.digest
 
-    def dump(self) -> str:
-        """Give its text."""
-        return _dump(
-            generation=self.generation,
-            content=self.content.as_json(),
-            at_ns=self.at_ns,
-            before=self.before.as_json() if self.before else None,
-            token=self.token,
-            by=self.by,
-            era=self.era,
-        )
-
 
 def rank_of(force: Force | None) -> Rank:
     """Give the rank of what is in force, or of nothing."""
@@ -67,11 +51,6 @@
     by: str = ""
     era: int = 0
 
-    def dump(self) -> str:
-        """Give its text."""
-        content = self.content.as_json()
-        return _dump(token=self.token, generation=self.generation, content=content, by=self.by, era=self.era)
-
 
 @dataclass(frozen=True, slots=True)
 class Lease:
@@ -112,10 +91,6 @@
         """Give what it serves by: generation, digest."""
         return self.generation, self.digest
 
-    def dump(self) -> str:
-        """Give its text."""
-        return _dump(LEASE_FORMAT, **{name: getattr(self, name) for name in self.__slots__})
-
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
@@ -126,12 +101,6 @@
     token: str
     refusals: tuple[str, ...] = ()
 
-    def dump(self) -> str:
-        """Give its text."""
-        return _dump(
-            name=self.name, incarnation=self.incarnation, token=self.token, refusals=list(self.refusals)
-        )
-
 
 @dataclass(frozen=True, slots=True)
 class View:
@@ -156,74 +125,3 @@
             return set()
         name = self.force.name
         return {sidecar for sidecar, lease in self.leases.items() if lease.serves != name}
-
-
-def _dump(number: int = FORMAT, /, **values: Any) -> str:
-    return json.dumps({"format": number, **values}, sort_keys=True, separators=(",", ":"))
-
-
-def _load(text: str | bytes, number: int = FORMAT) -> dict[str, Any]:
-    try:
-        raw = json.loads(text)
-    except (ValueError, RecursionError) as error:
-        raise RecordError(f"no record: {error}") from None
-    if not isinstance(raw, dict) or raw.get("format") != number:
-        raise RecordError("a record of another format")
-    return raw
-
-
-def force_from(text: str | bytes) -> Force:
-    """Read what is in force."""
-    raw = _load(text)
-    try:
-        before = raw["before"]
-        return Force(
-            int(raw["generation"]),
-            content_from(raw["content"]),
-            int(raw["at_ns"]),
-            content_from(before) if before is not None else None,
-            str(raw["token"]),
-            str(raw["by"]),
-            int(raw.get("era", 0)),
-        )
-    except (KeyError, TypeError, ValueError, ContentError) as error:
-        raise RecordError(f"not what is in force: {error!r}") from None
-
-
-def stage_from(text: str | bytes) -> Stage:
-    """Read a stage."""
-    raw = _load(text)
-    try:
-        return Stage(
-            str(raw["token"]),
-            int(raw["generation"]),
-            content_from(raw["content"]),
-            str(raw["by"]),
-            int(raw.get("era", 0)),
-        )
-    except (KeyError, TypeError, ValueError, ContentError) as error:
-        raise RecordError(f"no stage: {error!r}") from None
-
-
-def lease_from(text: str | bytes) -> Lease:
-    """Read a lease."""
-    raw = _load(text, LEASE_FORMAT)
-    try:
-        return Lease(
-            str(raw["name"]), str(raw["incarnation"]), int(raw["generation"]), str(raw["digest"]),
-            str(raw["own"]), int(raw["differences"]), int(raw["held"]), int(raw["since_ns"]),
-            float(raw["copy_age_s"]), int(raw["asked"]), int(raw["heard"]), int(raw["heard_ns"]),
-            int(raw["fence_ns"]), bool(raw["reserves"]),
-        )  # fmt: skip
-    except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(f"no lease: {error!r}") from None
-
-
-def verdict_from(text: str | bytes) -> Verdict:
-    """Read a verdict."""
-    raw = _load(text)
-    try:
-        refusals = tuple(str(one) for one in raw["refusals"])
-        return Verdict(str(raw["name"]), str(raw["incarnation"]), str(raw["token"]), refusals)
-    except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(f"no verdict: {error!r}") from None
--- a/runloft/agreement/store.py
+++ b/runloft/agreement/store.py
@@ -21,17 +21,23 @@
 from redis.backoff import NoBackoff
 from redis.exceptions import RedisError, WatchError
 
+from runloft.agreement.codec import (
+    decode_force,
+    decode_lease,
+    decode_stage,
+    decode_verdict,
+    encode_force,
+    encode_lease,
+    encode_stage,
+    encode_verdict,
+)
 from runloft.agreement.member import Begin, Exchange, Extend, Found, Restore, Settle
 from runloft.agreement.records import (
     Force,
     Lease,
     RecordError,
     View,
-    force_from,
-    lease_from,
     rank_of,
-    stage_from,
-    verdict_from,
 )
 from runloft.agreement.rollout import DropStage, PutForce, PutStage
 
@@ -79,10 +85,10 @@
         async def ask() -> View:
             pipe = self._redis.pipeline(transaction=False)
             # Written before anything is read: who is told what is in force is known by then.
-            pipe.set(self._key(f"lease:{lease.name}"), lease.dump())
+            pipe.set(self._key(f"lease:{lease.name}"), encode_lease(lease))
             pipe.sadd(self._key("names"), lease.name)
             if verdict is not None:
-                pipe.hset(self._key("verdicts"), verdict.name, verdict.dump())
+                pipe.hset(self._key("verdicts"), verdict.name, encode_verdict(verdict))
                 pipe.pexpire(self._key("verdicts"), 2 * STAGE_LEASES * self.lease_ms)
             self._read(pipe)
             return await self._view((await pipe.execute())[-4:])
@@ -111,8 +117,8 @@
         clock, era, rank, token = read
         if rank is not None:
             self._assemble(rank)
-        force = await self._held("force", rank, force_from)
-        stage = await self._held("stage", token, stage_from)
+        force = await self._held("force", rank, decode_force)
+        stage = await self._held("stage", token, decode_stage)
         number, settled = _era(era)
         return View(_time(clock), force, stage, era=number, settled=settled)
 
@@ -141,7 +147,7 @@
             names, verdicts, *read = await pipe.execute()
             known = frozenset(map(_text, names))
             leases = await self._leases(self._redis, known)
-            answers = _readable(verdicts.items(), verdict_from)
+            answers = _readable(verdicts.items(), decode_verdict)
             return replace(await self._view(read), names=known, leases=leases, verdicts=answers)
 
         return await self._guarded(ask)
@@ -149,7 +155,7 @@
     async def _leases(self, client: Any, names: Iterable[str]) -> dict[str, Lease]:
         some = sorted(names)
         texts = await client.mget([self._key(f"lease:{name}") for name in some]) if some else []
-        return _readable(zip(some, texts, strict=True), lease_from)
+        return _readable(zip(some, texts, strict=True), decode_lease)
 
     async def begin(self, effect: Begin) -> None:
         """Begin an era of a store that has lost what it held, unless somebody has."""
@@ -182,7 +188,7 @@
         await self._changed(change, "force")
 
     def _put(self, pipe: Any, force: Force) -> None:
-        pipe.set(self._key("force"), force.dump())
+        pipe.set(self._key("force"), encode_force(force))
         pipe.set(self._key("force:rank"), _mark(force))
 
     async def found(self, effect: Found) -> None:
@@ -214,12 +220,12 @@
 
         async def change(pipe: Any) -> bool:
             held = await pipe.get(self._key("stage"))
-            other = held is not None and stage_from(held).token != effect.stage.token
+            other = held is not None and decode_stage(held).token != effect.stage.token
             if other or rank_of(await self._force(pipe)) != effect.expects:
                 return False
             pipe.multi()
             until = STAGE_LEASES * self.lease_ms
-            pipe.set(self._key("stage"), effect.stage.dump(), px=until)
+            pipe.set(self._key("stage"), encode_stage(effect.stage), px=until)
             pipe.set(self._key("stage:token"), effect.stage.token, px=until)
             return True
 
@@ -230,7 +236,7 @@
 
         async def change(pipe: Any) -> bool:
             held = await pipe.get(self._key("stage"))
-            staged = held is not None and stage_from(held).token == effect.force.token
+            staged = held is not None and decode_stage(held).token == effect.force.token
             names = frozenset(map(_text, await pipe.smembers(self._key("names"))))
             out = await self._leases(pipe, effect.left_out.keys() | effect.fenced.keys())
             moved = any(name not in out or out[name].hearing != was for name, was in effect.left_out.items())
@@ -260,7 +266,7 @@
 
         async def change(pipe: Any) -> bool:
             held = await pipe.get(self._key("stage"))
-            if held is None or stage_from(held).token != effect.token:
+            if held is None or decode_stage(held).token != effect.token:
                 return False
             pipe.multi()
             pipe.delete(self._key("stage"), self._key("stage:token"))
@@ -276,7 +282,7 @@
 
         async def change(pipe: Any) -> bool:
             text = await pipe.get(self._key(f"lease:{name}"))
-            lease = _readable([(name, text)], lease_from).get(name)
+            lease = _readable([(name, text)], decode_lease).get(name)
             if (lease.mark if lease else None) != mark or (lease is None and text is not None):
                 return False
             pipe.multi()
@@ -290,7 +296,7 @@
 
         async def change(pipe: Any) -> bool:
             held = await pipe.get(self._key(f"lease:{name}"))
-            if held is None or lease_from(held).incarnation != incarnation:
+            if held is None or decode_lease(held).incarnation != incarnation:
                 return False  # its successor is there already
             pipe.multi()
             self._drop(pipe, name)
@@ -300,7 +306,7 @@
 
     async def _force(self, pipe: Any) -> Force | None:
         text = await pipe.get(self._key("force"))
-        return force_from(text) if text is not None else None
+        return decode_force(text) if text is not None else None
 
     async def _changed(self, change: Callable[[Any], Awaitable[bool]], *watched: str) -> bool:
         async def ask() -> bool:
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -10,6 +10,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
+from runloft.agreement.codec import (
+    decode_force,
+    decode_lease,
+    decode_stage,
+    decode_verdict,
+    encode_force,
+    encode_lease,
+    encode_stage,
+    encode_verdict,
+)
 from runloft.agreement.content import (
     Content,
     Effective,
@@ -39,10 +49,6 @@
     Stage,
     Verdict,
     View,
-    force_from,
-    lease_from,
-    stage_from,
-    verdict_from,
 )
 from runloft.agreement.rollout import (
     CanNotError,
@@ -125,7 +131,7 @@
                 self.settled = self.settled or self.era == era
             case Restore(force):
                 if self.rank < force.rank:
-                    self.force = force_from(force.dump())
+                    self.force = decode_force(encode_force(force))
             case Found(force):
                 self.force = self.force or force
             case Extend(force, expects):
@@ -179,7 +185,7 @@
                 case Adopt(content, _, reserves):
                     self.served, self.reserves = content, reserves
                 case Keep(force):
-                    self.copy = force_from(force.dump())
+                    self.copy = decode_force(encode_force(force))
                 case Exchange():
                     arrives, replies = self.passes(chance)
                     if arrives:
@@ -717,17 +723,17 @@
     "text", ["", "{", "[]", '{"format": 2}', '{"format": 1}', '{"format":1,"generation":"x"}']
 )
 def test_what_is_no_record_is_not_taken_for_one(text):
-    for read in (force_from, stage_from, lease_from, verdict_from):
+    for read in (decode_force, decode_stage, decode_lease, decode_verdict):
         with pytest.raises(RecordError):
             read(text)
 
 
 def test_records_are_read_back_as_they_were_written():
     force = Force(3, CHOICES[0], 5, CHOICES[1], "t.0", "me")
-    assert force_from(force.dump()) == force
+    assert decode_force(encode_force(force)) == force
     stage = Stage("t.0", 4, CHOICES[1], "me")
-    assert stage_from(stage.dump()) == stage
+    assert decode_stage(encode_stage(stage)) == stage
     lease = Lease("s", "i", 3, "d", "o", 1, 2, 9, 4.0, 5, 4, 6, 7, True)
-    assert lease_from(lease.dump()) == lease
+    assert decode_lease(encode_lease(lease)) == lease
     verdict = Verdict("s", "i", "t.0", ("no",))
-    assert verdict_from(verdict.dump()) == verdict
+    assert decode_verdict(encode_verdict(verdict)) == verdict
--- a/tests/agreement/test_golden_sequences.py
+++ b/tests/agreement/test_golden_sequences.py
@@ -8,6 +8,7 @@
 import random
 import re
 
+from runloft.agreement.codec import encode_force, encode_lease, encode_stage, encode_verdict
 from runloft.agreement.member import (
     Adopt,
     Begin,
@@ -20,7 +21,7 @@
     Say,
     Settle,
 )
-from runloft.agreement.records import Force, Stage, View
+from runloft.agreement.records import Force, Lease, Stage, Verdict, View
 from runloft.agreement.rollout import DropStage, Phase, PutForce, PutStage, RollOut, Tell
 from tests.agreement.test_agreement import CHOICES, FENCE, LEASE, TICK, Tool, World, content
 
@@ -32,7 +33,17 @@
 
 
 def stored(record):
-    return record.dump() if record is not None else None
+    match record:
+        case Force():
+            return encode_force(record)
+        case Stage():
+            return encode_stage(record)
+        case Lease():
+            return encode_lease(record)
+        case Verdict():
+            return encode_verdict(record)
+    assert record is None
+    return None
 
 
 def pairs(marks):
--- a/tests/agreement/test_sharing.py
+++ b/tests/agreement/test_sharing.py
@@ -16,6 +16,7 @@
 import anyio
 import pytest
 
+from runloft.agreement.codec import encode_lease
 from runloft.agreement.content import Content
 from runloft.agreement.local_snapshot import Copy, CopyError, LocalCopy
 from runloft.agreement.member import Begin, Exchange, Extend, Found, Restore, Settle
@@ -497,7 +498,7 @@
 def test_a_record_of_the_version_before_is_told_beside_the_json_and_bars_a_roll_out(pair):
     pair.start("ingest")
     pair.agree(1)
-    old = json.dumps(json.loads(lease("old").dump()) | {"format": 1}).encode()
+    old = json.dumps(json.loads(encode_lease(lease("old"))) | {"format": 1}).encode()
     pair.store.keys.data[b"runloft:lease:old"] = old
     pair.store.keys.data[b"runloft:names"].add(b"old")
     command = [sys.executable, "-m", "runloft", "config", "status", "--json", "--config"]
--- a/tests/agreement/test_stored_records.py
+++ b/tests/agreement/test_stored_records.py
@@ -11,9 +11,19 @@
 import anyio
 import pytest
 
+from runloft.agreement.codec import (
+    decode_force,
+    decode_lease,
+    decode_stage,
+    decode_verdict,
+    encode_force,
+    encode_lease,
+    encode_stage,
+    encode_verdict,
+)
 from runloft.agreement.local_snapshot import BootTime, LocalCopy
 from runloft.agreement.member import Begin, Exchange, Extend, Found, Restore, Settle
-from runloft.agreement.records import Force, force_from, lease_from, stage_from, verdict_from
+from runloft.agreement.records import Force, Lease, Stage, Verdict
 from runloft.agreement.rollout import DropStage, PutForce, PutStage
 from runloft.agreement.store import AgreementStore
 from runloft.lab.redis import RedisStandIn
@@ -31,19 +41,28 @@
 
 
 def written(record):
-    return record.dump().encode()
+    match record:
+        case Force():
+            text = encode_force(record)
+        case Stage():
+            text = encode_stage(record)
+        case Lease():
+            text = encode_lease(record)
+        case Verdict():
+            text = encode_verdict(record)
+    return text.encode()
 
 
 @pytest.mark.parametrize(
     "name, read",
     [
-        ("generation-first.json", force_from),
-        ("generation-rolled-out.json", force_from),
-        ("stage.json", stage_from),
-        ("lease.json", lease_from),
-        ("lease-at-start.json", lease_from),
-        ("verdict.json", verdict_from),
-        ("verdict-refusing.json", verdict_from),
+        ("generation-first.json", decode_force),
+        ("generation-rolled-out.json", decode_force),
+        ("stage.json", decode_stage),
+        ("lease.json", decode_lease),
+        ("lease-at-start.json", decode_lease),
+        ("verdict.json", decode_verdict),
+        ("verdict-refusing.json", decode_verdict),
     ],
 )
 def test_a_stored_record_is_written_back_byte_for_byte(name, read):
@@ -51,7 +70,7 @@
 
 
 def test_a_lease_is_read_field_by_field():
-    lease = lease_from(stored("lease.json"))
+    lease = decode_lease(stored("lease.json"))
     assert (lease.name, lease.incarnation, lease.generation) == ("s0", "0f0e0d0c0b0a", 8)
     assert (lease.digest, lease.own) == ("391bbfcd1c8a6618", "539addc558e09575")
     assert (lease.differences, lease.held, lease.since_ns) == (3, 2, 1_764_684_000_123_456_000)
@@ -61,7 +80,7 @@
 
 
 def test_a_generation_is_read_field_by_field():
-    force = force_from(stored("generation-rolled-out.json"))
+    force = decode_force(stored("generation-rolled-out.json"))
     assert (force.generation, force.at_ns, force.era) == (8, 1_764_684_000_123_456_000, EPOCH)
     assert (force.token, force.by) == ("0123456789ab.1", "me@host")
     assert force.content.digest == "391bbfcd1c8a6618"
@@ -96,12 +115,12 @@
 async def every_command(store):
     """Use each of the store client's operations once or more, with success and without."""
     first, second = (
-        force_from(stored("generation-first.json")),
-        force_from(stored("generation-rolled-out.json")),
+        decode_force(stored("generation-first.json")),
+        decode_force(stored("generation-rolled-out.json")),
     )
-    lease, verdict = lease_from(stored("lease.json")), verdict_from(stored("verdict.json"))
-    other = lease_from(stored("lease-at-start.json"))
-    stage = stage_from(stored("stage.json"))
+    lease, verdict = decode_lease(stored("lease.json")), decode_verdict(stored("verdict.json"))
+    other = decode_lease(stored("lease-at-start.json"))
+    stage = decode_stage(stored("stage.json"))
     await store.exchange(Exchange(lease))
     await store.begin(Begin(EPOCH, 0))
     await store.begin(Begin(EPOCH + 1, 0))
@@ -114,7 +133,7 @@
     await store.put_stage(PutStage(stage, added.rank))
     await store.put_stage(PutStage(replace(stage, token="x.0"), added.rank))
     await store.exchange(Exchange(other, verdict))
-    await store.exchange(Exchange(lease, verdict_from(stored("verdict-refusing.json"))))
+    await store.exchange(Exchange(lease, decode_verdict(stored("verdict-refusing.json"))))
     names = frozenset(("s0", "s1"))
     put = PutForce(second, added.rank, names, LEASE_NS, {"s1": other.hearing}, {"s1": other.mark})
     await store.put_force(replace(put, expects=first.rank))
