--- a/runloft/agreement/client.py
+++ b/runloft/agreement/client.py
@@ -18,18 +18,18 @@
 )
 from runloft.agreement.local_snapshot import CopyError, CopyWriter, LocalCopy
 from runloft.agreement.member import (
-    Adopt,
-    Begin,
+    AddOwnEntries,
+    ApplyConfig,
+    Bootstrap,
+    CloseEpoch,
     Effect,
     Exchange,
-    Extend,
-    Found,
-    Keep,
+    LogEvent,
     Member,
-    Put,
-    Restore,
-    Say,
-    Settle,
+    OpenEpoch,
+    PersistSnapshot,
+    RepairStore,
+    StoreWrite,
 )
 from runloft.agreement.store import AgreementStore, StoreError
 from runloft.config.faults import ConfigError
@@ -95,9 +95,9 @@
             return self.agreed(self.own)
         # Nothing runs yet that could write: what there is to keep has just been read.
         for effect in self.member.remember(kept.force, kept.age_s, self.clock()):
-            if isinstance(effect, Adopt):
+            if isinstance(effect, ApplyConfig):
                 self.content, self.standing.generation = effect.content, effect.generation
-            elif isinstance(effect, Say):
+            elif isinstance(effect, LogEvent):
                 self._say(effect)
         self.standing.copy_age_s = kept.age_s
         return self.agreed(self.own)
@@ -175,15 +175,15 @@
             match effect:
                 case Exchange():
                     await self._exchange(effect)
-                case Adopt(content, generation, reserves):
+                case ApplyConfig(content, generation, reserves):
                     self.content, self.standing.generation = content, generation
                     self.standing.reserves = reserves
                     self.take(self.agreed(self.own))
-                case Keep(force):
+                case PersistSnapshot(force):
                     self.writer.keep(force)
-                case Say():
+                case LogEvent():
                     self._say(effect)
-                case Restore() | Found() | Extend() | Begin() | Settle():
+                case RepairStore() | Bootstrap() | AddOwnEntries() | OpenEpoch() | CloseEpoch():
                     await self._put(effect)
 
     async def _exchange(self, effect: Exchange) -> None:
@@ -198,24 +198,24 @@
             return
         await self._carry_out(self.member.seen(view, self.clock()))
 
-    async def _put(self, effect: Put) -> None:
+    async def _put(self, effect: StoreWrite) -> None:
         try:
             with anyio.fail_after(self.timeout_s):
                 match effect:
-                    case Restore():
+                    case RepairStore():
                         await self.store.restore(effect)
-                    case Found():
+                    case Bootstrap():
                         await self.store.found(effect)
-                    case Extend():
+                    case AddOwnEntries():
                         await self.store.extend(effect)
-                    case Begin():
+                    case OpenEpoch():
                         await self.store.begin(effect)
-                    case Settle():
+                    case CloseEpoch():
                         await self.store.settle(effect)
         except (StoreError, TimeoutError) as error:
             log.debug("not written", what=type(effect).__name__, error=str(error))
 
-    def _say(self, said: Say) -> None:
+    def _say(self, said: LogEvent) -> None:
         # "restored", "added to" may come again with each exchange until the store has it.
         text = f"{said.event} {said.generation}"
         if not self.standing.sayings or self.standing.sayings[-1] != text:
--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -17,16 +17,16 @@
 
 from runloft.agreement.content import Content
 from runloft.agreement.fencing import over_ns
-from runloft.agreement.member import Begin, Settle
+from runloft.agreement.member import CloseEpoch, OpenEpoch
 from runloft.agreement.records import View
 from runloft.agreement.rollout import (
+    CommitGeneration,
     DropStage,
     Effect,
     Phase,
-    PutForce,
     PutStage,
+    ReportProgress,
     RollOut,
-    Tell,
 )
 from runloft.agreement.store import AgreementStore, StoreError
 from runloft.config.commands import checked_fleet, misused, table, tell
@@ -165,21 +165,21 @@
     async def carry_out(effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case Tell(text):
+                case ReportProgress(text):
                     told.append(text)
                     if not as_json:
                         print(f"{time.monotonic() - began:7.3f} s  {text}", flush=True)
                 case PutStage():
                     done = await store.put_stage(effect)
                     await carry_out(out.staged(done, time.monotonic_ns()))
-                case PutForce():
+                case CommitGeneration():
                     done = await store.put_force(effect)
                     await carry_out(out.committed(done, time.monotonic_ns()))
                 case DropStage():
                     await store.drop_stage(effect)
-                case Begin():
+                case OpenEpoch():
                     await store.begin(effect)
-                case Settle():
+                case CloseEpoch():
                     await store.settle(effect)
 
     silent_since: float | None = None
--- a/runloft/agreement/member.py
+++ b/runloft/agreement/member.py
@@ -30,21 +30,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restore:
+class RepairStore:
     """Put what is in force back into a store that has lost it, unless it holds a higher one by now."""
 
     force: Force
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class Bootstrap:
     """Put a first generation into a store that has none; should another be first, that one stands."""
 
     force: Force
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class OpenEpoch:
     """Begin an era of a store whose era is still ``expects``."""
 
     era: int
@@ -52,14 +52,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class CloseEpoch:
     """Say that whoever was cut off when this era began is fenced by now."""
 
     era: int
 
 
 @dataclass(frozen=True, slots=True)
-class Adopt:
+class ApplyConfig:
     """Go by this content from now on, and hold its reserves or none."""
 
     content: Content
@@ -68,14 +68,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class PersistSnapshot:
     """Keep a copy on this machine."""
 
     force: Force
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogEvent:
     """Tell the operators."""
 
     event: str
@@ -84,15 +84,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Extend:
+class AddOwnEntries:
     """Add this sidecar's own volumes, plans and classes to a generation that no roll-out brought."""
 
     force: Force
     expects: tuple[int, int, str]
 
 
-Put = Restore | Found | Extend | Begin | Settle
-Effect = Exchange | Put | Adopt | Keep | Say
+StoreWrite = RepairStore | Bootstrap | AddOwnEntries | OpenEpoch | CloseEpoch
+Effect = Exchange | StoreWrite | ApplyConfig | PersistSnapshot | LogEvent
 
 
 class Member:
@@ -148,7 +148,7 @@
         the others change within a lease.
         """
         self.copy_age_s, self.force = age_s, force
-        effects: list[Effect] = [Say("from copy", force.generation, f"{age_s:.0f} s old")]
+        effects: list[Effect] = [LogEvent("from copy", force.generation, f"{age_s:.0f} s old")]
         return effects + self._adopt(now)
 
     def own_changed(self, own: Content) -> None:
@@ -168,10 +168,13 @@
             effects += self._adopt(now)
         if self.reserves_until is not None and now >= self.reserves_until:
             self.reserves_until = None
-            effects = [*self._with_reserves(effects), Say("fenced", self.served[0], "nothing is reserved")]
+            effects = [
+                *self._with_reserves(effects),
+                LogEvent("fenced", self.served[0], "nothing is reserved"),
+            ]
         if not self._cut_off and self.heard_at is not None and not self.connected(now):
             self._cut_off = True
-            effects.append(Say("cut off", self.served[0], "the store was not heard for a lease"))
+            effects.append(LogEvent("cut off", self.served[0], "the store was not heard for a lease"))
         if now >= self.next_beat:
             self.next_beat, self._asked_at = now + self.lease_ns // BEATS, now
             self._asked += 1
@@ -202,7 +205,7 @@
         """Heed what the store holds."""
         effects: list[Effect] = []
         if self._cut_off or self.heard_at is None:
-            effects.append(Say("connected", view.force.generation if view.force else 0))
+            effects.append(LogEvent("connected", view.force.generation if view.force else 0))
         self._cut_off, self.heard_at, self._heard_ns, self._failures = False, now, view.now_ns, 0
         self._heard += 1
         effects += self._eras(view, now)
@@ -215,13 +218,13 @@
         """Heed a store that has begun anew: its answers renew no lease until the old ones are over."""
         highest = rank_of(self.force)[0]
         if not view.era or view.era < highest:
-            return [Begin(max(view.now_ns, highest, self.era) + 1, view.era)]
+            return [OpenEpoch(max(view.now_ns, highest, self.era) + 1, view.era)]
         lasted = self._fresh.lasts(view.era, now)
         if view.settled:
             self.era = view.era
         elif lasted >= over_ns(self.fence_ns):
             self.era = view.era
-            return [Settle(view.era)]
+            return [CloseEpoch(view.era)]
         return []
 
     def _renewed(self, view: View, effects: list[Effect]) -> list[Effect]:
@@ -233,45 +236,47 @@
         if rank_of(view.force) == force.rank and not foreseen_only:
             before, self.reserves_until = self.reserves, self._asked_at + self.fence_ns
             if not before:
-                effects = [*self._with_reserves(effects), Say("reserves", self.served[0])]
+                effects = [*self._with_reserves(effects), LogEvent("reserves", self.served[0])]
         return effects
 
     def _with_reserves(self, effects: list[Effect]) -> list[Effect]:
         """Go by the same as before, or by what is being told already, with the reserves held now or none."""
-        if self.content is not None and not any(isinstance(one, Adopt) for one in effects):
-            return [*effects, Adopt(self.content, self.served[0], self.reserves)]
-        return [replace(one, reserves=self.reserves) if isinstance(one, Adopt) else one for one in effects]
+        if self.content is not None and not any(isinstance(one, ApplyConfig) for one in effects):
+            return [*effects, ApplyConfig(self.content, self.served[0], self.reserves)]
+        return [
+            replace(one, reserves=self.reserves) if isinstance(one, ApplyConfig) else one for one in effects
+        ]
 
     def _empty(self, now: int) -> list[Effect]:
         """Put back what is known; else, when nobody has done so for a lease, begin with the own file."""
         if self.force is not None:
-            return [Restore(self.force), Say("restored", self.force.generation)]
+            return [RepairStore(self.force), LogEvent("restored", self.force.generation)]
         if self.empty_since is None:
             self.empty_since = now
         if now - self.empty_since < self.lease_ns:
             return []
         # Looked at again a lease later: another may have been first, which the next view shows.
         self.empty_since = now
-        return [Found(Force(1, self.own, by=self.name))]
+        return [Bootstrap(Force(1, self.own, by=self.name))]
 
     def _told(self, force: Force, store_now: int, now: int) -> list[Effect]:
         if self.force is not None and force.rank <= self.force.rank:
             if force.rank < self.force.rank:
-                return [Restore(self.force), Say("restored", self.force.generation)]
+                return [RepairStore(self.force), LogEvent("restored", self.force.generation)]
             return self._extended(force)
         self.force = force
-        effects: list[Effect] = [Keep(force)]
+        effects: list[Effect] = [PersistSnapshot(force)]
         # Guards against clocks that step: never more than a lease from now, and not looked at again.
         wait = min(max(0, force.at_ns - store_now), self.lease_ns)
         if wait == 0:
             return effects + self._adopt(now, store_now) + self._extended(force)
         self.change_at = now + wait
-        effects.append(Say("change foreseen", force.generation, f"in {wait / 1e9:.3f} s"))
+        effects.append(LogEvent("change foreseen", force.generation, f"in {wait / 1e9:.3f} s"))
         before = force.generation - 1, force.before.digest if force.before else ""
         if force.before is not None and self.served != before:
             # Until then the one before is in force, here too, whatever this sidecar came with.
             self.served, self.content = before, force.before
-            effects.append(Adopt(force.before, before[0], self.reserves))
+            effects.append(ApplyConfig(force.before, before[0], self.reserves))
         return effects
 
     def _extended(self, force: Force) -> list[Effect]:
@@ -282,7 +287,7 @@
         if content is force.content:
             return []
         wanted = Force(force.generation + 1, content, by=self.name, era=force.era)
-        return [Extend(wanted, force.rank), Say("added to", wanted.generation)]
+        return [AddOwnEntries(wanted, force.rank), LogEvent("added to", wanted.generation)]
 
     def _content(self) -> Content:
         """Give what is in force: where no roll-out spoke, own volumes that nobody claimed are served."""
@@ -296,8 +301,8 @@
         self._since_store = store_now or self.force.at_ns
         self.next_beat = min(self.next_beat, now)  # the change is told at once
         self.content = self._content()
-        adopted = Adopt(self.content, self.force.generation, self.reserves)
-        return [adopted, Say("in force", self.force.generation)]
+        adopted = ApplyConfig(self.content, self.force.generation, self.reserves)
+        return [adopted, LogEvent("in force", self.force.generation)]
 
     def _answered(self, stage: Stage | None, now: int) -> list[Effect]:
         """Answer a stage once; the answer goes with every exchange until another stage is there."""
@@ -313,4 +318,4 @@
         self.verdict = Verdict(self.name, self.incarnation, stage.token, tuple(found[:8]))
         self.next_beat = min(self.next_beat, now)
         word = "refused" if found else "honoured"
-        return [Say(word, stage.generation, "; ".join(found[:3]))]
+        return [LogEvent(word, stage.generation, "; ".join(found[:3]))]
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -14,7 +14,7 @@
 
 from runloft.agreement.content import Content
 from runloft.agreement.fencing import Stillness, over_ns
-from runloft.agreement.member import Begin, Settle
+from runloft.agreement.member import CloseEpoch, OpenEpoch
 from runloft.agreement.records import Force, Lease, Mark, Rank, Stage, View, rank_of
 
 PATIENCE = 4  # leases: for answers, and for all to have changed
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PutForce:
+class CommitGeneration:
     """Bring a generation into force.
 
     Only while ``expects`` is in force, the stage is there, exactly ``names`` are known, those ``left_out``
@@ -66,13 +66,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class ReportProgress:
     """Tell the operator how it goes."""
 
     text: str
 
 
-Effect = PutStage | PutForce | DropStage | Tell | Begin | Settle
+Effect = PutStage | CommitGeneration | DropStage | ReportProgress | OpenEpoch | CloseEpoch
 
 
 class CanNotError(Exception):
@@ -156,7 +156,7 @@
     def stopped(self, why: str) -> list[Effect]:
         """Stop on the operator's word, as far as it still can be stopped."""
         if self.phase in (Phase.COMMITTING, Phase.CHANGING):
-            return [Tell("it is in force, or may be: roll back to undo it")]
+            return [ReportProgress("it is in force, or may be: roll back to undo it")]
         return self._stop(why)
 
     def _to(self, phase: Phase, now: int) -> None:
@@ -177,10 +177,10 @@
         self.base = view.force
         if not view.era or view.era < rank_of(view.force)[0]:
             era = max(view.now_ns, rank_of(view.force)[0]) + 1
-            return [Begin(era, view.era)] if now - self.since <= self._patience else self._stop("no era")
+            return [OpenEpoch(era, view.era)] if now - self.since <= self._patience else self._stop("no era")
         if self._era.lasts(view.era, now) < over_ns(self.fence_ns) and not view.settled:
             return []  # the store has begun anew: who was cut off may hold a lease of what it was
-        settle: list[Effect] = [] if view.settled else [Settle(view.era)]
+        settle: list[Effect] = [] if view.settled else [CloseEpoch(view.era)]
         if view.force is not None and view.force.at_ns > view.now_ns:
             if now - self.since > self._patience:
                 return self._stop("the generation before has not come into force")
@@ -199,7 +199,7 @@
         self.renewed_at = now
         self.era = view.era
         stage = self._stage(content)
-        staged = Tell(f"staged as generation {stage.generation}")
+        staged = ReportProgress(f"staged as generation {stage.generation}")
         return [*settle, PutStage(stage, rank_of(view.force)), staged]
 
     @property
@@ -263,8 +263,8 @@
         if left_out:
             said += f"; silent and left out: {', '.join(sorted(left_out))}"
         return [
-            PutForce(self.wanted, rank, names, self.lease_ns, left_out, fenced),
-            Tell(said),
+            CommitGeneration(self.wanted, rank, names, self.lease_ns, left_out, fenced),
+            ReportProgress(said),
         ]
 
     def _unsure(self, view: View, now: int) -> list[Effect]:
@@ -300,7 +300,7 @@
 
     def _next(self, now: int) -> list[Effect]:
         force = self.wanted or self.base
-        said = Tell(f"generation {force.generation if force else 0} is in force")
+        said = ReportProgress(f"generation {force.generation if force else 0} is in force")
         self.step += 1
         self.wanted = None
         if self.step >= len(self.steps):
--- a/runloft/agreement/store.py
+++ b/runloft/agreement/store.py
@@ -31,7 +31,7 @@
     encode_stage,
     encode_verdict,
 )
-from runloft.agreement.member import Begin, Exchange, Extend, Found, Restore, Settle
+from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
 from runloft.agreement.records import (
     Force,
     Lease,
@@ -39,7 +39,7 @@
     View,
     rank_of,
 )
-from runloft.agreement.rollout import DropStage, PutForce, PutStage
+from runloft.agreement.rollout import CommitGeneration, DropStage, PutStage
 
 log = structlog.get_logger()
 STAGE_LEASES = 2  # a stage runs out after so many leases, unless it is renewed
@@ -157,11 +157,11 @@
         texts = await client.mget([self._key(f"lease:{name}") for name in some]) if some else []
         return _readable(zip(some, texts, strict=True), decode_lease)
 
-    async def begin(self, effect: Begin) -> None:
+    async def begin(self, effect: OpenEpoch) -> None:
         """Begin an era of a store that has lost what it held, unless somebody has."""
         await self._put_era(effect.expects, f"{effect.era}")
 
-    async def settle(self, effect: Settle) -> None:
+    async def settle(self, effect: CloseEpoch) -> None:
         """Say that an era has lasted for longer than any lease, if it still is this one."""
         await self._put_era(effect.era, f"{effect.era} settled")
 
@@ -175,7 +175,7 @@
 
         await self._changed(change, "era")
 
-    async def restore(self, effect: Restore) -> None:
+    async def restore(self, effect: RepairStore) -> None:
         """Put back what the store has lost, unless it holds a higher one."""
 
         async def change(pipe: Any) -> bool:
@@ -191,7 +191,7 @@
         pipe.set(self._key("force"), encode_force(force))
         pipe.set(self._key("force:rank"), _mark(force))
 
-    async def found(self, effect: Found) -> None:
+    async def found(self, effect: Bootstrap) -> None:
         """Put a first generation, where there is none."""
 
         async def change(pipe: Any) -> bool:
@@ -203,7 +203,7 @@
 
         await self._changed(change, "force")
 
-    async def extend(self, effect: Extend) -> bool:
+    async def extend(self, effect: AddOwnEntries) -> bool:
         """Add to what is in force, if it is still what was added to."""
 
         async def change(pipe: Any) -> bool:
@@ -231,7 +231,7 @@
 
         return await self._changed(change, "force", "stage")
 
-    async def put_force(self, effect: PutForce) -> bool:
+    async def put_force(self, effect: CommitGeneration) -> bool:
         """Bring into force, if all is as it was when the last answer was read."""
 
         async def change(pipe: Any) -> bool:
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -31,15 +31,15 @@
 )
 from runloft.agreement.member import (
     BEATS,
-    Adopt,
-    Begin,
+    AddOwnEntries,
+    ApplyConfig,
+    Bootstrap,
+    CloseEpoch,
     Exchange,
-    Extend,
-    Found,
-    Keep,
     Member,
-    Restore,
-    Settle,
+    OpenEpoch,
+    PersistSnapshot,
+    RepairStore,
 )
 from runloft.agreement.records import (
     NOTHING,
@@ -52,9 +52,9 @@
 )
 from runloft.agreement.rollout import (
     CanNotError,
+    CommitGeneration,
     DropStage,
     Phase,
-    PutForce,
     PutStage,
     RollOut,
 )
@@ -124,23 +124,23 @@
                 self.names |= {lease.name}
                 if verdict:
                     self.verdicts[lease.name] = verdict
-            case Begin(era, expects):
+            case OpenEpoch(era, expects):
                 if self.era == expects:
                     self.era, self.settled = era, False
-            case Settle(era):
+            case CloseEpoch(era):
                 self.settled = self.settled or self.era == era
-            case Restore(force):
+            case RepairStore(force):
                 if self.rank < force.rank:
                     self.force = decode_force(encode_force(force))
-            case Found(force):
+            case Bootstrap(force):
                 self.force = self.force or force
-            case Extend(force, expects):
+            case AddOwnEntries(force, expects):
                 self.force = force if self.rank == expects else self.force
             case PutStage(stage, expects):
                 if self.rank != expects or (view.stage and view.stage.token != stage.token):
                     return False
                 self.stage = stage, self.clock + 2 * LEASE
-            case PutForce(force, expects, names, in_ns, left_out, fenced):
+            case CommitGeneration(force, expects, names, in_ns, left_out, fenced):
                 staged = view.stage is not None and view.stage.token == force.token
                 out = self.leases
                 moved = any(name not in out or out[name].hearing != was for name, was in left_out.items())
@@ -182,9 +182,9 @@
     def heed(self, effects, store, now, chance):
         for effect in effects:
             match effect:
-                case Adopt(content, _, reserves):
+                case ApplyConfig(content, _, reserves):
                     self.served, self.reserves = content, reserves
-                case Keep(force):
+                case PersistSnapshot(force):
                     self.copy = decode_force(encode_force(force))
                 case Exchange():
                     arrives, replies = self.passes(chance)
@@ -192,7 +192,9 @@
                         store.apply(effect)
                     got = self.member.seen(store.told(), now) if replies else self.member.lost(now)
                     self.heed(got, store, now, chance)
-                case Restore() | Found() | Extend() | Begin() | Settle() if self.passes(chance)[0]:
+                case RepairStore() | Bootstrap() | AddOwnEntries() | OpenEpoch() | CloseEpoch() if (
+                    self.passes(chance)[0]
+                ):
                     store.apply(effect)
 
     def turn(self, store, now, chance):
@@ -212,13 +214,13 @@
         if chance.random() < (0.5 if self.link == "half" else 0):
             return
         for effect in self.out.seen(store.view(), now):
-            if isinstance(effect, PutStage | PutForce | DropStage | Begin | Settle):
+            if isinstance(effect, PutStage | CommitGeneration | DropStage | OpenEpoch | CloseEpoch):
                 done = store.apply(effect)
                 if chance.random() < (0.5 if self.link == "half" else 0):
                     continue  # the reply was lost
                 if isinstance(effect, PutStage):
                     self.heed(self.out.staged(done, now), store)
-                elif isinstance(effect, PutForce):
+                elif isinstance(effect, CommitGeneration):
                     self.heed(self.out.committed(done, now), store)
 
     def heed(self, effects, store):
@@ -591,7 +593,7 @@
     world.sidecars[2].start(world.now)
     world.sidecars[2].member.refuses = lambda _: ["its file has changed"]
     world.sidecars[2].turn(world.store, world.now, world.chance)  # its lease is there, its answer is not
-    assert not any(isinstance(e, PutForce) for e in tool.out.seen(world.store.view(), world.now))
+    assert not any(isinstance(e, CommitGeneration) for e in tool.out.seen(world.store.view(), world.now))
     world.advance(10)
     tool.out.seen(world.store.view(), world.now)
     assert "its file has changed" in tool.out.why
@@ -650,7 +652,7 @@
     while tool.out.phase is not Phase.COMMITTING:
         world.advance(2)
         for effect in tool.out.seen(world.store.view(), world.now):
-            if isinstance(effect, PutStage | PutForce):
+            if isinstance(effect, PutStage | CommitGeneration):
                 done = world.store.apply(effect)
                 if isinstance(effect, PutStage):
                     tool.out.staged(done, world.now)
--- a/tests/agreement/test_golden_sequences.py
+++ b/tests/agreement/test_golden_sequences.py
@@ -10,19 +10,19 @@
 
 from runloft.agreement.codec import encode_force, encode_lease, encode_stage, encode_verdict
 from runloft.agreement.member import (
-    Adopt,
-    Begin,
+    AddOwnEntries,
+    ApplyConfig,
+    Bootstrap,
+    CloseEpoch,
     Exchange,
-    Extend,
-    Found,
-    Keep,
+    LogEvent,
     Member,
-    Restore,
-    Say,
-    Settle,
+    OpenEpoch,
+    PersistSnapshot,
+    RepairStore,
 )
 from runloft.agreement.records import Force, Lease, Stage, Verdict, View
-from runloft.agreement.rollout import DropStage, Phase, PutForce, PutStage, RollOut, Tell
+from runloft.agreement.rollout import CommitGeneration, DropStage, Phase, PutStage, ReportProgress, RollOut
 from tests.agreement.test_agreement import CHOICES, FENCE, LEASE, TICK, Tool, World, content
 
 REPLICA_DIGEST = "ee9f62abca1f465d3b505cc9becb522ab11671d215038c369d2bd0cf1f275424"
@@ -55,25 +55,25 @@
     match effect:
         case Exchange():
             return [1, stored(effect.lease), stored(effect.verdict)]
-        case Restore():
+        case RepairStore():
             return [2, stored(effect.force)]
-        case Found():
+        case Bootstrap():
             return [3, stored(effect.force)]
-        case Begin():
+        case OpenEpoch():
             return [4, effect.era, effect.expects]
-        case Settle():
+        case CloseEpoch():
             return [5, effect.era]
-        case Adopt():
+        case ApplyConfig():
             return [6, effect.content.as_json(), effect.generation, effect.reserves]
-        case Keep():
+        case PersistSnapshot():
             return [7, stored(effect.force)]
-        case Say():
+        case LogEvent():
             return [8, effect.event == FIRST_EVENT, effect.generation, re.findall(r"\d+", effect.detail)]
-        case Extend():
+        case AddOwnEntries():
             return [9, stored(effect.force), list(effect.expects)]
         case PutStage():
             return [10, stored(effect.stage), list(effect.expects)]
-        case PutForce():
+        case CommitGeneration():
             return [
                 11,
                 stored(effect.force),
@@ -85,7 +85,7 @@
             ]
         case DropStage():
             return [12, effect.token]
-        case Tell():
+        case ReportProgress():
             return [13, effect.text]
     raise AssertionError(effect)
 
@@ -206,11 +206,11 @@
             recording.add_effects(answers)
             for answer in answers:
                 match answer:
-                    case Begin() if chance.random() < 0.7:
+                    case OpenEpoch() if chance.random() < 0.7:
                         epoch, settled = answer.era, False
-                    case Settle() if chance.random() < 0.7:
+                    case CloseEpoch() if chance.random() < 0.7:
                         settled = True
-                    case Restore() | Found() | Extend() if chance.random() < 0.7:
+                    case RepairStore() | Bootstrap() | AddOwnEntries() if chance.random() < 0.7:
                         generation = answer.force
         recording.add_replica(replica, now)
 
--- a/tests/agreement/test_sharing.py
+++ b/tests/agreement/test_sharing.py
@@ -19,9 +19,9 @@
 from runloft.agreement.codec import encode_lease
 from runloft.agreement.content import Content
 from runloft.agreement.local_snapshot import Copy, CopyError, LocalCopy
-from runloft.agreement.member import Begin, Exchange, Extend, Found, Restore, Settle
+from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
 from runloft.agreement.records import NOTHING, Force, Lease, Stage, Verdict
-from runloft.agreement.rollout import PutForce, PutStage
+from runloft.agreement.rollout import CommitGeneration, PutStage
 from runloft.agreement.store import AgreementStore, StoreError
 from runloft.lab.keyspace import Error, Keyspace, Session
 from runloft.lab.redis import RedisStandIn
@@ -59,11 +59,11 @@
         assert (
             view.force is None and not view.names and not view.era and abs(view.now_ns - time.time_ns()) < 5e9
         )
-        await store.found(Found(Force(1, ONE)))
-        await other.found(Found(Force(1, TWO)))
+        await store.found(Bootstrap(Force(1, ONE)))
+        await other.found(Bootstrap(Force(1, TWO)))
         first = (await other.exchange(Exchange(lease("s1")))).force
         assert first.content == ONE
-        assert not await other.extend(Extend(Force(2, TWO), NOTHING))
+        assert not await other.extend(AddOwnEntries(Force(2, TWO), NOTHING))
         stage = Stage("t.0", 2, TWO, "me")
         assert await store.put_stage(PutStage(stage, first.rank))
         assert not await other.put_stage(PutStage(replace(stage, token="u.0"), first.rank))
@@ -71,8 +71,10 @@
         assert (await store.exchange(Exchange(lease(), verdict))).stage == stage
         seen = await other.view()
         assert seen.verdicts == {"s0": verdict} and seen.leases.keys() == {"s0", "s1"} == seen.names
-        await store.begin(Begin(7, 0))
-        put = PutForce(Force(2, TWO, 0, ONE, "t.0", "me", 7), first.rank, frozenset(("s0", "s1")), LEASE)
+        await store.begin(OpenEpoch(7, 0))
+        put = CommitGeneration(
+            Force(2, TWO, 0, ONE, "t.0", "me", 7), first.rank, frozenset(("s0", "s1")), LEASE
+        )
         assert not await other.put_force(replace(put, names=frozenset(("s0",))))
         assert not await other.put_force(replace(put, force=replace(put.force, token="x.0")))
         assert not await other.put_force(replace(put, force=replace(put.force, era=6)))
@@ -87,14 +89,14 @@
 
 def test_who_is_left_out_is_still_silent_at_the_commit_and_who_is_fenced_is_not_known_after_it():
     async def check(server, store, other):
-        await store.begin(Begin(7, 0))
-        await store.found(Found(Force(1, ONE)))
+        await store.begin(OpenEpoch(7, 0))
+        await store.found(Bootstrap(Force(1, ONE)))
         await store.exchange(Exchange(lease()))
         await other.exchange(Exchange(lease("s1", asked=5, heard=4)))
         rank = (0, 1, ONE.digest)
         assert await store.put_stage(PutStage(Stage("t.0", 2, TWO), rank))
         names = frozenset(("s0", "s1"))
-        put = PutForce(
+        put = CommitGeneration(
             Force(2, TWO, token="t.0", era=7), rank, names, LEASE, {"s1": ("i", 4)}, {"s1": ("i", 5)}
         )
         await other.exchange(Exchange(lease("s1", asked=6, heard=5)))  # it hears again
@@ -111,14 +113,14 @@
 
 def test_an_era_is_begun_once_settled_by_who_saw_it_and_raised_by_who_knows_a_later_one():
     async def check(server, store, other):
-        await store.begin(Begin(7, 0))
-        await other.begin(Begin(9, 0))
-        await other.settle(Settle(9))
+        await store.begin(OpenEpoch(7, 0))
+        await other.begin(OpenEpoch(9, 0))
+        await other.settle(CloseEpoch(9))
         view = await store.exchange(Exchange(lease()))
         assert (view.era, view.settled) == (7, False)
-        await other.settle(Settle(7))
+        await other.settle(CloseEpoch(7))
         assert (await store.view()).settled
-        await other.begin(Begin(12, 7))
+        await other.begin(OpenEpoch(12, 7))
         assert ((await store.view()).era, (await store.view()).settled) == (12, False)
         server.keys.data[b"t:era"] = b"an era"  # no record of ours
         assert (await store.view()).era == 0
@@ -171,15 +173,15 @@
 
 def test_who_was_asked_about_a_generation_does_not_read_it_again_once_it_is_in_force():
     async def check(server, store, other):
-        await store.begin(Begin(7, 0))
-        await store.found(Found(Force(1, ONE)))
+        await store.begin(OpenEpoch(7, 0))
+        await store.found(Bootstrap(Force(1, ONE)))
         await other.exchange(Exchange(lease()))  # it is never asked
         await store.exchange(Exchange(lease("s1")))
         rank = (0, 1, ONE.digest)
         assert await other.put_stage(PutStage(Stage("t.0", 2, TWO, "me", 7), rank))
         assert (await store.exchange(Exchange(lease("s1")))).stage.content == TWO
         force = Force(2, TWO, 0, ONE, "t.0", "me", 7)
-        assert await other.put_force(PutForce(force, rank, frozenset(("s0", "s1")), LEASE))
+        assert await other.put_force(CommitGeneration(force, rank, frozenset(("s0", "s1")), LEASE))
         read = []
         act = server.keys.act
         server.keys.act = lambda session, words: read.append(words[1:]) or act(session, words)
@@ -199,15 +201,15 @@
 
 def test_what_a_store_has_lost_is_put_back_but_never_over_a_higher_one():
     async def check(server, store, other):
-        await store.restore(Restore(Force(5, ONE)))
-        await other.restore(Restore(Force(4, TWO)))
+        await store.restore(RepairStore(Force(5, ONE)))
+        await other.restore(RepairStore(Force(4, TWO)))
         assert (await store.view()).force.generation == 5
         server.keys.empty()
-        await other.restore(Restore(Force(4, TWO)))
-        await store.restore(Restore(Force(5, ONE)))
+        await other.restore(RepairStore(Force(4, TWO)))
+        await store.restore(RepairStore(Force(5, ONE)))
         assert (await store.view()).force.generation == 5
-        await store.restore(Restore(Force(2, TWO, era=1)))  # rolled out since the store was lost
-        await store.restore(Restore(Force(9, ONE)))
+        await store.restore(RepairStore(Force(2, TWO, era=1)))  # rolled out since the store was lost
+        await store.restore(RepairStore(Force(9, ONE)))
         assert (await store.view()).force.generation == 2
 
     play(check)
@@ -229,7 +231,7 @@
 def test_whatever_a_store_does_is_one_error_in_time(trouble):
     async def check(server, store, other):
         await store.exchange(Exchange(lease()))
-        await store.found(Found(Force(1, ONE)))
+        await store.found(Bootstrap(Force(1, ONE)))
         match trouble:
             case "silent":
                 server.failures.silent = True
@@ -259,7 +261,7 @@
 
 def test_two_that_write_at_once_lose_nothing():
     async def check(server, store, other):
-        await store.found(Found(Force(1, ONE)))
+        await store.found(Bootstrap(Force(1, ONE)))
 
         async def add(client, name):
             for _ in range(20):
@@ -267,7 +269,7 @@
                 if name in force.content.volumes:
                     return
                 content = replace(force.content, volumes={**force.content.volumes, name: {}})
-                await client.extend(Extend(Force(force.generation + 1, content), force.rank))
+                await client.extend(AddOwnEntries(Force(force.generation + 1, content), force.rank))
 
         async with anyio.create_task_group() as group:
             for number in range(6):
--- a/tests/agreement/test_stored_records.py
+++ b/tests/agreement/test_stored_records.py
@@ -22,9 +22,9 @@
     encode_verdict,
 )
 from runloft.agreement.local_snapshot import BootTime, LocalCopy
-from runloft.agreement.member import Begin, Exchange, Extend, Found, Restore, Settle
+from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
 from runloft.agreement.records import Force, Lease, Stage, Verdict
-from runloft.agreement.rollout import DropStage, PutForce, PutStage
+from runloft.agreement.rollout import CommitGeneration, DropStage, PutStage
 from runloft.agreement.store import AgreementStore
 from runloft.lab.redis import RedisStandIn
 from tests.support.lab import running
@@ -122,28 +122,28 @@
     other = decode_lease(stored("lease-at-start.json"))
     stage = decode_stage(stored("stage.json"))
     await store.exchange(Exchange(lease))
-    await store.begin(Begin(EPOCH, 0))
-    await store.begin(Begin(EPOCH + 1, 0))
-    await store.settle(Settle(EPOCH))
-    await store.found(Found(first))
-    await store.found(Found(first))
+    await store.begin(OpenEpoch(EPOCH, 0))
+    await store.begin(OpenEpoch(EPOCH + 1, 0))
+    await store.settle(CloseEpoch(EPOCH))
+    await store.found(Bootstrap(first))
+    await store.found(Bootstrap(first))
     added = Force(2, replace(first.content, classes={}), by="s1")
-    await store.extend(Extend(added, first.rank))
-    await store.extend(Extend(added, first.rank))
+    await store.extend(AddOwnEntries(added, first.rank))
+    await store.extend(AddOwnEntries(added, first.rank))
     await store.put_stage(PutStage(stage, added.rank))
     await store.put_stage(PutStage(replace(stage, token="x.0"), added.rank))
     await store.exchange(Exchange(other, verdict))
     await store.exchange(Exchange(lease, decode_verdict(stored("verdict-refusing.json"))))
     names = frozenset(("s0", "s1"))
-    put = PutForce(second, added.rank, names, LEASE_NS, {"s1": other.hearing}, {"s1": other.mark})
+    put = CommitGeneration(second, added.rank, names, LEASE_NS, {"s1": other.hearing}, {"s1": other.mark})
     await store.put_force(replace(put, expects=first.rank))
     await store.put_force(put)
     await store.view()
     await store.put_stage(PutStage(stage, second.rank))
     await store.drop_stage(DropStage("x.0"))
     await store.drop_stage(DropStage(stage.token))
-    await store.restore(Restore(first))
-    await store.restore(Restore(replace(second, generation=9)))
+    await store.restore(RepairStore(first))
+    await store.restore(RepairStore(replace(second, generation=9)))
     await store.exchange(Exchange(other))
     await store.forget("s1", ("a0b0", 7))
     await store.forget("s1", other.mark)
