--- a/runloft/agreement/client.py
+++ b/runloft/agreement/client.py
@@ -94,7 +94,7 @@
         if kept is None:
             return self.agreed(self.own)
         # Nothing runs yet that could write: what there is to keep has just been read.
-        for effect in self.member.remember(kept.force, kept.age_s, self.clock()):
+        for effect in self.member.remember(kept.committed, kept.age_s, self.clock()):
             if isinstance(effect, ApplyConfig):
                 self.content, self.standing.generation = effect.content, effect.generation
             elif isinstance(effect, LogEvent):
@@ -179,8 +179,8 @@
                     self.content, self.standing.generation = content, generation
                     self.standing.reserves = reserves
                     self.take(self.agreed(self.own))
-                case PersistSnapshot(force):
-                    self.writer.keep(force)
+                case PersistSnapshot(committed):
+                    self.writer.keep(committed)
                 case LogEvent():
                     self._say(effect)
                 case RepairStore() | Bootstrap() | AddOwnEntries() | OpenEpoch() | CloseEpoch():
--- a/runloft/agreement/codec.py
+++ b/runloft/agreement/codec.py
@@ -9,34 +9,34 @@
 from typing import Any
 
 from runloft.agreement.content import ContentError, content_from
-from runloft.agreement.records import Force, Lease, RecordError, Stage, Verdict
+from runloft.agreement.records import CommittedGeneration, Lease, RecordError, Stage, Verdict
 
 FORMAT = 1
 LEASE_FORMAT = 2  # 1 had no fence and ran out by the store's clock: whoever writes it can't be left out
 
 
-def encode_force(force: Force) -> str:
+def encode_committed(committed: CommittedGeneration) -> str:
     """Return the stored text of a committed generation."""
     return _encode(
         {
             "format": FORMAT,
-            "generation": force.generation,
-            "content": force.content.as_json(),
-            "at_ns": force.at_ns,
-            "before": force.before.as_json() if force.before else None,
-            "token": force.token,
-            "by": force.by,
-            "era": force.era,
+            "generation": committed.generation,
+            "content": committed.content.as_json(),
+            "at_ns": committed.at_ns,
+            "before": committed.before.as_json() if committed.before else None,
+            "token": committed.token,
+            "by": committed.by,
+            "era": committed.era,
         }
     )
 
 
-def decode_force(text: str | bytes) -> Force:
+def decode_committed(text: str | bytes) -> CommittedGeneration:
     """Return the committed generation that a text holds; raise RecordError if it holds none."""
     raw = _decode(text, FORMAT)
     try:
         before = raw["before"]
-        return Force(
+        return CommittedGeneration(
             generation=int(raw["generation"]),
             content=content_from(raw["content"]),
             at_ns=int(raw["at_ns"]),
--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -18,7 +18,7 @@
 from runloft.agreement.content import Content
 from runloft.agreement.fencing import over_ns
 from runloft.agreement.member import CloseEpoch, OpenEpoch
-from runloft.agreement.records import View
+from runloft.agreement.records import StoreView
 from runloft.agreement.rollout import (
     CommitGeneration,
     DropStage,
@@ -126,11 +126,11 @@
         return 1
 
     async def act(store: AgreementStore, fence_ns: int) -> int:
-        force = (await store.view()).force
-        if force is None or force.before is None:
+        committed = (await store.view()).committed
+        if committed is None or committed.before is None:
             print("runloft: there is no generation before the one in force", file=sys.stderr)
             return 1
-        return await roll_out(store, ways(fleet, force.before), options.json, fence_ns=fence_ns)
+        return await roll_out(store, ways(fleet, committed.before), options.json, fence_ns=fence_ns)
 
     return _with_store(options, act)
 
@@ -171,10 +171,10 @@
                         print(f"{time.monotonic() - began:7.3f} s  {text}", flush=True)
                 case PutStage():
                     done = await store.put_stage(effect)
-                    await carry_out(out.staged(done, time.monotonic_ns()))
+                    await carry_out(out.handle_stage_result(done, time.monotonic_ns()))
                 case CommitGeneration():
-                    done = await store.put_force(effect)
-                    await carry_out(out.committed(done, time.monotonic_ns()))
+                    done = await store.commit_generation(effect)
+                    await carry_out(out.handle_commit_result(done, time.monotonic_ns()))
                 case DropStage():
                     await store.drop_stage(effect)
                 case OpenEpoch():
@@ -217,28 +217,28 @@
 async def _status(store: AgreementStore, as_json: bool) -> int:
     view = await store.view()
     rows = status_rows(view, store.lease_ms * 1_000_000)
-    force = view.force
+    committed = view.committed
     if as_json:
         keys = ("sidecar", "state", "generation", "since", "differences", "held")
         named = [dict(zip(keys, row, strict=True)) for row in rows]
-        generation = force.generation if force else 0
+        generation = committed.generation if committed else 0
         staged = {"generation": view.stage.generation, "by": view.stage.by} if view.stage else None
         print(json.dumps({"generation": generation, "staged": staged, "sidecars": named}, indent=1))
         return 0
-    if force is None:
+    if committed is None:
         print("nothing is in force")
     else:
-        wait = (force.at_ns - view.now_ns) / 1e9
+        wait = (committed.at_ns - view.now_ns) / 1e9
         when = f" in {wait:.1f} s" if wait > 0 else ""
-        by = f", brought by {force.by}" if force.by else ""
-        print(f"generation {force.generation} ({force.content.digest}) is in force{when}{by}")
+        by = f", brought by {committed.by}" if committed.by else ""
+        print(f"generation {committed.generation} ({committed.content.digest}) is in force{when}{by}")
     if view.stage:
         print(f"generation {view.stage.generation} is staged by {view.stage.by}")
     table("Sidecars", ("sidecar", "state", "generation", "since", "differs", "held"), rows)
     return 0
 
 
-def status_rows(view: View, lease_ns: int) -> list[tuple[str, str, str, str, str, str]]:
+def status_rows(view: StoreView, lease_ns: int) -> list[tuple[str, str, str, str, str, str]]:
     """Give a row for each sidecar that is known; who is silent is told by the store's clock here."""
     rows = []
     for name in sorted(view.names):
@@ -246,7 +246,7 @@
         if lease is None:
             rows.append((name, "unknown", "", "", "", ""))
             continue
-        agrees = view.force is not None and lease.serves == view.force.name
+        agrees = view.committed is not None and lease.serves == view.committed.name
         state = ("agrees" if lease.reserves else "unreserved") if agrees else "changing"
         if view.now_ns - lease.heard_ns > lease_ns:
             state = "silent"
--- a/runloft/agreement/local_snapshot.py
+++ b/runloft/agreement/local_snapshot.py
@@ -16,8 +16,8 @@
 
 import structlog
 
-from runloft.agreement.codec import decode_force, encode_force
-from runloft.agreement.records import Force, RecordError
+from runloft.agreement.codec import decode_committed, encode_committed
+from runloft.agreement.records import CommittedGeneration, RecordError
 
 log = structlog.get_logger()
 FORMAT = b"runloft-copy-2\n"
@@ -39,7 +39,7 @@
 class Copy:
     """What was in force when it was kept, and how long ago that is."""
 
-    force: Force
+    committed: CommittedGeneration
     age_s: float
 
 
@@ -73,10 +73,10 @@
         self.path, self.name = Path(directory) / f"{name}.copy", name
         self.unix_ns, self.boot = unix_ns, boot
 
-    def keep(self, force: Force) -> None:
+    def keep(self, committed: CommittedGeneration) -> None:
         """Write it, whole or not at all; CopyError where it can't be written."""
         boot = self.boot()
-        record = {"name": self.name, "at_ns": self.unix_ns(), "force": encode_force(force)}
+        record = {"name": self.name, "at_ns": self.unix_ns(), "force": encode_committed(committed)}
         if boot is not None:
             record |= {"boot": boot.boot, "boot_ns": boot.since_ns}
         body = json.dumps(record).encode()
@@ -132,7 +132,7 @@
                 error = caught
         if not found and error is not None:
             raise CopyError(f"{self.path}: no whole copy is left in it: {error}")
-        return max(found, key=lambda copy: copy.force.rank) if found else None
+        return max(found, key=lambda copy: copy.committed.rank) if found else None
 
     def _parse(self, data: bytes) -> Copy:
         sum_, _, body = data.partition(b"\n")
@@ -142,7 +142,7 @@
             raw = json.loads(body)
             if raw["name"] != self.name:
                 raise CopyError(f"{self.path}: it is {raw['name']}'s")
-            return Copy(decode_force(raw["force"]), self._age_s(raw))
+            return Copy(decode_committed(raw["force"]), self._age_s(raw))
         except (KeyError, TypeError, ValueError, RecordError) as error:
             raise CopyError(f"{self.path}: {error!r}") from None
 
@@ -162,7 +162,7 @@
 
     def __init__(self, copy: LocalCopy) -> None:
         self.copy, self.failures = copy, 0
-        self._wanted: Force | None = None
+        self._wanted: CommittedGeneration | None = None
         self._changed = threading.Condition()
         self._thread: threading.Thread | None = None
         self._stopped = False
@@ -172,10 +172,10 @@
         """Whether what was to be kept is not written yet."""
         return self._wanted is not None
 
-    def keep(self, force: Force) -> None:
+    def keep(self, committed: CommittedGeneration) -> None:
         """Have it written; what was waiting to be written before is out of date."""
         with self._changed:
-            self._wanted = force
+            self._wanted = committed
             self._changed.notify()
         if self._thread is None:
             self._thread = threading.Thread(target=self._run, name="copy", daemon=True)
@@ -197,10 +197,10 @@
             with self._changed:
                 while self._wanted is None and not self._stopped:
                     self._changed.wait()
-                force = self._wanted
-            if force is None:
+                committed = self._wanted
+            if committed is None:
                 return
-            if self._written(force):
+            if self._written(committed):
                 wait = RETRY_LEAST_S
                 continue
             with self._changed:
@@ -209,15 +209,15 @@
                 self._changed.wait(wait)
             wait = min(2 * wait, RETRY_MOST_S)
 
-    def _written(self, force: Force) -> bool:
+    def _written(self, committed: CommittedGeneration) -> bool:
         try:
-            self.copy.keep(force)
+            self.copy.keep(committed)
         except CopyError as error:
             self.failures += 1
             log.warning("no local copy was kept, it is tried again", error=str(error))
             return False
         with self._changed:
-            if self._wanted is force:
+            if self._wanted is committed:
                 self._wanted = None
         return True
 
--- a/runloft/agreement/member.py
+++ b/runloft/agreement/member.py
@@ -15,7 +15,7 @@
 
 from runloft.agreement.content import Content, completed
 from runloft.agreement.fencing import Stillness, over_ns
-from runloft.agreement.records import Force, Lease, Stage, Verdict, View, rank_of
+from runloft.agreement.records import CommittedGeneration, Lease, Stage, StoreView, Verdict, rank_of
 
 BEATS = 4  # exchanges in the time of a lease
 HASTE = 4  # after a failed exchange the next one comes this many times sooner, after each further one half so
@@ -33,14 +33,14 @@
 class RepairStore:
     """Put what is in force back into a store that has lost it, unless it holds a higher one by now."""
 
-    force: Force
+    committed: CommittedGeneration
 
 
 @dataclass(frozen=True, slots=True)
 class Bootstrap:
     """Put a first generation into a store that has none; should another be first, that one stands."""
 
-    force: Force
+    committed: CommittedGeneration
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 class PersistSnapshot:
     """Keep a copy on this machine."""
 
-    force: Force
+    committed: CommittedGeneration
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
 class AddOwnEntries:
     """Add this sidecar's own volumes, plans and classes to a generation that no roll-out brought."""
 
-    force: Force
+    committed: CommittedGeneration
     expects: tuple[int, int, str]
 
 
@@ -110,7 +110,7 @@
     ) -> None:
         self.name, self.incarnation, self.own = name, incarnation, own
         self.lease_ns, self.fence_ns, self.refuses = lease_ns, fence_ns, refuses
-        self.force: Force | None = None  # the highest generation heard of
+        self.committed: CommittedGeneration | None = None  # the highest generation heard of
         self.served: tuple[int, str] = (0, own.digest)  # what is gone by: generation, digest
         self.content: Content | None = None  # what is gone by; None: the own file
         self.change_at: int | None = None  # own clock: when ``force`` comes into force
@@ -141,20 +141,20 @@
         times = (self.next_beat, self.change_at, self.reserves_until)
         return min(time for time in times if time is not None)
 
-    def remember(self, force: Force, age_s: float, now: int) -> list[Effect]:
+    def remember(self, committed: CommittedGeneration, age_s: float, now: int) -> list[Effect]:
         """Begin with the copy that this machine kept, and without its reserves until the store is heard.
 
         A change that was foreseen in it has come by now: nobody who restarts can know otherwise, and
         the others change within a lease.
         """
-        self.copy_age_s, self.force = age_s, force
-        effects: list[Effect] = [LogEvent("from copy", force.generation, f"{age_s:.0f} s old")]
+        self.copy_age_s, self.committed = age_s, committed
+        effects: list[Effect] = [LogEvent("from copy", committed.generation, f"{age_s:.0f} s old")]
         return effects + self._adopt(now)
 
     def own_changed(self, own: Content) -> None:
         """Heed a new file of this sidecar's."""
         self.own = own
-        if self.force is None:
+        if self.committed is None:
             self.served = (0, own.digest)
 
     def settled(self, differences: int, held: int) -> None:
@@ -201,22 +201,24 @@
         self.next_beat = min(self.next_beat, now + wait)
         return []
 
-    def seen(self, view: View, now: int) -> list[Effect]:
+    def seen(self, view: StoreView, now: int) -> list[Effect]:
         """Heed what the store holds."""
         effects: list[Effect] = []
         if self._cut_off or self.heard_at is None:
-            effects.append(LogEvent("connected", view.force.generation if view.force else 0))
+            effects.append(LogEvent("connected", view.committed.generation if view.committed else 0))
         self._cut_off, self.heard_at, self._heard_ns, self._failures = False, now, view.now_ns, 0
         self._heard += 1
         effects += self._eras(view, now)
-        effects += self._empty(now) if view.force is None else self._told(view.force, view.now_ns, now)
+        effects += (
+            self._empty(now) if view.committed is None else self._told(view.committed, view.now_ns, now)
+        )
         effects = self._renewed(view, effects)
         effects += self._answered(view.stage, now)
         return effects
 
-    def _eras(self, view: View, now: int) -> list[Effect]:
+    def _eras(self, view: StoreView, now: int) -> list[Effect]:
         """Heed a store that has begun anew: its answers renew no lease until the old ones are over."""
-        highest = rank_of(self.force)[0]
+        highest = rank_of(self.committed)[0]
         if not view.era or view.era < highest:
             return [OpenEpoch(max(view.now_ns, highest, self.era) + 1, view.era)]
         lasted = self._fresh.lasts(view.era, now)
@@ -227,13 +229,13 @@
             return [CloseEpoch(view.era)]
         return []
 
-    def _renewed(self, view: View, effects: list[Effect]) -> list[Effect]:
+    def _renewed(self, view: StoreView, effects: list[Effect]) -> list[Effect]:
         """Hold the reserves for a fence's time from the question on, where the answer allows it."""
-        force = self.force
-        if force is None or view.era != self.era or not force.era <= view.era:
+        committed = self.committed
+        if committed is None or view.era != self.era or not committed.era <= view.era:
             return effects
-        foreseen_only = self.change_at is not None and force.before is None  # nothing is in force yet
-        if rank_of(view.force) == force.rank and not foreseen_only:
+        foreseen_only = self.change_at is not None and committed.before is None  # nothing is in force yet
+        if rank_of(view.committed) == committed.rank and not foreseen_only:
             before, self.reserves_until = self.reserves, self._asked_at + self.fence_ns
             if not before:
                 effects = [*self._with_reserves(effects), LogEvent("reserves", self.served[0])]
@@ -249,60 +251,60 @@
 
     def _empty(self, now: int) -> list[Effect]:
         """Put back what is known; else, when nobody has done so for a lease, begin with the own file."""
-        if self.force is not None:
-            return [RepairStore(self.force), LogEvent("restored", self.force.generation)]
+        if self.committed is not None:
+            return [RepairStore(self.committed), LogEvent("restored", self.committed.generation)]
         if self.empty_since is None:
             self.empty_since = now
         if now - self.empty_since < self.lease_ns:
             return []
         # Looked at again a lease later: another may have been first, which the next view shows.
         self.empty_since = now
-        return [Bootstrap(Force(1, self.own, by=self.name))]
-
-    def _told(self, force: Force, store_now: int, now: int) -> list[Effect]:
-        if self.force is not None and force.rank <= self.force.rank:
-            if force.rank < self.force.rank:
-                return [RepairStore(self.force), LogEvent("restored", self.force.generation)]
-            return self._extended(force)
-        self.force = force
-        effects: list[Effect] = [PersistSnapshot(force)]
+        return [Bootstrap(CommittedGeneration(1, self.own, by=self.name))]
+
+    def _told(self, committed: CommittedGeneration, store_now: int, now: int) -> list[Effect]:
+        if self.committed is not None and committed.rank <= self.committed.rank:
+            if committed.rank < self.committed.rank:
+                return [RepairStore(self.committed), LogEvent("restored", self.committed.generation)]
+            return self._extended(committed)
+        self.committed = committed
+        effects: list[Effect] = [PersistSnapshot(committed)]
         # Guards against clocks that step: never more than a lease from now, and not looked at again.
-        wait = min(max(0, force.at_ns - store_now), self.lease_ns)
+        wait = min(max(0, committed.at_ns - store_now), self.lease_ns)
         if wait == 0:
-            return effects + self._adopt(now, store_now) + self._extended(force)
+            return effects + self._adopt(now, store_now) + self._extended(committed)
         self.change_at = now + wait
-        effects.append(LogEvent("change foreseen", force.generation, f"in {wait / 1e9:.3f} s"))
-        before = force.generation - 1, force.before.digest if force.before else ""
-        if force.before is not None and self.served != before:
+        effects.append(LogEvent("change foreseen", committed.generation, f"in {wait / 1e9:.3f} s"))
+        before = committed.generation - 1, committed.before.digest if committed.before else ""
+        if committed.before is not None and self.served != before:
             # Until then the one before is in force, here too, whatever this sidecar came with.
-            self.served, self.content = before, force.before
-            effects.append(ApplyConfig(force.before, before[0], self.reserves))
+            self.served, self.content = before, committed.before
+            effects.append(ApplyConfig(committed.before, before[0], self.reserves))
         return effects
 
-    def _extended(self, force: Force) -> list[Effect]:
+    def _extended(self, committed: CommittedGeneration) -> list[Effect]:
         """Ask for what is missing, where no roll-out has said what there is to be."""
-        if force.token or self.change_at is not None:
+        if committed.token or self.change_at is not None:
             return []
-        content = completed(force.content, self.own)
-        if content is force.content:
+        content = completed(committed.content, self.own)
+        if content is committed.content:
             return []
-        wanted = Force(force.generation + 1, content, by=self.name, era=force.era)
-        return [AddOwnEntries(wanted, force.rank), LogEvent("added to", wanted.generation)]
+        wanted = CommittedGeneration(committed.generation + 1, content, by=self.name, era=committed.era)
+        return [AddOwnEntries(wanted, committed.rank), LogEvent("added to", wanted.generation)]
 
     def _content(self) -> Content:
         """Give what is in force: where no roll-out spoke, own volumes that nobody claimed are served."""
-        assert self.force is not None
-        return self.force.content if self.force.token else completed(self.force.content, self.own)
+        assert self.committed is not None
+        return self.committed.content if self.committed.token else completed(self.committed.content, self.own)
 
     def _adopt(self, now: int, store_now: int = 0) -> list[Effect]:
-        assert self.force is not None
+        assert self.committed is not None
         self.change_at = None
-        self.served = (self.force.generation, self.force.content.digest)
-        self._since_store = store_now or self.force.at_ns
+        self.served = (self.committed.generation, self.committed.content.digest)
+        self._since_store = store_now or self.committed.at_ns
         self.next_beat = min(self.next_beat, now)  # the change is told at once
         self.content = self._content()
-        adopted = ApplyConfig(self.content, self.force.generation, self.reserves)
-        return [adopted, LogEvent("in force", self.force.generation)]
+        adopted = ApplyConfig(self.content, self.committed.generation, self.reserves)
+        return [adopted, LogEvent("in force", self.committed.generation)]
 
     def _answered(self, stage: Stage | None, now: int) -> list[Effect]:
         """Answer a stage once; the answer goes with every exchange until another stage is there."""
@@ -312,7 +314,7 @@
         if self.verdict is not None and self.verdict.token == stage.token:
             return []
         found = self.refuses(stage.content)
-        era, mine, _ = rank_of(self.force)
+        era, mine, _ = rank_of(self.committed)
         if (stage.era, stage.generation) <= (era, mine):
             found = [f"generation {stage.generation} is staged, and {mine} was in force here", *found]
         self.verdict = Verdict(self.name, self.incarnation, stage.token, tuple(found[:8]))
--- a/runloft/agreement/records.py
+++ b/runloft/agreement/records.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Force:
+class CommittedGeneration:
     """A generation in force from ``at_ns`` of the store's time on; until then, the one before it."""
 
     generation: int
@@ -36,9 +36,9 @@
         return self.generation, self.content.digest
 
 
-def rank_of(force: Force | None) -> Rank:
+def rank_of(committed: CommittedGeneration | None) -> Rank:
     """Give the rank of what is in force, or of nothing."""
-    return force.rank if force is not None else NOTHING
+    return committed.rank if committed is not None else NOTHING
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,11 +103,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class StoreView:
     """What one exchange with the store showed, at one instant of its time."""
 
     now_ns: int
-    force: Force | None = None
+    committed: CommittedGeneration | None = None
     stage: Stage | None = None
     names: frozenset[str] = frozenset()  # every sidecar known; told to the tool alone, as the next two
     leases: dict[str, Lease] = field(default_factory=dict)
@@ -121,7 +121,7 @@
 
     def behind(self) -> set[str]:
         """Give those that serve by something else than what is in force."""
-        if self.force is None:
+        if self.committed is None:
             return set()
-        name = self.force.name
+        name = self.committed.name
         return {sidecar for sidecar, lease in self.leases.items() if lease.serves != name}
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -15,7 +15,7 @@
 from runloft.agreement.content import Content
 from runloft.agreement.fencing import Stillness, over_ns
 from runloft.agreement.member import CloseEpoch, OpenEpoch
-from runloft.agreement.records import Force, Lease, Mark, Rank, Stage, View, rank_of
+from runloft.agreement.records import CommittedGeneration, Lease, Mark, Rank, Stage, StoreView, rank_of
 
 PATIENCE = 4  # leases: for answers, and for all to have changed
 
@@ -50,7 +50,7 @@
     store within a lease of it has been told.
     """
 
-    force: Force
+    committed: CommittedGeneration
     expects: Rank
     names: frozenset[str]
     in_ns: int
@@ -102,8 +102,8 @@
         self.unheard: frozenset[str] = frozenset()  # had not changed when patience ended
         self.left_out: set[str] = set()  # were silent
         self.era = 0  # of the store in which it is carried out
-        self.base: Force | None = None
-        self.wanted: Force | None = None
+        self.base: CommittedGeneration | None = None
+        self.wanted: CommittedGeneration | None = None
         self.step = 0
         self.renewed_at = now
         self._era, self._force = Stillness(), Stillness()
@@ -122,9 +122,9 @@
     def _stage_token(self) -> str:
         return f"{self.token}.{self.step}"
 
-    def seen(self, view: View, now: int) -> list[Effect]:
+    def seen(self, view: StoreView, now: int) -> list[Effect]:
         """Heed what the store holds; asked for again and again until it is over."""
-        self._in_force = self._force.lasts((rank_of(view.force), view.era), now)
+        self._in_force = self._force.lasts((rank_of(view.committed), view.era), now)
         for name, lease in view.leases.items():
             self._deaf[name] = self._hearing.setdefault(name, Stillness()).lasts(lease.hearing, now)
             self._mute[name] = self._marks.setdefault(name, Stillness()).lasts(lease.mark, now)
@@ -139,7 +139,7 @@
                 return self._changing(view, now)
         return []
 
-    def staged(self, done: bool, now: int) -> list[Effect]:
+    def handle_stage_result(self, done: bool, now: int) -> list[Effect]:
         """Heed whether the stage was put."""
         if self.phase is Phase.STAGING and done:
             self._to(Phase.ASKING, now)
@@ -147,7 +147,7 @@
             return self._stop("another roll-out is under way, or another generation came into force")
         return []
 
-    def committed(self, done: bool, now: int) -> list[Effect]:
+    def handle_commit_result(self, done: bool, now: int) -> list[Effect]:
         """Heed whether it was brought into force; a lost reply tells nothing, the next view does."""
         if self.phase is Phase.COMMITTING:
             self._to(Phase.CHANGING if done else Phase.ASKING, now)
@@ -171,27 +171,27 @@
         self.phase, self.why = Phase.STOPPED, why
         return [DropStage(self._stage_token)] if staged else []
 
-    def _begin(self, view: View, now: int) -> list[Effect]:
-        if self.step and (view.force is None or view.force.token != f"{self.token}.{self.step - 1}"):
+    def _begin(self, view: StoreView, now: int) -> list[Effect]:
+        if self.step and (view.committed is None or view.committed.token != f"{self.token}.{self.step - 1}"):
             return self._stop("another generation came into force between two steps")
-        self.base = view.force
-        if not view.era or view.era < rank_of(view.force)[0]:
-            era = max(view.now_ns, rank_of(view.force)[0]) + 1
+        self.base = view.committed
+        if not view.era or view.era < rank_of(view.committed)[0]:
+            era = max(view.now_ns, rank_of(view.committed)[0]) + 1
             return [OpenEpoch(era, view.era)] if now - self.since <= self._patience else self._stop("no era")
         if self._era.lasts(view.era, now) < over_ns(self.fence_ns) and not view.settled:
             return []  # the store has begun anew: who was cut off may hold a lease of what it was
         settle: list[Effect] = [] if view.settled else [CloseEpoch(view.era)]
-        if view.force is not None and view.force.at_ns > view.now_ns:
+        if view.committed is not None and view.committed.at_ns > view.now_ns:
             if now - self.since > self._patience:
                 return self._stop("the generation before has not come into force")
             return []  # it is on its way: a third at once is never served
         if self.step == 0:
             try:
-                self.steps = self.plan(view.force.content if view.force else None)
+                self.steps = self.plan(view.committed.content if view.committed else None)
             except CanNotError as error:
                 return self._stop(str(error))
         content = self.steps[self.step]
-        if view.force is not None and view.force.content.digest == content.digest:
+        if view.committed is not None and view.committed.content.digest == content.digest:
             return self._next(now)
         if view.stage is not None and not view.stage.token.startswith(f"{self.token}."):
             return self._stop(f"another roll-out is under way, by {view.stage.by}")
@@ -200,7 +200,7 @@
         self.era = view.era
         stage = self._stage(content)
         staged = ReportProgress(f"staged as generation {stage.generation}")
-        return [*settle, PutStage(stage, rank_of(view.force)), staged]
+        return [*settle, PutStage(stage, rank_of(view.committed)), staged]
 
     @property
     def _patience(self) -> int:
@@ -221,9 +221,9 @@
     def _abreast(self, lease: Lease) -> bool:
         return self.base is not None and lease.serves == self.base.name
 
-    def _asked(self, view: View, now: int) -> list[Effect]:
+    def _asked(self, view: StoreView, now: int) -> list[Effect]:
         content, rank = self.steps[self.step], rank_of(self.base)
-        if rank_of(view.force) != rank or view.era != self.era:
+        if rank_of(view.committed) != rank or view.era != self.era:
             return self._stop("another generation came into force, or the store has begun anew")
         token = self._stage_token
         if view.stage is not None and view.stage.token != token:
@@ -255,7 +255,7 @@
             return [PutStage(self._stage(content), rank)]
         before = self.base.content if self.base else None
         generation = (self.base.generation if self.base else 0) + 1
-        self.wanted = Force(generation, content, 0, before, token, self.by, self.era)
+        self.wanted = CommittedGeneration(generation, content, 0, before, token, self.by, self.era)
         self._to(Phase.COMMITTING, now)
         self.left_out |= left_out.keys()
         names = frozenset(view.names)
@@ -267,27 +267,27 @@
             ReportProgress(said),
         ]
 
-    def _unsure(self, view: View, now: int) -> list[Effect]:
+    def _unsure(self, view: StoreView, now: int) -> list[Effect]:
         """Find out what became of a commit whose reply was lost."""
-        if view.force is not None and view.force.token == self._stage_token:
+        if view.committed is not None and view.committed.token == self._stage_token:
             self._to(Phase.CHANGING, now)
             return self._changing(view, now)
-        if rank_of(view.force) == rank_of(self.base):
+        if rank_of(view.committed) == rank_of(self.base):
             self._to(Phase.ASKING, now)
             return self._asked(view, now)
         self.phase, self.why = Phase.STOPPED, "another generation came into force"
         return []
 
-    def _changing(self, view: View, now: int) -> list[Effect]:
+    def _changing(self, view: StoreView, now: int) -> list[Effect]:
         assert self.wanted is not None
-        if view.force is not None and view.force.rank > self.wanted.rank:
+        if view.committed is not None and view.committed.rank > self.wanted.rank:
             return self._next(now)  # somebody has gone on from it
         late = {
             name
             for name, lease in view.leases.items()
             if lease.serves != self.wanted.name and self._deaf[name] < self.lease_ns
         }
-        changed = view.force is not None and view.now_ns >= view.force.at_ns
+        changed = view.committed is not None and view.now_ns >= view.committed.at_ns
         if changed and not late:
             return self._next(now)
         if now - self.since > self._patience + self.lease_ns:
@@ -299,8 +299,8 @@
         return []
 
     def _next(self, now: int) -> list[Effect]:
-        force = self.wanted or self.base
-        said = ReportProgress(f"generation {force.generation if force else 0} is in force")
+        committed = self.wanted or self.base
+        said = ReportProgress(f"generation {committed.generation if committed else 0} is in force")
         self.step += 1
         self.wanted = None
         if self.step >= len(self.steps):
--- a/runloft/agreement/store.py
+++ b/runloft/agreement/store.py
@@ -22,21 +22,21 @@
 from redis.exceptions import RedisError, WatchError
 
 from runloft.agreement.codec import (
-    decode_force,
+    decode_committed,
     decode_lease,
     decode_stage,
     decode_verdict,
-    encode_force,
+    encode_committed,
     encode_lease,
     encode_stage,
     encode_verdict,
 )
 from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
 from runloft.agreement.records import (
-    Force,
+    CommittedGeneration,
     Lease,
     RecordError,
-    View,
+    StoreView,
     rank_of,
 )
 from runloft.agreement.rollout import CommitGeneration, DropStage, PutStage
@@ -78,11 +78,11 @@
         """Close its connections."""
         await self._redis.aclose()
 
-    async def exchange(self, effect: Exchange) -> View:
+    async def exchange(self, effect: Exchange) -> StoreView:
         """Write a lease and read what a sidecar needs, in one round trip."""
         lease, verdict = effect.lease, effect.verdict
 
-        async def ask() -> View:
+        async def ask() -> StoreView:
             pipe = self._redis.pipeline(transaction=False)
             # Written before anything is read: who is told what is in force is known by then.
             pipe.set(self._key(f"lease:{lease.name}"), encode_lease(lease))
@@ -113,14 +113,14 @@
         for name in ("era", "force:rank", "stage:token"):
             pipe.get(self._key(name))
 
-    async def _view(self, read: list[Any]) -> View:
+    async def _view(self, read: list[Any]) -> StoreView:
         clock, era, rank, token = read
         if rank is not None:
             self._assemble(rank)
-        force = await self._held("force", rank, decode_force)
+        committed = await self._held("force", rank, decode_committed)
         stage = await self._held("stage", token, decode_stage)
         number, settled = _era(era)
-        return View(_time(clock), force, stage, era=number, settled=settled)
+        return StoreView(_time(clock), committed, stage, era=number, settled=settled)
 
     def _assemble(self, mark: bytes) -> None:
         """Make what is in force of its stage and of what was in force before, where both were read.
@@ -132,14 +132,16 @@
         if last is None or last[0] == mark or stage is None or len(words) != len(MARK):
             return
         staged, old, at_ns = stage[1], last[1].content, words[4]
-        force = Force(staged.generation, staged.content, 0, old, staged.token, staged.by, staged.era)
-        if at_ns.isdigit() and mark == _mark(force := replace(force, at_ns=int(at_ns))):
-            self._known["force"] = mark, force
+        committed = CommittedGeneration(
+            staged.generation, staged.content, 0, old, staged.token, staged.by, staged.era
+        )
+        if at_ns.isdigit() and mark == _mark(committed := replace(committed, at_ns=int(at_ns))):
+            self._known["force"] = mark, committed
 
-    async def view(self) -> View:
+    async def view(self) -> StoreView:
         """Read all there is, for the tool."""
 
-        async def ask() -> View:
+        async def ask() -> StoreView:
             pipe = self._redis.pipeline(transaction=True)
             pipe.smembers(self._key("names"))
             pipe.hgetall(self._key("verdicts"))
@@ -179,17 +181,17 @@
         """Put back what the store has lost, unless it holds a higher one."""
 
         async def change(pipe: Any) -> bool:
-            if rank_of(await self._force(pipe)) >= effect.force.rank:
+            if rank_of(await self._force(pipe)) >= effect.committed.rank:
                 return False
             pipe.multi()
-            self._put(pipe, effect.force)
+            self._put(pipe, effect.committed)
             return True
 
         await self._changed(change, "force")
 
-    def _put(self, pipe: Any, force: Force) -> None:
-        pipe.set(self._key("force"), encode_force(force))
-        pipe.set(self._key("force:rank"), _mark(force))
+    def _put(self, pipe: Any, committed: CommittedGeneration) -> None:
+        pipe.set(self._key("force"), encode_committed(committed))
+        pipe.set(self._key("force:rank"), _mark(committed))
 
     async def found(self, effect: Bootstrap) -> None:
         """Put a first generation, where there is none."""
@@ -198,7 +200,7 @@
             if await pipe.exists(self._key("force")):
                 return False
             pipe.multi()
-            self._put(pipe, effect.force)
+            self._put(pipe, effect.committed)
             return True
 
         await self._changed(change, "force")
@@ -210,7 +212,7 @@
             if rank_of(await self._force(pipe)) != effect.expects:
                 return False
             pipe.multi()
-            self._put(pipe, effect.force)
+            self._put(pipe, effect.committed)
             return True
 
         return await self._changed(change, "force")
@@ -231,25 +233,25 @@
 
         return await self._changed(change, "force", "stage")
 
-    async def put_force(self, effect: CommitGeneration) -> bool:
+    async def commit_generation(self, effect: CommitGeneration) -> bool:
         """Bring into force, if all is as it was when the last answer was read."""
 
         async def change(pipe: Any) -> bool:
             held = await pipe.get(self._key("stage"))
-            staged = held is not None and decode_stage(held).token == effect.force.token
+            staged = held is not None and decode_stage(held).token == effect.committed.token
             names = frozenset(map(_text, await pipe.smembers(self._key("names"))))
             out = await self._leases(pipe, effect.left_out.keys() | effect.fenced.keys())
             moved = any(name not in out or out[name].hearing != was for name, was in effect.left_out.items())
             moved |= any(name not in out or out[name].mark != was for name, was in effect.fenced.items())
             if not staged or names != effect.names or moved:
                 return False
-            if _era(await pipe.get(self._key("era")))[0] != effect.force.era:
+            if _era(await pipe.get(self._key("era")))[0] != effect.committed.era:
                 return False
             if rank_of(await self._force(pipe)) != effect.expects:
                 return False
             at_ns = _time(await pipe.time()) + effect.in_ns
             pipe.multi()
-            self._put(pipe, replace(effect.force, at_ns=at_ns))
+            self._put(pipe, replace(effect.committed, at_ns=at_ns))
             pipe.delete(self._key("stage"), self._key("stage:token"))
             for name in sorted(effect.fenced):
                 self._drop(pipe, name)
@@ -304,9 +306,9 @@
 
         await self._changed(change, f"lease:{name}")
 
-    async def _force(self, pipe: Any) -> Force | None:
+    async def _force(self, pipe: Any) -> CommittedGeneration | None:
         text = await pipe.get(self._key("force"))
-        return decode_force(text) if text is not None else None
+        return decode_committed(text) if text is not None else None
 
     async def _changed(self, change: Callable[[Any], Awaitable[bool]], *watched: str) -> bool:
         async def ask() -> bool:
@@ -334,9 +336,9 @@
             raise StoreError(f"the store holds what is not ours: {error}") from error
 
 
-def _mark(force: Force) -> bytes:
-    before = force.before.digest if force.before else ""
-    return " ".join(map(str, (*force.rank, force.token, force.at_ns, before))).encode()
+def _mark(committed: CommittedGeneration) -> bytes:
+    before = committed.before.digest if committed.before else ""
+    return " ".join(map(str, (*committed.rank, committed.token, committed.at_ns, before))).encode()
 
 
 def _text(value: bytes | str) -> str:
--- a/runloft/lab/running.py
+++ b/runloft/lab/running.py
@@ -22,7 +22,7 @@
 
 from runloft.agreement.commands import roll_out
 from runloft.agreement.planning import wanted, ways
-from runloft.agreement.records import View
+from runloft.agreement.records import StoreView
 from runloft.agreement.store import AgreementStore, StoreError
 from runloft.config.generating import Generator
 from runloft.config.records import Reader, raw_of
@@ -201,10 +201,10 @@
                 process.kill()
 
 
-def _settled(view: View, sidecars: int) -> bool:
+def _settled(view: StoreView, sidecars: int) -> bool:
     """Whether all are there and serve by what is in force."""
     reserving = sum(lease.reserves for lease in view.leases.values())
-    return view.force is not None and reserving >= sidecars and not view.behind()
+    return view.committed is not None and reserving >= sidecars and not view.behind()
 
 
 async def _rolled_out(scenario: Scenario, world: Fleet, files: dict[str, Path]) -> float:
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -11,11 +11,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
 from runloft.agreement.codec import (
-    decode_force,
+    decode_committed,
     decode_lease,
     decode_stage,
     decode_verdict,
-    encode_force,
+    encode_committed,
     encode_lease,
     encode_stage,
     encode_verdict,
@@ -43,12 +43,12 @@
 )
 from runloft.agreement.records import (
     NOTHING,
-    Force,
+    CommittedGeneration,
     Lease,
     RecordError,
     Stage,
+    StoreView,
     Verdict,
-    View,
 )
 from runloft.agreement.rollout import (
     CanNotError,
@@ -95,7 +95,7 @@
         self.empty()
 
     def empty(self):
-        self.force, self.stage, self.names = None, None, frozenset()
+        self.committed, self.stage, self.names = None, None, frozenset()
         self.leases, self.verdicts = {}, {}
         self.era, self.settled = 0, False
 
@@ -106,15 +106,15 @@
     def told(self):
         """What a sidecar is told: of no other one."""
         stage = self.stage[0] if self.stage and self.stage[1] > self.clock else None
-        return View(self.clock, self.force, stage, era=self.era, settled=self.settled)
+        return StoreView(self.clock, self.committed, stage, era=self.era, settled=self.settled)
 
     @property
     def rank(self):
-        return self.force.rank if self.force else NOTHING
+        return self.committed.rank if self.committed else NOTHING
 
     @property
     def name(self):
-        return self.force.name if self.force else (0, "")
+        return self.committed.name if self.committed else (0, "")
 
     def apply(self, effect):
         view = self.view()
@@ -129,27 +129,27 @@
                     self.era, self.settled = era, False
             case CloseEpoch(era):
                 self.settled = self.settled or self.era == era
-            case RepairStore(force):
-                if self.rank < force.rank:
-                    self.force = decode_force(encode_force(force))
-            case Bootstrap(force):
-                self.force = self.force or force
-            case AddOwnEntries(force, expects):
-                self.force = force if self.rank == expects else self.force
+            case RepairStore(committed):
+                if self.rank < committed.rank:
+                    self.committed = decode_committed(encode_committed(committed))
+            case Bootstrap(committed):
+                self.committed = self.committed or committed
+            case AddOwnEntries(committed, expects):
+                self.committed = committed if self.rank == expects else self.committed
             case PutStage(stage, expects):
                 if self.rank != expects or (view.stage and view.stage.token != stage.token):
                     return False
                 self.stage = stage, self.clock + 2 * LEASE
-            case CommitGeneration(force, expects, names, in_ns, left_out, fenced):
-                staged = view.stage is not None and view.stage.token == force.token
+            case CommitGeneration(committed, expects, names, in_ns, left_out, fenced):
+                staged = view.stage is not None and view.stage.token == committed.token
                 out = self.leases
                 moved = any(name not in out or out[name].hearing != was for name, was in left_out.items())
                 moved |= any(name not in out or out[name].mark != was for name, was in fenced.items())
                 if self.rank != expects or not staged or names != view.names or moved:
                     return False
-                if self.era != force.era:
+                if self.era != committed.era:
                     return False
-                self.force, self.stage = replace(force, at_ns=self.clock + in_ns), None
+                self.committed, self.stage = replace(committed, at_ns=self.clock + in_ns), None
                 self.names -= fenced.keys()
                 self.leases = {name: lease for name, lease in self.leases.items() if name not in fenced}
             case DropStage(token):
@@ -184,8 +184,8 @@
             match effect:
                 case ApplyConfig(content, _, reserves):
                     self.served, self.reserves = content, reserves
-                case PersistSnapshot(force):
-                    self.copy = decode_force(encode_force(force))
+                case PersistSnapshot(committed):
+                    self.copy = decode_committed(encode_committed(committed))
                 case Exchange():
                     arrives, replies = self.passes(chance)
                     if arrives:
@@ -219,9 +219,9 @@
                 if chance.random() < (0.5 if self.link == "half" else 0):
                     continue  # the reply was lost
                 if isinstance(effect, PutStage):
-                    self.heed(self.out.staged(done, now), store)
+                    self.heed(self.out.handle_stage_result(done, now), store)
                 elif isinstance(effect, CommitGeneration):
-                    self.heed(self.out.committed(done, now), store)
+                    self.heed(self.out.handle_commit_result(done, now), store)
 
     def heed(self, effects, store):
         for effect in effects:
@@ -255,7 +255,7 @@
     def check(self):
         alive = [s for s in self.sidecars if s.alive]
         for index, one in enumerate(alive):
-            rank = one.member.force.rank if one.member.force else NOTHING
+            rank = one.member.committed.rank if one.member.committed else NOTHING
             key = one.name, one.births
             assert rank >= self.ranks.get(key, NOTHING), "what is in force never goes back"
             self.ranks[key] = rank
@@ -273,8 +273,8 @@
         assert sum(most.values()) <= BEARS, "more reserved than can be honoured"
         # What no roll-out brought is one: files' figures, which agree as far as they meet.
         for sidecar in alive:
-            if sidecar.member.force and sidecar.member.force.token:
-                self.rolled.add(sidecar.member.force.name)
+            if sidecar.member.committed and sidecar.member.committed.token:
+                self.rolled.add(sidecar.member.committed.name)
         served = {s.member.served if s.member.served in self.rolled else None for s in under_lease}
         assert len(served) <= 2, "more than two generations"
 
@@ -295,7 +295,7 @@
         self.advance(40 * LEASE // TICK)
         assert len({s.member.served for s in self.sidecars}) == 1
         assert all(sidecar.reserves for sidecar in self.sidecars)
-        assert self.store.force is not None and self.store.name == self.sidecars[0].member.served
+        assert self.store.committed is not None and self.store.name == self.sidecars[0].member.served
         assert all(tool.out.over for tool in self.tools)
 
 
@@ -529,7 +529,7 @@
     one, store = world.sidecars[0].member, world.store
     until = one.reserves_until
     one.due(one.next_beat)
-    one.seen(replace(store.told(), force=None), world.now)
+    one.seen(replace(store.told(), committed=None), world.now)
     assert one.reserves_until == until
     one.seen(store.told(), world.now)
     assert one.reserves_until > until
@@ -541,7 +541,7 @@
     one.link = "down"
     one.start(world.now)
     world.advance(2 * LEASE // TICK)
-    assert one.member.force is not None and not one.reserves
+    assert one.member.committed is not None and not one.reserves
     one.link = "up"
     world.advance(LEASE // TICK)
     assert one.reserves
@@ -572,7 +572,7 @@
         one.link = "up"
     world.advance(2 * LEASE // TICK)
     assert {s.member.served for s in world.sidecars} == {world.store.name}
-    assert world.store.force.content == CHOICES[2]
+    assert world.store.committed.content == CHOICES[2]
 
 
 def test_a_sidecar_of_the_version_before_is_not_left_out():
@@ -588,7 +588,7 @@
     view = world.store.view()
     (stage, _) = tool.out.seen(view, world.now)
     assert world.store.apply(stage)
-    tool.out.staged(True, world.now)
+    tool.out.handle_stage_result(True, world.now)
     world.advance(10)  # all have answered
     world.sidecars[2].start(world.now)
     world.sidecars[2].member.refuses = lambda _: ["its file has changed"]
@@ -621,7 +621,7 @@
     assert {s.member.served for s in world.sidecars} == {world.store.name}
     assert world.store.view().stage is None
     if world.store.rank != before:
-        assert reserves(world.store.force.content) in (
+        assert reserves(world.store.committed.content) in (
             reserves(CHOICES[2]),
             reserves(between(CHOICES[0], CHOICES[2])),
         )
@@ -655,7 +655,7 @@
             if isinstance(effect, PutStage | CommitGeneration):
                 done = world.store.apply(effect)
                 if isinstance(effect, PutStage):
-                    tool.out.staged(done, world.now)
+                    tool.out.handle_stage_result(done, world.now)
     world.tools.append(tool)  # whether it was done has not been told to it
     world.advance(100)
     assert tool.out.phase is Phase.DONE and world.store.name == world.sidecars[0].member.served
@@ -690,7 +690,7 @@
 
     out = RollOut("t", "me", plan, LEASE, FENCE, 0)
     assert (
-        out.seen(View(1, era=1, settled=True), 0) == []
+        out.seen(StoreView(1, era=1, settled=True), 0) == []
         and out.phase is Phase.STOPPED
         and "bears 1" in out.why
     )
@@ -725,14 +725,14 @@
     "text", ["", "{", "[]", '{"format": 2}', '{"format": 1}', '{"format":1,"generation":"x"}']
 )
 def test_what_is_no_record_is_not_taken_for_one(text):
-    for read in (decode_force, decode_stage, decode_lease, decode_verdict):
+    for read in (decode_committed, decode_stage, decode_lease, decode_verdict):
         with pytest.raises(RecordError):
             read(text)
 
 
 def test_records_are_read_back_as_they_were_written():
-    force = Force(3, CHOICES[0], 5, CHOICES[1], "t.0", "me")
-    assert decode_force(encode_force(force)) == force
+    committed = CommittedGeneration(3, CHOICES[0], 5, CHOICES[1], "t.0", "me")
+    assert decode_committed(encode_committed(committed)) == committed
     stage = Stage("t.0", 4, CHOICES[1], "me")
     assert decode_stage(encode_stage(stage)) == stage
     lease = Lease("s", "i", 3, "d", "o", 1, 2, 9, 4.0, 5, 4, 6, 7, True)
--- a/tests/agreement/test_golden_sequences.py
+++ b/tests/agreement/test_golden_sequences.py
@@ -8,7 +8,7 @@
 import random
 import re
 
-from runloft.agreement.codec import encode_force, encode_lease, encode_stage, encode_verdict
+from runloft.agreement.codec import encode_committed, encode_lease, encode_stage, encode_verdict
 from runloft.agreement.member import (
     AddOwnEntries,
     ApplyConfig,
@@ -21,7 +21,7 @@
     PersistSnapshot,
     RepairStore,
 )
-from runloft.agreement.records import Force, Lease, Stage, Verdict, View
+from runloft.agreement.records import CommittedGeneration, Lease, Stage, StoreView, Verdict
 from runloft.agreement.rollout import CommitGeneration, DropStage, Phase, PutStage, ReportProgress, RollOut
 from tests.agreement.test_agreement import CHOICES, FENCE, LEASE, TICK, Tool, World, content
 
@@ -34,8 +34,8 @@
 
 def stored(record):
     match record:
-        case Force():
-            return encode_force(record)
+        case CommittedGeneration():
+            return encode_committed(record)
         case Stage():
             return encode_stage(record)
         case Lease():
@@ -56,9 +56,9 @@
         case Exchange():
             return [1, stored(effect.lease), stored(effect.verdict)]
         case RepairStore():
-            return [2, stored(effect.force)]
+            return [2, stored(effect.committed)]
         case Bootstrap():
-            return [3, stored(effect.force)]
+            return [3, stored(effect.committed)]
         case OpenEpoch():
             return [4, effect.era, effect.expects]
         case CloseEpoch():
@@ -66,17 +66,17 @@
         case ApplyConfig():
             return [6, effect.content.as_json(), effect.generation, effect.reserves]
         case PersistSnapshot():
-            return [7, stored(effect.force)]
+            return [7, stored(effect.committed)]
         case LogEvent():
             return [8, effect.event == FIRST_EVENT, effect.generation, re.findall(r"\d+", effect.detail)]
         case AddOwnEntries():
-            return [9, stored(effect.force), list(effect.expects)]
+            return [9, stored(effect.committed), list(effect.expects)]
         case PutStage():
             return [10, stored(effect.stage), list(effect.expects)]
         case CommitGeneration():
             return [
                 11,
-                stored(effect.force),
+                stored(effect.committed),
                 list(effect.expects),
                 sorted(effect.names),
                 effect.in_ns,
@@ -114,7 +114,7 @@
             replica.reserves,
             replica.connected(now),
             replica.change_at,
-            stored(replica.force),
+            stored(replica.committed),
             stored(replica.lease()),
         )
 
@@ -142,9 +142,9 @@
         monkeypatch.setattr(owner, name, call)
 
 
-def any_generation(chance, epoch):
+def any_committed(chance, epoch):
     token = chance.choice(("", "t.0", "t.1", "u.0"))
-    return Force(
+    return CommittedGeneration(
         chance.randrange(1, 6),
         chance.choice(CHOICES),
         chance.choice((0, chance.randrange(900_000, 1_100_000))),
@@ -171,7 +171,7 @@
     store_ahead = 1_000_000
     epoch, settled, generation, stage = 0, False, None, None
     if chance.random() < 0.4:
-        generation = any_generation(chance, 0)
+        generation = any_committed(chance, 0)
         recording.add_effects(replica.remember(generation, chance.randrange(0, 90) / 4, now))
     for _ in range(250):
         match chance.randrange(24):
@@ -181,7 +181,7 @@
             case 1 | 2:
                 settled = True
             case 3:
-                generation = chance.choice((None, any_generation(chance, chance.choice((0, epoch)))))
+                generation = chance.choice((None, any_committed(chance, chance.choice((0, epoch)))))
             case 4:
                 stage = chance.choice((None, any_stage(chance, epoch)))
             case 5:
@@ -201,7 +201,7 @@
             if chance.random() < 0.2:
                 recording.add_effects(replica.lost(now))
                 continue
-            view = View(now + store_ahead, generation, stage, era=epoch, settled=settled)
+            view = StoreView(now + store_ahead, generation, stage, era=epoch, settled=settled)
             answers = replica.seen(view, now)
             recording.add_effects(answers)
             for answer in answers:
@@ -211,7 +211,7 @@
                     case CloseEpoch() if chance.random() < 0.7:
                         settled = True
                     case RepairStore() | Bootstrap() | AddOwnEntries() if chance.random() < 0.7:
-                        generation = answer.force
+                        generation = answer.committed
         recording.add_replica(replica, now)
 
 
@@ -246,7 +246,7 @@
         world.advance(chance.randrange(80))
     world.settle()
     store = world.store
-    recording.add(stored(store.force), [stored(store.leases[name]) for name in sorted(store.leases)])
+    recording.add(stored(store.committed), [stored(store.leases[name]) for name in sorted(store.leases)])
     recording.add([stored(store.verdicts[name]) for name in sorted(store.verdicts)], store.era)
 
 
@@ -264,7 +264,7 @@
         recording.wrap(
             monkeypatch, Member, name, lambda replica, *rest: recording.add_replica(replica, rest[-1])
         )
-    for name in ("seen", "staged", "committed", "stopped"):
+    for name in ("seen", "handle_stage_result", "handle_commit_result", "stopped"):
         recording.wrap(monkeypatch, RollOut, name, lambda rollout, *_: recording.add_rollout(rollout))
     for seed in range(30):
         closed_loop_sequence(seed, recording)
--- a/tests/agreement/test_local_copy.py
+++ b/tests/agreement/test_local_copy.py
@@ -16,7 +16,7 @@
     LocalCopy,
     UnreadableCopyError,
 )
-from runloft.agreement.records import Force
+from runloft.agreement.records import CommittedGeneration
 
 ONE = Content({}, {"p": {"Parts": 1.0}}, {}, {})
 
@@ -39,7 +39,7 @@
 def test_a_copy_that_was_cut_off_ends_no_process(tmp_path, part):
     """The embedded store mapped the file: a page that was not there was a SIGBUS, at each start."""
     copy = LocalCopy(str(tmp_path), "s0")
-    copy.keep(Force(3, ONE))
+    copy.keep(CommittedGeneration(3, ONE))
 
     def read():
         os.truncate(copy.path, int(copy.path.stat().st_size * part))
@@ -70,28 +70,28 @@
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
 def test_a_write_that_fails_leaves_the_copy_before(tmp_path, monkeypatch, call, number):
     copy = LocalCopy(str(tmp_path), "s0")
-    copy.keep(Force(2, ONE))
+    copy.keep(CommittedGeneration(2, ONE))
     failing(monkeypatch, call, 1, number)
     with pytest.raises(CopyError):
-        copy.keep(Force(3, ONE))
-    assert copy.read().force.generation == 2
-    copy.keep(Force(3, ONE))
-    assert copy.read().force.generation == 3
+        copy.keep(CommittedGeneration(3, ONE))
+    assert copy.read().committed.generation == 2
+    copy.keep(CommittedGeneration(3, ONE))
+    assert copy.read().committed.generation == 3
 
 
 @pytest.mark.parametrize("call", ["fsync", "replace"])
 def test_a_kill_at_any_moment_of_a_write_leaves_one_of_the_two(tmp_path, monkeypatch, call):
     copy = LocalCopy(str(tmp_path), "s0")
-    copy.keep(Force(2, ONE))
+    copy.keep(CommittedGeneration(2, ONE))
 
     def killed():
         monkeypatch.setattr(os, call, lambda *_: os.kill(os.getpid(), 9))
-        copy.keep(Force(3, ONE))
+        copy.keep(CommittedGeneration(3, ONE))
 
     assert in_child(killed) == -9
-    assert copy.read().force.generation == 2
-    copy.keep(Force(4, ONE))  # over what the killed one left
-    assert copy.read().force.generation == 4
+    assert copy.read().committed.generation == 2
+    copy.keep(CommittedGeneration(4, ONE))  # over what the killed one left
+    assert copy.read().committed.generation == 4
 
 
 def test_a_failed_write_is_tried_again_and_only_the_newest_is_written(tmp_path, monkeypatch):
@@ -100,14 +100,14 @@
     failures = failing(monkeypatch, "fsync", 4)
     writer = CopyWriter(LocalCopy(str(tmp_path), "s0"))
     for generation in (2, 3, 4):
-        writer.keep(Force(generation, ONE))
+        writer.keep(CommittedGeneration(generation, ONE))
     writer.stop(10)
     if writer.is_behind:  # the end came between two tries
         again = CopyWriter(writer.copy)
         monkeypatch.undo()
-        again.keep(Force(4, ONE))
+        again.keep(CommittedGeneration(4, ONE))
         again.stop(10)
-    assert writer.copy.read().force.generation == 4
+    assert writer.copy.read().committed.generation == 4
     assert 1 <= len(failures) <= 4 and writer.failures == len(failures)
 
 
@@ -117,15 +117,15 @@
     writer = CopyWriter(LocalCopy(str(tmp_path), "s0"))
     real = writer.copy.keep
 
-    def keep(force):
-        real(force)
+    def keep(committed):
+        real(committed)
         written.set()
 
     monkeypatch.setattr(writer.copy, "keep", keep)
-    writer.keep(Force(2, ONE))
+    writer.keep(CommittedGeneration(2, ONE))
     assert written.wait(10) and len(failures) == 5
     writer.stop(10)
-    assert not writer.is_behind and writer.copy.read().force.generation == 2
+    assert not writer.is_behind and writer.copy.read().committed.generation == 2
 
 
 def test_a_disk_that_hangs_holds_nobody_up(tmp_path, monkeypatch):
@@ -138,9 +138,9 @@
 
     monkeypatch.setattr(os, "fsync", hang)
     writer = CopyWriter(LocalCopy(str(tmp_path), "s0"))
-    writer.keep(Force(2, ONE))
+    writer.keep(CommittedGeneration(2, ONE))
     assert began.wait(10)
-    writer.keep(Force(3, ONE))
+    writer.keep(CommittedGeneration(3, ONE))
     writer.stop(0.01)
     assert writer.is_behind
     held.set()
@@ -150,17 +150,17 @@
 def test_a_copys_age_is_real_time_whatever_the_wall_clock_does(tmp_path):
     wall, boot = [10**18], [BootTime("one", 5 * SECOND)]
     copy = LocalCopy(str(tmp_path), "s0", lambda: wall[0], lambda: boot[0])
-    copy.keep(Force(3, ONE))
+    copy.keep(CommittedGeneration(3, ONE))
     wall[0] += 3600 * SECOND
     boot[0] = BootTime("one", 95 * SECOND)
-    assert copy.read() == Copy(Force(3, ONE), 90.0)
+    assert copy.read() == Copy(CommittedGeneration(3, ONE), 90.0)
     boot[0] = BootTime("two", SECOND)  # the machine was started again: there is the wall clock alone
     assert copy.read().age_s == 3600.0
 
 
 def test_a_directory_that_can_not_be_read_at_first_is_read_soon(tmp_path, monkeypatch):
     copy, left, slept = LocalCopy(str(tmp_path), "s0"), [2], []
-    copy.keep(Force(3, ONE))
+    copy.keep(CommittedGeneration(3, ONE))
     real = copies.Path.read_bytes
 
     def read_bytes(path):
@@ -170,7 +170,7 @@
         return real(path)
 
     monkeypatch.setattr(copies.Path, "read_bytes", read_bytes)
-    assert copy.read_patiently(slept.append).force.generation == 3 and len(slept) == 2
+    assert copy.read_patiently(slept.append).committed.generation == 3 and len(slept) == 2
     left[0] = 100
     with pytest.raises(UnreadableCopyError):
         copy.read_patiently(slept.append)
@@ -184,7 +184,7 @@
         [b"\0" * 16 + b"\xde\xc0\xef\xbe" + b"\0" * 99],
     )
     for generation in (2, 4, 3):
-        copy.keep(Force(generation, ONE))
+        copy.keep(CommittedGeneration(generation, ONE))
         page = copy.path.read_bytes().replace(copies.FORMAT, copies.MAPPED_FORMAT)
         if harm == "all" or (harm and generation == 4):
             page = page[:-9]
@@ -194,6 +194,6 @@
         with pytest.raises(CopyError):
             copy.read()
     else:
-        assert copy.read().force.generation == (3 if harm else 4)
-    copy.keep(Force(5, ONE))
-    assert copy.read().force.generation == 5
+        assert copy.read().committed.generation == (3 if harm else 4)
+    copy.keep(CommittedGeneration(5, ONE))
+    assert copy.read().committed.generation == 5
--- a/tests/agreement/test_sharing.py
+++ b/tests/agreement/test_sharing.py
@@ -20,7 +20,7 @@
 from runloft.agreement.content import Content
 from runloft.agreement.local_snapshot import Copy, CopyError, LocalCopy
 from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
-from runloft.agreement.records import NOTHING, Force, Lease, Stage, Verdict
+from runloft.agreement.records import NOTHING, CommittedGeneration, Lease, Stage, Verdict
 from runloft.agreement.rollout import CommitGeneration, PutStage
 from runloft.agreement.store import AgreementStore, StoreError
 from runloft.lab.keyspace import Error, Keyspace, Session
@@ -57,13 +57,16 @@
     async def check(server, store, other):
         view = await store.exchange(Exchange(lease()))
         assert (
-            view.force is None and not view.names and not view.era and abs(view.now_ns - time.time_ns()) < 5e9
+            view.committed is None
+            and not view.names
+            and not view.era
+            and abs(view.now_ns - time.time_ns()) < 5e9
         )
-        await store.found(Bootstrap(Force(1, ONE)))
-        await other.found(Bootstrap(Force(1, TWO)))
-        first = (await other.exchange(Exchange(lease("s1")))).force
+        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
+        await other.found(Bootstrap(CommittedGeneration(1, TWO)))
+        first = (await other.exchange(Exchange(lease("s1")))).committed
         assert first.content == ONE
-        assert not await other.extend(AddOwnEntries(Force(2, TWO), NOTHING))
+        assert not await other.extend(AddOwnEntries(CommittedGeneration(2, TWO), NOTHING))
         stage = Stage("t.0", 2, TWO, "me")
         assert await store.put_stage(PutStage(stage, first.rank))
         assert not await other.put_stage(PutStage(replace(stage, token="u.0"), first.rank))
@@ -73,16 +76,16 @@
         assert seen.verdicts == {"s0": verdict} and seen.leases.keys() == {"s0", "s1"} == seen.names
         await store.begin(OpenEpoch(7, 0))
         put = CommitGeneration(
-            Force(2, TWO, 0, ONE, "t.0", "me", 7), first.rank, frozenset(("s0", "s1")), LEASE
+            CommittedGeneration(2, TWO, 0, ONE, "t.0", "me", 7), first.rank, frozenset(("s0", "s1")), LEASE
         )
-        assert not await other.put_force(replace(put, names=frozenset(("s0",))))
-        assert not await other.put_force(replace(put, force=replace(put.force, token="x.0")))
-        assert not await other.put_force(replace(put, force=replace(put.force, era=6)))
-        assert await other.put_force(put)
+        assert not await other.commit_generation(replace(put, names=frozenset(("s0",))))
+        assert not await other.commit_generation(replace(put, committed=replace(put.committed, token="x.0")))
+        assert not await other.commit_generation(replace(put, committed=replace(put.committed, era=6)))
+        assert await other.commit_generation(put)
         view = await store.exchange(Exchange(lease()))
-        assert view.force.rank == put.force.rank and view.stage is None
-        assert 0 < view.force.at_ns - view.now_ns <= LEASE
-        assert not await store.put_force(put)
+        assert view.committed.rank == put.committed.rank and view.stage is None
+        assert 0 < view.committed.at_ns - view.now_ns <= LEASE
+        assert not await store.commit_generation(put)
 
     play(check)
 
@@ -90,20 +93,25 @@
 def test_who_is_left_out_is_still_silent_at_the_commit_and_who_is_fenced_is_not_known_after_it():
     async def check(server, store, other):
         await store.begin(OpenEpoch(7, 0))
-        await store.found(Bootstrap(Force(1, ONE)))
+        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
         await store.exchange(Exchange(lease()))
         await other.exchange(Exchange(lease("s1", asked=5, heard=4)))
         rank = (0, 1, ONE.digest)
         assert await store.put_stage(PutStage(Stage("t.0", 2, TWO), rank))
         names = frozenset(("s0", "s1"))
         put = CommitGeneration(
-            Force(2, TWO, token="t.0", era=7), rank, names, LEASE, {"s1": ("i", 4)}, {"s1": ("i", 5)}
+            CommittedGeneration(2, TWO, token="t.0", era=7),
+            rank,
+            names,
+            LEASE,
+            {"s1": ("i", 4)},
+            {"s1": ("i", 5)},
         )
         await other.exchange(Exchange(lease("s1", asked=6, heard=5)))  # it hears again
-        assert not await store.put_force(replace(put, fenced={}))
-        assert not await store.put_force(replace(put, left_out={}))
+        assert not await store.commit_generation(replace(put, fenced={}))
+        assert not await store.commit_generation(replace(put, left_out={}))
         assert not await store.forget("s1", ("i", 5))
-        assert await store.put_force(replace(put, left_out={"s1": ("i", 5)}, fenced={"s1": ("i", 6)}))
+        assert await store.commit_generation(replace(put, left_out={"s1": ("i", 5)}, fenced={"s1": ("i", 6)}))
         assert (await store.view()).names == {"s0"} == (await store.view()).leases.keys()
         await other.exchange(Exchange(lease("s1", asked=7, heard=5)))  # deaf, but it is there
         assert await store.forget("s1", ("i", 7)) and (await store.view()).names == {"s0"}
@@ -174,21 +182,23 @@
 def test_who_was_asked_about_a_generation_does_not_read_it_again_once_it_is_in_force():
     async def check(server, store, other):
         await store.begin(OpenEpoch(7, 0))
-        await store.found(Bootstrap(Force(1, ONE)))
+        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
         await other.exchange(Exchange(lease()))  # it is never asked
         await store.exchange(Exchange(lease("s1")))
         rank = (0, 1, ONE.digest)
         assert await other.put_stage(PutStage(Stage("t.0", 2, TWO, "me", 7), rank))
         assert (await store.exchange(Exchange(lease("s1")))).stage.content == TWO
-        force = Force(2, TWO, 0, ONE, "t.0", "me", 7)
-        assert await other.put_force(CommitGeneration(force, rank, frozenset(("s0", "s1")), LEASE))
+        committed = CommittedGeneration(2, TWO, 0, ONE, "t.0", "me", 7)
+        assert await other.commit_generation(
+            CommitGeneration(committed, rank, frozenset(("s0", "s1")), LEASE)
+        )
         read = []
         act = server.keys.act
         server.keys.act = lambda session, words: read.append(words[1:]) or act(session, words)
-        asked = (await store.exchange(Exchange(lease("s1")))).force
+        asked = (await store.exchange(Exchange(lease("s1")))).committed
         assert [b"t:force"] not in read
-        assert asked == (await other.exchange(Exchange(lease()))).force and [b"t:force"] in read
-        assert asked.rank == force.rank and asked.before == ONE and asked.at_ns > 0
+        assert asked == (await other.exchange(Exchange(lease()))).committed and [b"t:force"] in read
+        assert asked.rank == committed.rank and asked.before == ONE and asked.at_ns > 0
         # Not where what was before is another one, or what came is not what was staged.
         for mark in (b"7 3 x t.1 0 y", b"7 2 %s t.0 5 y" % TWO.digest.encode(), b"7 2 x t.0 5 y", b"1 2"):
             server.keys.data[b"t:force:rank"] = mark
@@ -201,16 +211,18 @@
 
 def test_what_a_store_has_lost_is_put_back_but_never_over_a_higher_one():
     async def check(server, store, other):
-        await store.restore(RepairStore(Force(5, ONE)))
-        await other.restore(RepairStore(Force(4, TWO)))
-        assert (await store.view()).force.generation == 5
+        await store.restore(RepairStore(CommittedGeneration(5, ONE)))
+        await other.restore(RepairStore(CommittedGeneration(4, TWO)))
+        assert (await store.view()).committed.generation == 5
         server.keys.empty()
-        await other.restore(RepairStore(Force(4, TWO)))
-        await store.restore(RepairStore(Force(5, ONE)))
-        assert (await store.view()).force.generation == 5
-        await store.restore(RepairStore(Force(2, TWO, era=1)))  # rolled out since the store was lost
-        await store.restore(RepairStore(Force(9, ONE)))
-        assert (await store.view()).force.generation == 2
+        await other.restore(RepairStore(CommittedGeneration(4, TWO)))
+        await store.restore(RepairStore(CommittedGeneration(5, ONE)))
+        assert (await store.view()).committed.generation == 5
+        await store.restore(
+            RepairStore(CommittedGeneration(2, TWO, era=1))
+        )  # rolled out since the store was lost
+        await store.restore(RepairStore(CommittedGeneration(9, ONE)))
+        assert (await store.view()).committed.generation == 2
 
     play(check)
 
@@ -231,7 +243,7 @@
 def test_whatever_a_store_does_is_one_error_in_time(trouble):
     async def check(server, store, other):
         await store.exchange(Exchange(lease()))
-        await store.found(Bootstrap(Force(1, ONE)))
+        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
         match trouble:
             case "silent":
                 server.failures.silent = True
@@ -261,21 +273,23 @@
 
 def test_two_that_write_at_once_lose_nothing():
     async def check(server, store, other):
-        await store.found(Bootstrap(Force(1, ONE)))
+        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
 
         async def add(client, name):
             for _ in range(20):
-                force = (await client.view()).force
-                if name in force.content.volumes:
+                committed = (await client.view()).committed
+                if name in committed.content.volumes:
                     return
-                content = replace(force.content, volumes={**force.content.volumes, name: {}})
-                await client.extend(AddOwnEntries(Force(force.generation + 1, content), force.rank))
+                content = replace(committed.content, volumes={**committed.content.volumes, name: {}})
+                await client.extend(
+                    AddOwnEntries(CommittedGeneration(committed.generation + 1, content), committed.rank)
+                )
 
         async with anyio.create_task_group() as group:
             for number in range(6):
                 group.start_soon(add, (store, other)[number % 2], f"v{number}")
-        force = (await store.view()).force
-        assert set(force.content.volumes) == {f"v{n}" for n in range(6)} and force.generation == 7
+        committed = (await store.view()).committed
+        assert set(committed.content.volumes) == {f"v{n}" for n in range(6)} and committed.generation == 7
 
     play(check)
 
@@ -308,11 +322,11 @@
     clock = [10**18]
     copy = LocalCopy(str(tmp_path / "deep"), "s0", lambda: clock[0], lambda: None)
     assert copy.read() is None
-    force = Force(3, ONE, 7, TWO, "t.0", "me")
-    copy.keep(Force(2, TWO))
-    copy.keep(force)
+    committed = CommittedGeneration(3, ONE, 7, TWO, "t.0", "me")
+    copy.keep(CommittedGeneration(2, TWO))
+    copy.keep(committed)
     clock[0] += 90 * 10**9
-    assert copy.read() == Copy(force, 90.0)
+    assert copy.read() == Copy(committed, 90.0)
     clock[0] -= 10**12
     assert copy.read().age_s == 0.0
 
@@ -320,7 +334,7 @@
 @pytest.mark.parametrize("harm", ["cut", "noise", "sum", "newer", "foreign", "empty"])
 def test_a_copy_that_can_not_be_trusted_is_told(tmp_path, harm):
     copy = LocalCopy(str(tmp_path), "s0")
-    copy.keep(Force(3, ONE))
+    copy.keep(CommittedGeneration(3, ONE))
     data = copy.path.read_bytes()
     if harm == "cut":
         copy.path.write_bytes(data[:-9])
--- a/tests/agreement/test_stored_records.py
+++ b/tests/agreement/test_stored_records.py
@@ -12,18 +12,18 @@
 import pytest
 
 from runloft.agreement.codec import (
-    decode_force,
+    decode_committed,
     decode_lease,
     decode_stage,
     decode_verdict,
-    encode_force,
+    encode_committed,
     encode_lease,
     encode_stage,
     encode_verdict,
 )
 from runloft.agreement.local_snapshot import BootTime, LocalCopy
 from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
-from runloft.agreement.records import Force, Lease, Stage, Verdict
+from runloft.agreement.records import CommittedGeneration, Lease, Stage, Verdict
 from runloft.agreement.rollout import CommitGeneration, DropStage, PutStage
 from runloft.agreement.store import AgreementStore
 from runloft.lab.redis import RedisStandIn
@@ -42,8 +42,8 @@
 
 def written(record):
     match record:
-        case Force():
-            text = encode_force(record)
+        case CommittedGeneration():
+            text = encode_committed(record)
         case Stage():
             text = encode_stage(record)
         case Lease():
@@ -56,8 +56,8 @@
 @pytest.mark.parametrize(
     "name, read",
     [
-        ("generation-first.json", decode_force),
-        ("generation-rolled-out.json", decode_force),
+        ("generation-first.json", decode_committed),
+        ("generation-rolled-out.json", decode_committed),
         ("stage.json", decode_stage),
         ("lease.json", decode_lease),
         ("lease-at-start.json", decode_lease),
@@ -80,12 +80,12 @@
 
 
 def test_a_generation_is_read_field_by_field():
-    force = decode_force(stored("generation-rolled-out.json"))
-    assert (force.generation, force.at_ns, force.era) == (8, 1_764_684_000_123_456_000, EPOCH)
-    assert (force.token, force.by) == ("0123456789ab.1", "me@host")
-    assert force.content.digest == "391bbfcd1c8a6618"
-    assert force.content.volumes["vé"]["shards"] == [0, 1, 7]
-    assert force.before.digest == "539addc558e09575"
+    committed = decode_committed(stored("generation-rolled-out.json"))
+    assert (committed.generation, committed.at_ns, committed.era) == (8, 1_764_684_000_123_456_000, EPOCH)
+    assert (committed.token, committed.by) == ("0123456789ab.1", "me@host")
+    assert committed.content.digest == "391bbfcd1c8a6618"
+    assert committed.content.volumes["vé"]["shards"] == [0, 1, 7]
+    assert committed.before.digest == "539addc558e09575"
 
 
 @pytest.mark.parametrize(
@@ -96,9 +96,9 @@
     shutil.copy(STORED / f"{name}.copy", tmp_path)
     later = BootTime(BOOT.boot, BOOT.since_ns + 5_000_000_000) if boot else None
     kept = LocalCopy(str(tmp_path), name, lambda: UNIX_NS + 60_000_000_000, lambda: later).read()
-    assert kept.age_s == age_s and written(kept.force) == stored(generation)
+    assert kept.age_s == age_s and written(kept.committed) == stored(generation)
     again = LocalCopy(str(tmp_path / "again"), name, lambda: UNIX_NS, lambda: boot)
-    again.keep(kept.force)
+    again.keep(kept.committed)
     assert again.path.read_bytes() == stored(f"{name}.copy")
     assert again.path.name == f"{name}.copy"
 
@@ -107,16 +107,16 @@
     shutil.copy(STORED / "lmdb.copy", tmp_path / "s0.copy")
     copy = LocalCopy(str(tmp_path), "s0", lambda: UNIX_NS, lambda: BOOT)
     kept = copy.read()
-    assert kept.age_s == 0.0 and written(kept.force) == stored("generation-rolled-out.json")
-    copy.keep(kept.force)
+    assert kept.age_s == 0.0 and written(kept.committed) == stored("generation-rolled-out.json")
+    copy.keep(kept.committed)
     assert copy.path.read_bytes() == stored("s0.copy")
 
 
 async def every_command(store):
     """Use each of the store client's operations once or more, with success and without."""
     first, second = (
-        decode_force(stored("generation-first.json")),
-        decode_force(stored("generation-rolled-out.json")),
+        decode_committed(stored("generation-first.json")),
+        decode_committed(stored("generation-rolled-out.json")),
     )
     lease, verdict = decode_lease(stored("lease.json")), decode_verdict(stored("verdict.json"))
     other = decode_lease(stored("lease-at-start.json"))
@@ -127,7 +127,7 @@
     await store.settle(CloseEpoch(EPOCH))
     await store.found(Bootstrap(first))
     await store.found(Bootstrap(first))
-    added = Force(2, replace(first.content, classes={}), by="s1")
+    added = CommittedGeneration(2, replace(first.content, classes={}), by="s1")
     await store.extend(AddOwnEntries(added, first.rank))
     await store.extend(AddOwnEntries(added, first.rank))
     await store.put_stage(PutStage(stage, added.rank))
@@ -136,8 +136,8 @@
     await store.exchange(Exchange(lease, decode_verdict(stored("verdict-refusing.json"))))
     names = frozenset(("s0", "s1"))
     put = CommitGeneration(second, added.rank, names, LEASE_NS, {"s1": other.hearing}, {"s1": other.mark})
-    await store.put_force(replace(put, expects=first.rank))
-    await store.put_force(put)
+    await store.commit_generation(replace(put, expects=first.rank))
+    await store.commit_generation(put)
     await store.view()
     await store.put_stage(PutStage(stage, second.rank))
     await store.drop_stage(DropStage("x.0"))
