--- a/runloft/agreement/codec.py
+++ b/runloft/agreement/codec.py
@@ -26,7 +26,7 @@
             "before": committed.before.as_json() if committed.before else None,
             "token": committed.token,
             "by": committed.by,
-            "era": committed.era,
+            "era": committed.epoch,
         }
     )
 
@@ -43,7 +43,7 @@
             before=content_from(before) if before is not None else None,
             token=str(raw["token"]),
             by=str(raw["by"]),
-            era=int(raw.get("era", 0)),
+            epoch=int(raw.get("era", 0)),
         )
     except (KeyError, TypeError, ValueError, ContentError) as error:
         raise RecordError(f"not what is in force: {error!r}") from error
@@ -58,7 +58,7 @@
             "generation": stage.generation,
             "content": stage.content.as_json(),
             "by": stage.by,
-            "era": stage.era,
+            "era": stage.epoch,
         }
     )
 
@@ -72,7 +72,7 @@
             generation=int(raw["generation"]),
             content=content_from(raw["content"]),
             by=str(raw["by"]),
-            era=int(raw.get("era", 0)),
+            epoch=int(raw.get("era", 0)),
         )
     except (KeyError, TypeError, ValueError, ContentError) as error:
         raise RecordError(f"no stage: {error!r}") from error
--- a/runloft/agreement/member.py
+++ b/runloft/agreement/member.py
@@ -47,7 +47,7 @@
 class OpenEpoch:
     """Begin an era of a store whose era is still ``expects``."""
 
-    era: int
+    epoch: int
     expects: int
 
 
@@ -55,7 +55,7 @@
 class CloseEpoch:
     """Say that whoever was cut off when this era began is fenced by now."""
 
-    era: int
+    epoch: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,7 +115,7 @@
         self.content: Content | None = None  # what is gone by; None: the own file
         self.change_at: int | None = None  # own clock: when ``force`` comes into force
         self.reserves_until: int | None = None  # own clock: the lease's end; None: it is fenced
-        self.era = 0  # of the store by whose answers the lease is renewed
+        self.epoch = 0  # of the store by whose answers the lease is renewed
         self.verdict: Verdict | None = None
         self.heard_at: int | None = None  # own clock: of the last view
         self.empty_since: int | None = None  # own clock: the store has held nothing since then
@@ -208,7 +208,7 @@
             effects.append(LogEvent("connected", view.committed.generation if view.committed else 0))
         self._cut_off, self.heard_at, self._heard_ns, self._failures = False, now, view.now_ns, 0
         self._heard += 1
-        effects += self._eras(view, now)
+        effects += self._check_epoch(view, now)
         effects += (
             self._empty(now) if view.committed is None else self._told(view.committed, view.now_ns, now)
         )
@@ -216,23 +216,23 @@
         effects += self._answered(view.stage, now)
         return effects
 
-    def _eras(self, view: StoreView, now: int) -> list[Effect]:
+    def _check_epoch(self, view: StoreView, now: int) -> list[Effect]:
         """Heed a store that has begun anew: its answers renew no lease until the old ones are over."""
         highest = rank_of(self.committed)[0]
-        if not view.era or view.era < highest:
-            return [OpenEpoch(max(view.now_ns, highest, self.era) + 1, view.era)]
-        lasted = self._fresh.lasts(view.era, now)
+        if not view.epoch or view.epoch < highest:
+            return [OpenEpoch(max(view.now_ns, highest, self.epoch) + 1, view.epoch)]
+        lasted = self._fresh.lasts(view.epoch, now)
         if view.settled:
-            self.era = view.era
+            self.epoch = view.epoch
         elif lasted >= over_ns(self.fence_ns):
-            self.era = view.era
-            return [CloseEpoch(view.era)]
+            self.epoch = view.epoch
+            return [CloseEpoch(view.epoch)]
         return []
 
     def _renewed(self, view: StoreView, effects: list[Effect]) -> list[Effect]:
         """Hold the reserves for a fence's time from the question on, where the answer allows it."""
         committed = self.committed
-        if committed is None or view.era != self.era or not committed.era <= view.era:
+        if committed is None or view.epoch != self.epoch or not committed.epoch <= view.epoch:
             return effects
         foreseen_only = self.change_at is not None and committed.before is None  # nothing is in force yet
         if rank_of(view.committed) == committed.rank and not foreseen_only:
@@ -288,7 +288,7 @@
         content = completed(committed.content, self.own)
         if content is committed.content:
             return []
-        wanted = CommittedGeneration(committed.generation + 1, content, by=self.name, era=committed.era)
+        wanted = CommittedGeneration(committed.generation + 1, content, by=self.name, epoch=committed.epoch)
         return [AddOwnEntries(wanted, committed.rank), LogEvent("added to", wanted.generation)]
 
     def _content(self) -> Content:
@@ -314,8 +314,8 @@
         if self.verdict is not None and self.verdict.token == stage.token:
             return []
         found = self.refuses(stage.content)
-        era, mine, _ = rank_of(self.committed)
-        if (stage.era, stage.generation) <= (era, mine):
+        epoch, mine, _ = rank_of(self.committed)
+        if (stage.epoch, stage.generation) <= (epoch, mine):
             found = [f"generation {stage.generation} is staged, and {mine} was in force here", *found]
         self.verdict = Verdict(self.name, self.incarnation, stage.token, tuple(found[:8]))
         self.next_beat = min(self.next_beat, now)
--- a/runloft/agreement/records.py
+++ b/runloft/agreement/records.py
@@ -23,12 +23,12 @@
     before: Content | None = None
     token: str = ""  # of the roll-out that brought it; empty: a sidecar's own, the first
     by: str = ""
-    era: int = 0  # of the store in which a roll-out brought it; 0: no roll-out did
+    epoch: int = 0  # of the store in which a roll-out brought it; 0: no roll-out did
 
     @property
     def rank(self) -> Rank:
         """Order generations: of two that claim to be in force the higher one is."""
-        return self.era, self.generation, self.content.digest
+        return self.epoch, self.generation, self.content.digest
 
     @property
     def name(self) -> tuple[int, str]:
@@ -49,7 +49,7 @@
     generation: int
     content: Content
     by: str = ""
-    era: int = 0
+    epoch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,7 +112,7 @@
     names: frozenset[str] = frozenset()  # every sidecar known; told to the tool alone, as the next two
     leases: dict[str, Lease] = field(default_factory=dict)
     verdicts: dict[str, Verdict] = field(default_factory=dict)
-    era: int = 0  # of the store: it differs once the store has lost what it held; 0: nobody has begun one
+    epoch: int = 0  # of the store: it differs once the store has lost what it held; 0: nobody has begun one
     settled: bool = False  # whoever was cut off when the era began has been fenced since
 
     def foreign(self) -> set[str]:
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -101,12 +101,12 @@
         self.why = ""  # it stopped
         self.unheard: frozenset[str] = frozenset()  # had not changed when patience ended
         self.left_out: set[str] = set()  # were silent
-        self.era = 0  # of the store in which it is carried out
+        self.epoch = 0  # of the store in which it is carried out
         self.base: CommittedGeneration | None = None
         self.wanted: CommittedGeneration | None = None
         self.step = 0
         self.renewed_at = now
-        self._era, self._force = Stillness(), Stillness()
+        self._epoch, self._force = Stillness(), Stillness()
         self._hearing: dict[str, Stillness] = {}
         self._marks: dict[str, Stillness] = {}
         self._deaf: dict[str, int] = {}  # how long each has been seen to hear nothing
@@ -124,7 +124,7 @@
 
     def seen(self, view: StoreView, now: int) -> list[Effect]:
         """Heed what the store holds; asked for again and again until it is over."""
-        self._in_force = self._force.lasts((rank_of(view.committed), view.era), now)
+        self._in_force = self._force.lasts((rank_of(view.committed), view.epoch), now)
         for name, lease in view.leases.items():
             self._deaf[name] = self._hearing.setdefault(name, Stillness()).lasts(lease.hearing, now)
             self._mute[name] = self._marks.setdefault(name, Stillness()).lasts(lease.mark, now)
@@ -175,12 +175,14 @@
         if self.step and (view.committed is None or view.committed.token != f"{self.token}.{self.step - 1}"):
             return self._stop("another generation came into force between two steps")
         self.base = view.committed
-        if not view.era or view.era < rank_of(view.committed)[0]:
-            era = max(view.now_ns, rank_of(view.committed)[0]) + 1
-            return [OpenEpoch(era, view.era)] if now - self.since <= self._patience else self._stop("no era")
-        if self._era.lasts(view.era, now) < over_ns(self.fence_ns) and not view.settled:
+        if not view.epoch or view.epoch < rank_of(view.committed)[0]:
+            epoch = max(view.now_ns, rank_of(view.committed)[0]) + 1
+            return (
+                [OpenEpoch(epoch, view.epoch)] if now - self.since <= self._patience else self._stop("no era")
+            )
+        if self._epoch.lasts(view.epoch, now) < over_ns(self.fence_ns) and not view.settled:
             return []  # the store has begun anew: who was cut off may hold a lease of what it was
-        settle: list[Effect] = [] if view.settled else [CloseEpoch(view.era)]
+        settle: list[Effect] = [] if view.settled else [CloseEpoch(view.epoch)]
         if view.committed is not None and view.committed.at_ns > view.now_ns:
             if now - self.since > self._patience:
                 return self._stop("the generation before has not come into force")
@@ -197,7 +199,7 @@
             return self._stop(f"another roll-out is under way, by {view.stage.by}")
         self._to(Phase.STAGING, now)
         self.renewed_at = now
-        self.era = view.era
+        self.epoch = view.epoch
         stage = self._stage(content)
         staged = ReportProgress(f"staged as generation {stage.generation}")
         return [*settle, PutStage(stage, rank_of(view.committed)), staged]
@@ -209,7 +211,7 @@
 
     def _stage(self, content: Content) -> Stage:
         generation = (self.base.generation if self.base else 0) + 1
-        return Stage(self._stage_token, generation, content, self.by, self.era)
+        return Stage(self._stage_token, generation, content, self.by, self.epoch)
 
     def _left_out(self, lease: Lease) -> tuple[bool, bool]:
         """Say whether a sidecar may be left out of what comes next, and whether it is fenced for certain."""
@@ -223,7 +225,7 @@
 
     def _asked(self, view: StoreView, now: int) -> list[Effect]:
         content, rank = self.steps[self.step], rank_of(self.base)
-        if rank_of(view.committed) != rank or view.era != self.era:
+        if rank_of(view.committed) != rank or view.epoch != self.epoch:
             return self._stop("another generation came into force, or the store has begun anew")
         token = self._stage_token
         if view.stage is not None and view.stage.token != token:
@@ -255,7 +257,7 @@
             return [PutStage(self._stage(content), rank)]
         before = self.base.content if self.base else None
         generation = (self.base.generation if self.base else 0) + 1
-        self.wanted = CommittedGeneration(generation, content, 0, before, token, self.by, self.era)
+        self.wanted = CommittedGeneration(generation, content, 0, before, token, self.by, self.epoch)
         self._to(Phase.COMMITTING, now)
         self.left_out |= left_out.keys()
         names = frozenset(view.names)
--- a/runloft/agreement/store.py
+++ b/runloft/agreement/store.py
@@ -114,13 +114,13 @@
             pipe.get(self._key(name))
 
     async def _view(self, read: list[Any]) -> StoreView:
-        clock, era, rank, token = read
+        clock, epoch, rank, token = read
         if rank is not None:
             self._assemble(rank)
         committed = await self._held("force", rank, decode_committed)
         stage = await self._held("stage", token, decode_stage)
-        number, settled = _era(era)
-        return StoreView(_time(clock), committed, stage, era=number, settled=settled)
+        number, settled = _epoch(epoch)
+        return StoreView(_time(clock), committed, stage, epoch=number, settled=settled)
 
     def _assemble(self, mark: bytes) -> None:
         """Make what is in force of its stage and of what was in force before, where both were read.
@@ -133,7 +133,7 @@
             return
         staged, old, at_ns = stage[1], last[1].content, words[4]
         committed = CommittedGeneration(
-            staged.generation, staged.content, 0, old, staged.token, staged.by, staged.era
+            staged.generation, staged.content, 0, old, staged.token, staged.by, staged.epoch
         )
         if at_ns.isdigit() and mark == _mark(committed := replace(committed, at_ns=int(at_ns))):
             self._known["force"] = mark, committed
@@ -161,15 +161,15 @@
 
     async def begin(self, effect: OpenEpoch) -> None:
         """Begin an era of a store that has lost what it held, unless somebody has."""
-        await self._put_era(effect.expects, f"{effect.era}")
+        await self._put_epoch(effect.expects, f"{effect.epoch}")
 
     async def settle(self, effect: CloseEpoch) -> None:
         """Say that an era has lasted for longer than any lease, if it still is this one."""
-        await self._put_era(effect.era, f"{effect.era} settled")
+        await self._put_epoch(effect.epoch, f"{effect.epoch} settled")
 
-    async def _put_era(self, expects: int, text: str) -> None:
+    async def _put_epoch(self, expects: int, text: str) -> None:
         async def change(pipe: Any) -> bool:
-            if _era(await pipe.get(self._key("era")))[0] != expects:
+            if _epoch(await pipe.get(self._key("era")))[0] != expects:
                 return False
             pipe.multi()
             pipe.set(self._key("era"), text)
@@ -245,7 +245,7 @@
             moved |= any(name not in out or out[name].mark != was for name, was in effect.fenced.items())
             if not staged or names != effect.names or moved:
                 return False
-            if _era(await pipe.get(self._key("era")))[0] != effect.committed.era:
+            if _epoch(await pipe.get(self._key("era")))[0] != effect.committed.epoch:
                 return False
             if rank_of(await self._force(pipe)) != effect.expects:
                 return False
@@ -350,7 +350,7 @@
     return int(seconds) * 1_000_000_000 + int(micros) * 1000
 
 
-def _era(value: bytes | None) -> tuple[int, bool]:
+def _epoch(value: bytes | None) -> tuple[int, bool]:
     """Read an era: its number, and whether it has settled; none where it is no record of ours."""
     words = value.split() if value is not None else []
     if not words or not words[0].isdigit() or words[1:] not in ([], [b"settled"]):
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -97,7 +97,7 @@
     def empty(self):
         self.committed, self.stage, self.names = None, None, frozenset()
         self.leases, self.verdicts = {}, {}
-        self.era, self.settled = 0, False
+        self.epoch, self.settled = 0, False
 
     def view(self):
         """What the tool is told."""
@@ -106,7 +106,7 @@
     def told(self):
         """What a sidecar is told: of no other one."""
         stage = self.stage[0] if self.stage and self.stage[1] > self.clock else None
-        return StoreView(self.clock, self.committed, stage, era=self.era, settled=self.settled)
+        return StoreView(self.clock, self.committed, stage, epoch=self.epoch, settled=self.settled)
 
     @property
     def rank(self):
@@ -124,11 +124,11 @@
                 self.names |= {lease.name}
                 if verdict:
                     self.verdicts[lease.name] = verdict
-            case OpenEpoch(era, expects):
-                if self.era == expects:
-                    self.era, self.settled = era, False
-            case CloseEpoch(era):
-                self.settled = self.settled or self.era == era
+            case OpenEpoch(epoch, expects):
+                if self.epoch == expects:
+                    self.epoch, self.settled = epoch, False
+            case CloseEpoch(epoch):
+                self.settled = self.settled or self.epoch == epoch
             case RepairStore(committed):
                 if self.rank < committed.rank:
                     self.committed = decode_committed(encode_committed(committed))
@@ -147,7 +147,7 @@
                 moved |= any(name not in out or out[name].mark != was for name, was in fenced.items())
                 if self.rank != expects or not staged or names != view.names or moved:
                     return False
-                if self.era != committed.era:
+                if self.epoch != committed.epoch:
                     return False
                 self.committed, self.stage = replace(committed, at_ns=self.clock + in_ns), None
                 self.names -= fenced.keys()
@@ -690,7 +690,7 @@
 
     out = RollOut("t", "me", plan, LEASE, FENCE, 0)
     assert (
-        out.seen(StoreView(1, era=1, settled=True), 0) == []
+        out.seen(StoreView(1, epoch=1, settled=True), 0) == []
         and out.phase is Phase.STOPPED
         and "bears 1" in out.why
     )
--- a/tests/agreement/test_golden_sequences.py
+++ b/tests/agreement/test_golden_sequences.py
@@ -60,9 +60,9 @@
         case Bootstrap():
             return [3, stored(effect.committed)]
         case OpenEpoch():
-            return [4, effect.era, effect.expects]
+            return [4, effect.epoch, effect.expects]
         case CloseEpoch():
-            return [5, effect.era]
+            return [5, effect.epoch]
         case ApplyConfig():
             return [6, effect.content.as_json(), effect.generation, effect.reserves]
         case PersistSnapshot():
@@ -201,13 +201,13 @@
             if chance.random() < 0.2:
                 recording.add_effects(replica.lost(now))
                 continue
-            view = StoreView(now + store_ahead, generation, stage, era=epoch, settled=settled)
+            view = StoreView(now + store_ahead, generation, stage, epoch=epoch, settled=settled)
             answers = replica.seen(view, now)
             recording.add_effects(answers)
             for answer in answers:
                 match answer:
                     case OpenEpoch() if chance.random() < 0.7:
-                        epoch, settled = answer.era, False
+                        epoch, settled = answer.epoch, False
                     case CloseEpoch() if chance.random() < 0.7:
                         settled = True
                     case RepairStore() | Bootstrap() | AddOwnEntries() if chance.random() < 0.7:
@@ -247,7 +247,7 @@
     world.settle()
     store = world.store
     recording.add(stored(store.committed), [stored(store.leases[name]) for name in sorted(store.leases)])
-    recording.add([stored(store.verdicts[name]) for name in sorted(store.verdicts)], store.era)
+    recording.add([stored(store.verdicts[name]) for name in sorted(store.verdicts)], store.epoch)
 
 
 def test_a_replica_fed_with_seeded_events_does_what_it_did():
--- a/tests/agreement/test_sharing.py
+++ b/tests/agreement/test_sharing.py
@@ -59,7 +59,7 @@
         assert (
             view.committed is None
             and not view.names
-            and not view.era
+            and not view.epoch
             and abs(view.now_ns - time.time_ns()) < 5e9
         )
         await store.found(Bootstrap(CommittedGeneration(1, ONE)))
@@ -80,7 +80,7 @@
         )
         assert not await other.commit_generation(replace(put, names=frozenset(("s0",))))
         assert not await other.commit_generation(replace(put, committed=replace(put.committed, token="x.0")))
-        assert not await other.commit_generation(replace(put, committed=replace(put.committed, era=6)))
+        assert not await other.commit_generation(replace(put, committed=replace(put.committed, epoch=6)))
         assert await other.commit_generation(put)
         view = await store.exchange(Exchange(lease()))
         assert view.committed.rank == put.committed.rank and view.stage is None
@@ -100,7 +100,7 @@
         assert await store.put_stage(PutStage(Stage("t.0", 2, TWO), rank))
         names = frozenset(("s0", "s1"))
         put = CommitGeneration(
-            CommittedGeneration(2, TWO, token="t.0", era=7),
+            CommittedGeneration(2, TWO, token="t.0", epoch=7),
             rank,
             names,
             LEASE,
@@ -125,13 +125,13 @@
         await other.begin(OpenEpoch(9, 0))
         await other.settle(CloseEpoch(9))
         view = await store.exchange(Exchange(lease()))
-        assert (view.era, view.settled) == (7, False)
+        assert (view.epoch, view.settled) == (7, False)
         await other.settle(CloseEpoch(7))
         assert (await store.view()).settled
         await other.begin(OpenEpoch(12, 7))
-        assert ((await store.view()).era, (await store.view()).settled) == (12, False)
+        assert ((await store.view()).epoch, (await store.view()).settled) == (12, False)
         server.keys.data[b"t:era"] = b"an era"  # no record of ours
-        assert (await store.view()).era == 0
+        assert (await store.view()).epoch == 0
 
     play(check)
 
@@ -219,7 +219,7 @@
         await store.restore(RepairStore(CommittedGeneration(5, ONE)))
         assert (await store.view()).committed.generation == 5
         await store.restore(
-            RepairStore(CommittedGeneration(2, TWO, era=1))
+            RepairStore(CommittedGeneration(2, TWO, epoch=1))
         )  # rolled out since the store was lost
         await store.restore(RepairStore(CommittedGeneration(9, ONE)))
         assert (await store.view()).committed.generation == 2
--- a/tests/agreement/test_stored_records.py
+++ b/tests/agreement/test_stored_records.py
@@ -81,7 +81,7 @@
 
 def test_a_generation_is_read_field_by_field():
     committed = decode_committed(stored("generation-rolled-out.json"))
-    assert (committed.generation, committed.at_ns, committed.era) == (8, 1_764_684_000_123_456_000, EPOCH)
+    assert (committed.generation, committed.at_ns, committed.epoch) == (8, 1_764_684_000_123_456_000, EPOCH)
     assert (committed.token, committed.by) == ("0123456789ab.1", "me@host")
     assert committed.content.digest == "391bbfcd1c8a6618"
     assert committed.content.volumes["vé"]["shards"] == [0, 1, 7]
