--- a/runloft/agreement/client.py
+++ b/runloft/agreement/client.py
@@ -25,10 +25,10 @@
     Effect,
     Exchange,
     LogEvent,
-    Member,
     OpenEpoch,
     PersistSnapshot,
     RepairStore,
+    Replica,
     StoreWrite,
 )
 from runloft.agreement.store import AgreementStore, StoreError
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Standing:
+class AgreementStatus:
     """What metrics and logs tell of the agreement."""
 
     generation: int = 0
@@ -55,7 +55,7 @@
     sayings: list[str] = field(default_factory=list)
 
 
-class Agreeing:
+class AgreementClient:
     """One sidecar's agreement."""
 
     def __init__(
@@ -70,13 +70,13 @@
         self.store = store or AgreementStore(settings.store, settings.prefix, settings.lease_ns, timeout_s)
         self.copy = LocalCopy(settings.directory, own.name)
         self.writer = CopyWriter(self.copy)
-        self.standing = Standing()
+        self.standing = AgreementStatus()
         self._running = anyio.CancelScope()
         self._told: tuple[Difference, ...] = ()
         self.content: Content | None = None
         self.take: Callable[[Config], None] = lambda config: None
         raw = own.raw or {}
-        self.member = Member(
+        self.member = Replica(
             own.name, uuid.uuid4().hex[:12], content_of(raw), settings.lease_ns, settings.fence_ns,
             self._refuses, clock(),
         )  # fmt: skip
--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -16,17 +16,17 @@
 import anyio
 
 from runloft.agreement.content import Content
-from runloft.agreement.fencing import over_ns
+from runloft.agreement.fencing import fence_expiry_ns
 from runloft.agreement.member import CloseEpoch, OpenEpoch
 from runloft.agreement.records import StoreView
 from runloft.agreement.rollout import (
     CommitGeneration,
     DropStage,
     Effect,
-    Phase,
     PutStage,
     ReportProgress,
-    RollOut,
+    Rollout,
+    RolloutPhase,
 )
 from runloft.agreement.store import AgreementStore, StoreError
 from runloft.config.commands import checked_fleet, misused, table, tell
@@ -158,7 +158,7 @@
     """
     lease_ns = store.lease_ms * 1_000_000
     fence_ns = fence_ns or int(FENCE_LEASES * lease_ns)
-    out = RollOut(uuid.uuid4().hex[:12], me(), plan, lease_ns, fence_ns, time.monotonic_ns())
+    out = Rollout(uuid.uuid4().hex[:12], me(), plan, lease_ns, fence_ns, time.monotonic_ns())
     began = time.monotonic()
     told: list[str] = []
 
@@ -200,7 +200,7 @@
         if not out.over:
             wait_s = lease_ns / 1e9 / ASKS
             await anyio.sleep(wait_s if silent_since is None else wait_s / HASTE)
-    done = out.phase is Phase.DONE
+    done = out.phase is RolloutPhase.DONE
     if report is not None:
         report |= {"done": done, "why": out.why, "seconds": time.monotonic() - began, "told": told}
         report["left_out"] = sorted(out.left_out)
@@ -260,7 +260,7 @@
     view = await store.view()
     lease = view.leases.get(name)
     mark = lease.mark if lease else None
-    ends = time.monotonic_ns() + (over_ns(max(fence_ns, lease.fence_ns)) if lease else 0)
+    ends = time.monotonic_ns() + (fence_expiry_ns(max(fence_ns, lease.fence_ns)) if lease else 0)
     while lease is not None and lease.mark == mark and time.monotonic_ns() < ends:
         await anyio.sleep(store.lease_ms / 1000 / ASKS)
         lease = (await store.view()).leases.get(name)
--- a/runloft/agreement/fencing.py
+++ b/runloft/agreement/fencing.py
@@ -19,12 +19,12 @@
 from runloft.config.settings import FENCE_DRIFT_DIVISOR
 
 
-def over_ns(fence_ns: int) -> int:
+def fence_expiry_ns(fence_ns: int) -> int:
     """Give how long whoever waits for a fence has to wait until it is over for certain."""
     return fence_ns + fence_ns // FENCE_DRIFT_DIVISOR
 
 
-class Stillness:
+class StalenessTracker:
     """How long something has been seen unchanged, by the clock of whoever looks."""
 
     def __init__(self) -> None:
--- a/runloft/agreement/member.py
+++ b/runloft/agreement/member.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, replace
 
 from runloft.agreement.content import Content, completed
-from runloft.agreement.fencing import Stillness, over_ns
+from runloft.agreement.fencing import StalenessTracker, fence_expiry_ns
 from runloft.agreement.records import CommittedGeneration, Lease, Stage, StoreView, Verdict, rank_of
 
-BEATS = 4  # exchanges in the time of a lease
+HEARTBEATS_PER_LEASE = 4  # exchanges in the time of a lease
 HASTE = 4  # after a failed exchange the next one comes this many times sooner, after each further one half so
 
 
@@ -95,7 +95,7 @@
 Effect = Exchange | StoreWrite | ApplyConfig | PersistSnapshot | LogEvent
 
 
-class Member:
+class Replica:
     """One sidecar."""
 
     def __init__(
@@ -119,11 +119,11 @@
         self.verdict: Verdict | None = None
         self.heard_at: int | None = None  # own clock: of the last view
         self.empty_since: int | None = None  # own clock: the store has held nothing since then
-        self.next_beat = now
+        self.next_heartbeat = now
         self.differences, self.held, self.copy_age_s = 0, 0, -1.0
         self._since_store, self._cut_off = 0, False
         self._asked_at, self._asked, self._heard, self._heard_ns, self._failures = now, 0, 0, 0, 0
-        self._fresh = Stillness()  # of an era that is not yet gone by
+        self._fresh = StalenessTracker()  # of an era that is not yet gone by
 
     # What is asked of it
 
@@ -138,7 +138,7 @@
 
     def next_at(self) -> int:
         """Give the time at which ``due`` has something to do."""
-        times = (self.next_beat, self.change_at, self.reserves_until)
+        times = (self.next_heartbeat, self.change_at, self.reserves_until)
         return min(time for time in times if time is not None)
 
     def remember(self, committed: CommittedGeneration, age_s: float, now: int) -> list[Effect]:
@@ -175,8 +175,8 @@
         if not self._cut_off and self.heard_at is not None and not self.connected(now):
             self._cut_off = True
             effects.append(LogEvent("cut off", self.served[0], "the store was not heard for a lease"))
-        if now >= self.next_beat:
-            self.next_beat, self._asked_at = now + self.lease_ns // BEATS, now
+        if now >= self.next_heartbeat:
+            self.next_heartbeat, self._asked_at = now + self.lease_ns // HEARTBEATS_PER_LEASE, now
             self._asked += 1
             effects.append(Exchange(self.lease(), self.verdict))
         return effects
@@ -194,11 +194,11 @@
 
     def lost(self, now: int) -> list[Effect]:
         """Heed that an exchange failed, whether the store took it or not."""
-        beat = self.lease_ns // BEATS
+        beat = self.lease_ns // HEARTBEATS_PER_LEASE
         # Guards a store that is back after a while against everybody's haste.
         wait = min(beat, beat // HASTE << min(self._failures, HASTE))
         self._failures += 1
-        self.next_beat = min(self.next_beat, now + wait)
+        self.next_heartbeat = min(self.next_heartbeat, now + wait)
         return []
 
     def seen(self, view: StoreView, now: int) -> list[Effect]:
@@ -224,7 +224,7 @@
         lasted = self._fresh.lasts(view.epoch, now)
         if view.settled:
             self.epoch = view.epoch
-        elif lasted >= over_ns(self.fence_ns):
+        elif lasted >= fence_expiry_ns(self.fence_ns):
             self.epoch = view.epoch
             return [CloseEpoch(view.epoch)]
         return []
@@ -301,7 +301,7 @@
         self.change_at = None
         self.served = (self.committed.generation, self.committed.content.digest)
         self._since_store = store_now or self.committed.at_ns
-        self.next_beat = min(self.next_beat, now)  # the change is told at once
+        self.next_heartbeat = min(self.next_heartbeat, now)  # the change is told at once
         self.content = self._content()
         adopted = ApplyConfig(self.content, self.committed.generation, self.reserves)
         return [adopted, LogEvent("in force", self.committed.generation)]
@@ -318,6 +318,6 @@
         if (stage.epoch, stage.generation) <= (epoch, mine):
             found = [f"generation {stage.generation} is staged, and {mine} was in force here", *found]
         self.verdict = Verdict(self.name, self.incarnation, stage.token, tuple(found[:8]))
-        self.next_beat = min(self.next_beat, now)
+        self.next_heartbeat = min(self.next_heartbeat, now)
         word = "refused" if found else "honoured"
         return [LogEvent(word, stage.generation, "; ".join(found[:3]))]
--- a/runloft/agreement/planning.py
+++ b/runloft/agreement/planning.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from runloft.agreement.content import Content, between, content_of, joined
-from runloft.agreement.rollout import CanNotError
+from runloft.agreement.rollout import NoSafePathError
 from runloft.config.faults import Fault, serious
 from runloft.config.fleet import Fleet, Volume
 from runloft.config.honouring import honourable
@@ -51,13 +51,13 @@
 
     def plan(old: Content | None) -> Sequence[Content]:
         if faults := short(new, Content()):
-            raise CanNotError("; ".join(map(str, faults)))
+            raise NoSafePathError("; ".join(map(str, faults)))
         if old is None or not short(new, old):
             return [new]
         middle = between(old, new)
         for pair in ((middle, old), (new, middle)):
             if faults := short(*pair):
-                raise CanNotError(
+                raise NoSafePathError(
                     "while one takes the other's place both are served, and not even in two steps can "
                     "that be honoured: " + "; ".join(map(str, faults))
                 )
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -13,14 +13,14 @@
 from enum import Enum
 
 from runloft.agreement.content import Content
-from runloft.agreement.fencing import Stillness, over_ns
+from runloft.agreement.fencing import StalenessTracker, fence_expiry_ns
 from runloft.agreement.member import CloseEpoch, OpenEpoch
 from runloft.agreement.records import CommittedGeneration, Lease, Mark, Rank, Stage, StoreView, rank_of
 
 PATIENCE = 4  # leases: for answers, and for all to have changed
 
 
-class Phase(Enum):
+class RolloutPhase(Enum):
     """How far it is."""
 
     READING = "reading"
@@ -75,14 +75,14 @@
 Effect = PutStage | CommitGeneration | DropStage | ReportProgress | OpenEpoch | CloseEpoch
 
 
-class CanNotError(Exception):
+class NoSafePathError(Exception):
     """There is no way from what is in force to what is wanted."""
 
 
-class RollOut:
+class Rollout:
     """One or more generations, one after the other.
 
-    ``plan`` gives them from what is in force (None: nothing), or raises ``CanNotError``.
+    ``plan`` gives them from what is in force (None: nothing), or raises ``NoSafePathError``.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self.token, self.by, self.plan = token, by, plan
         self.lease_ns, self.fence_ns = lease_ns, fence_ns
         self.steps: Sequence[Content] = ()
-        self.phase, self.since = Phase.READING, now
+        self.phase, self.since = RolloutPhase.READING, now
         self.why = ""  # it stopped
         self.unheard: frozenset[str] = frozenset()  # had not changed when patience ended
         self.left_out: set[str] = set()  # were silent
@@ -106,9 +106,9 @@
         self.wanted: CommittedGeneration | None = None
         self.step = 0
         self.renewed_at = now
-        self._epoch, self._force = Stillness(), Stillness()
-        self._hearing: dict[str, Stillness] = {}
-        self._marks: dict[str, Stillness] = {}
+        self._epoch, self._force = StalenessTracker(), StalenessTracker()
+        self._hearing: dict[str, StalenessTracker] = {}
+        self._marks: dict[str, StalenessTracker] = {}
         self._deaf: dict[str, int] = {}  # how long each has been seen to hear nothing
         self._mute: dict[str, int] = {}  # how long each has been seen to ask nothing
         self._in_force = 0  # how long what is in force has been seen to be
@@ -116,7 +116,7 @@
     @property
     def over(self) -> bool:
         """Say whether there is nothing more to do."""
-        return self.phase in (Phase.DONE, Phase.STOPPED)
+        return self.phase in (RolloutPhase.DONE, RolloutPhase.STOPPED)
 
     @property
     def _stage_token(self) -> str:
@@ -126,49 +126,49 @@
         """Heed what the store holds; asked for again and again until it is over."""
         self._in_force = self._force.lasts((rank_of(view.committed), view.epoch), now)
         for name, lease in view.leases.items():
-            self._deaf[name] = self._hearing.setdefault(name, Stillness()).lasts(lease.hearing, now)
-            self._mute[name] = self._marks.setdefault(name, Stillness()).lasts(lease.mark, now)
+            self._deaf[name] = self._hearing.setdefault(name, StalenessTracker()).lasts(lease.hearing, now)
+            self._mute[name] = self._marks.setdefault(name, StalenessTracker()).lasts(lease.mark, now)
         match self.phase:
-            case Phase.READING:
+            case RolloutPhase.READING:
                 return self._begin(view, now)
-            case Phase.STAGING | Phase.ASKING:
+            case RolloutPhase.STAGING | RolloutPhase.ASKING:
                 return self._asked(view, now)
-            case Phase.COMMITTING:
+            case RolloutPhase.COMMITTING:
                 return self._unsure(view, now)
-            case Phase.CHANGING:
+            case RolloutPhase.CHANGING:
                 return self._changing(view, now)
         return []
 
     def handle_stage_result(self, done: bool, now: int) -> list[Effect]:
         """Heed whether the stage was put."""
-        if self.phase is Phase.STAGING and done:
-            self._to(Phase.ASKING, now)
-        elif not done and self.phase in (Phase.STAGING, Phase.ASKING):
+        if self.phase is RolloutPhase.STAGING and done:
+            self._to(RolloutPhase.ASKING, now)
+        elif not done and self.phase in (RolloutPhase.STAGING, RolloutPhase.ASKING):
             return self._stop("another roll-out is under way, or another generation came into force")
         return []
 
     def handle_commit_result(self, done: bool, now: int) -> list[Effect]:
         """Heed whether it was brought into force; a lost reply tells nothing, the next view does."""
-        if self.phase is Phase.COMMITTING:
-            self._to(Phase.CHANGING if done else Phase.ASKING, now)
+        if self.phase is RolloutPhase.COMMITTING:
+            self._to(RolloutPhase.CHANGING if done else RolloutPhase.ASKING, now)
         return []
 
     def stopped(self, why: str) -> list[Effect]:
         """Stop on the operator's word, as far as it still can be stopped."""
-        if self.phase in (Phase.COMMITTING, Phase.CHANGING):
+        if self.phase in (RolloutPhase.COMMITTING, RolloutPhase.CHANGING):
             return [ReportProgress("it is in force, or may be: roll back to undo it")]
         return self._stop(why)
 
-    def _to(self, phase: Phase, now: int) -> None:
+    def _to(self, phase: RolloutPhase, now: int) -> None:
         if phase is not self.phase:
             # Asking goes on from where it was when a commit found that somebody had joined.
-            if (self.phase, phase) != (Phase.COMMITTING, Phase.ASKING):
+            if (self.phase, phase) != (RolloutPhase.COMMITTING, RolloutPhase.ASKING):
                 self.since = now
             self.phase = phase
 
     def _stop(self, why: str) -> list[Effect]:
-        staged = self.phase in (Phase.STAGING, Phase.ASKING)
-        self.phase, self.why = Phase.STOPPED, why
+        staged = self.phase in (RolloutPhase.STAGING, RolloutPhase.ASKING)
+        self.phase, self.why = RolloutPhase.STOPPED, why
         return [DropStage(self._stage_token)] if staged else []
 
     def _begin(self, view: StoreView, now: int) -> list[Effect]:
@@ -180,7 +180,7 @@
             return (
                 [OpenEpoch(epoch, view.epoch)] if now - self.since <= self._patience else self._stop("no era")
             )
-        if self._epoch.lasts(view.epoch, now) < over_ns(self.fence_ns) and not view.settled:
+        if self._epoch.lasts(view.epoch, now) < fence_expiry_ns(self.fence_ns) and not view.settled:
             return []  # the store has begun anew: who was cut off may hold a lease of what it was
         settle: list[Effect] = [] if view.settled else [CloseEpoch(view.epoch)]
         if view.committed is not None and view.committed.at_ns > view.now_ns:
@@ -190,14 +190,14 @@
         if self.step == 0:
             try:
                 self.steps = self.plan(view.committed.content if view.committed else None)
-            except CanNotError as error:
+            except NoSafePathError as error:
                 return self._stop(str(error))
         content = self.steps[self.step]
         if view.committed is not None and view.committed.content.digest == content.digest:
             return self._next(now)
         if view.stage is not None and not view.stage.token.startswith(f"{self.token}."):
             return self._stop(f"another roll-out is under way, by {view.stage.by}")
-        self._to(Phase.STAGING, now)
+        self._to(RolloutPhase.STAGING, now)
         self.renewed_at = now
         self.epoch = view.epoch
         stage = self._stage(content)
@@ -215,7 +215,7 @@
 
     def _left_out(self, lease: Lease) -> tuple[bool, bool]:
         """Say whether a sidecar may be left out of what comes next, and whether it is fenced for certain."""
-        over = over_ns(max(self.fence_ns, lease.fence_ns))
+        over = fence_expiry_ns(max(self.fence_ns, lease.fence_ns))
         fenced = self._mute[lease.name] >= over
         none_back = fenced or self._abreast(lease) or self._in_force >= over
         return self._deaf[lease.name] >= self.lease_ns and none_back, fenced
@@ -258,7 +258,7 @@
         before = self.base.content if self.base else None
         generation = (self.base.generation if self.base else 0) + 1
         self.wanted = CommittedGeneration(generation, content, 0, before, token, self.by, self.epoch)
-        self._to(Phase.COMMITTING, now)
+        self._to(RolloutPhase.COMMITTING, now)
         self.left_out |= left_out.keys()
         names = frozenset(view.names)
         said = f"honoured by {len(names) - len(left_out)}: generation {generation} comes into force"
@@ -272,12 +272,12 @@
     def _unsure(self, view: StoreView, now: int) -> list[Effect]:
         """Find out what became of a commit whose reply was lost."""
         if view.committed is not None and view.committed.token == self._stage_token:
-            self._to(Phase.CHANGING, now)
+            self._to(RolloutPhase.CHANGING, now)
             return self._changing(view, now)
         if rank_of(view.committed) == rank_of(self.base):
-            self._to(Phase.ASKING, now)
+            self._to(RolloutPhase.ASKING, now)
             return self._asked(view, now)
-        self.phase, self.why = Phase.STOPPED, "another generation came into force"
+        self.phase, self.why = RolloutPhase.STOPPED, "another generation came into force"
         return []
 
     def _changing(self, view: StoreView, now: int) -> list[Effect]:
@@ -295,7 +295,7 @@
         if now - self.since > self._patience + self.lease_ns:
             self.unheard = frozenset(late)
             if self.step + 1 < len(self.steps):
-                self.phase, self.why = Phase.STOPPED, f"not changed: {', '.join(sorted(late))}"
+                self.phase, self.why = RolloutPhase.STOPPED, f"not changed: {', '.join(sorted(late))}"
                 return []
             return self._next(now)
         return []
@@ -306,7 +306,7 @@
         self.step += 1
         self.wanted = None
         if self.step >= len(self.steps):
-            self.phase = Phase.DONE
+            self.phase = RolloutPhase.DONE
         else:
-            self._to(Phase.READING, now)
+            self._to(RolloutPhase.READING, now)
         return [said]
--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -14,7 +14,7 @@
 
 import anyio
 
-from runloft.agreement.client import Agreeing
+from runloft.agreement.client import AgreementClient
 from runloft.agreement.commands import roll_out
 from runloft.agreement.content import Content
 from runloft.agreement.store import AgreementStore
@@ -67,7 +67,7 @@
                 config = own_config(f"s{number}", str(Path(folder)), url, lease_ms)
                 settings = config.agreement
                 assert isinstance(settings, AgreementSettings)
-                member = Agreeing(settings, config, time.monotonic_ns)
+                member = AgreementClient(settings, config, time.monotonic_ns)
                 member.start()
                 member.take = _noting(changed, config.name)
                 members.append(member)
--- a/runloft/lab/scale/hollow.py
+++ b/runloft/lab/scale/hollow.py
@@ -13,7 +13,7 @@
 import anyio
 import anyio.abc
 
-from runloft.agreement.client import Agreeing
+from runloft.agreement.client import AgreementClient
 from runloft.config.settings import OPERATIONS, Config, config_from_json
 from runloft.core.model import NodeListUpdate
 from runloft.core.reducer import Core
@@ -93,7 +93,7 @@
 
     raw: dict[str, Any]
     runner: HollowRunner | None = None
-    agreeing: Agreeing | None = None
+    agreeing: AgreementClient | None = None
     reload: Reload | None = None
     group: anyio.abc.TaskGroup | None = None
     changes: list[tuple[int, float]] = field(default_factory=list)
@@ -146,7 +146,7 @@
 
     def _agreeing(self, config: Config, clock: Clock) -> None:
         assert config.agreement
-        self.agreeing = Agreeing(config.agreement, config, clock)
+        self.agreeing = AgreementClient(config.agreement, config, clock)
         self.agreeing.take = self._take
 
     def _take(self, config: Config) -> None:
--- a/runloft/service/admin.py
+++ b/runloft/service/admin.py
@@ -13,7 +13,7 @@
 from runloft.core.reducer import Core
 
 if TYPE_CHECKING:  # it brings the store's client along, which metrics need not
-    from runloft.agreement.client import Standing
+    from runloft.agreement.client import AgreementStatus
 
 log = structlog.get_logger()
 MOST_SHOWN = 20  # volumes with accounts among the metrics
@@ -22,7 +22,7 @@
 class Figures:
     """Gathered when they are asked for; what is read is replaced whole, so no lock is needed."""
 
-    def __init__(self, core: Core, standing: "Standing | None") -> None:
+    def __init__(self, core: Core, standing: "AgreementStatus | None") -> None:
         self.core, self.standing = core, standing
 
     def collect(self) -> Iterator[Metric]:
@@ -115,7 +115,9 @@
     return sorted(some, key=lambda item: (-item[1].whole_ns, item[0]))[:MOST_SHOWN]
 
 
-def admin_listener(where: tuple[str, int], core: Core, standing: "Standing | None") -> Callable[[], None]:
+def admin_listener(
+    where: tuple[str, int], core: Core, standing: "AgreementStatus | None"
+) -> Callable[[], None]:
     """Listen, in a thread of the library's; give what closes it."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(Figures(core, standing))
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -35,7 +35,7 @@
 from runloft.upstream.links import NodeLink, RespConnection
 
 if TYPE_CHECKING:
-    from runloft.agreement.client import Agreeing
+    from runloft.agreement.client import AgreementClient
 
 log = structlog.get_logger()
 POLL_S = 0.02  # while winding down
@@ -168,9 +168,9 @@
     agreeing = None
     if config.agreement:
         # Loaded here, like the object front: only where an operator's file sets it up.
-        from runloft.agreement.client import Agreeing
+        from runloft.agreement.client import AgreementClient
 
-        agreeing = Agreeing(config.agreement, config, clock)
+        agreeing = AgreementClient(config.agreement, config, clock)
         config = agreeing.start()
     core = Core(config.settings, config.seed, clock(), deadlines, config.bounds)
     core.held = config.held
@@ -195,7 +195,7 @@
     path: str | None,
     runner: Runner,
     received: AsyncIterator[signal.Signals],
-    agreeing: "Agreeing | None",
+    agreeing: "AgreementClient | None",
 ) -> None:
     core, deadlines, clock = runner.core, runner.deadlines, runner.clock
     async with anyio.create_task_group() as group:
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -30,16 +30,16 @@
     refusals,
 )
 from runloft.agreement.member import (
-    BEATS,
+    HEARTBEATS_PER_LEASE,
     AddOwnEntries,
     ApplyConfig,
     Bootstrap,
     CloseEpoch,
     Exchange,
-    Member,
     OpenEpoch,
     PersistSnapshot,
     RepairStore,
+    Replica,
 )
 from runloft.agreement.records import (
     NOTHING,
@@ -51,12 +51,12 @@
     Verdict,
 )
 from runloft.agreement.rollout import (
-    CanNotError,
     CommitGeneration,
     DropStage,
-    Phase,
+    NoSafePathError,
     PutStage,
-    RollOut,
+    Rollout,
+    RolloutPhase,
 )
 from runloft.config.operator import check_file
 
@@ -168,7 +168,7 @@
     def start(self, now):
         self.births += 1
         incarnation = f"{self.name}{self.births}"
-        self.member = Member(self.name, incarnation, self.own, LEASE, FENCE, lambda _: [], now)
+        self.member = Replica(self.name, incarnation, self.own, LEASE, FENCE, lambda _: [], now)
         self.served, self.alive, self.reserves = self.own, True, False
         if self.copy:
             self.heed(self.member.remember(self.copy, 1.0, now), None, now, None)
@@ -206,7 +206,7 @@
     """Somebody's ``config roll out``."""
 
     def __init__(self, token, wanted, now):
-        self.out, self.link = RollOut(token, token, ways(wanted), LEASE, FENCE, now), "up"
+        self.out, self.link = Rollout(token, token, ways(wanted), LEASE, FENCE, now), "up"
 
     def turn(self, store, now, chance):
         if self.out.over:
@@ -458,7 +458,7 @@
         world.advance(1)
     seen = sorted(set(changes))
     first = seen[0][0]
-    assert seen == [(first + n,) * 3 for n in range(3)] and tool.out.phase is Phase.DONE
+    assert seen == [(first + n,) * 3 for n in range(3)] and tool.out.phase is RolloutPhase.DONE
 
 
 def test_a_sidecar_that_refuses_stops_it_and_the_old_one_stays():
@@ -466,7 +466,7 @@
     world.sidecars[1].member.refuses = lambda _: ["volume v9 does not stand there"]
     before = world.store.rank
     out = roll_out(world, CHOICES[2])
-    assert out.phase is Phase.STOPPED and "s1: volume v9" in out.why
+    assert out.phase is RolloutPhase.STOPPED and "s1: volume v9" in out.why
     assert world.store.rank == before and world.store.stage is None
 
 
@@ -480,7 +480,7 @@
     for number, wanted in enumerate((CHOICES[2], CHOICES[3], CHOICES[2])):
         began = world.now
         out = roll_out(world, wanted, token=f"t{number}")  # World.check holds the rule at each instant
-        assert out.phase is Phase.DONE and out.left_out <= {"s0"}
+        assert out.phase is RolloutPhase.DONE and out.left_out <= {"s0"}
         assert {s.served.plans["p1"]["Parts"] for s in world.sidecars[1:]} == {wanted.plans["p1"]["Parts"]}
         if len(out.steps) == 1:
             assert world.now - began <= TEN_S
@@ -501,23 +501,23 @@
     world.advance((LEASE + TICK) // TICK)
     tool = Tool("t", CHOICES[1], world.now)  # in two steps
     world.tools.append(tool)
-    while tool.out.phase is not Phase.ASKING or world.now + 3 * TICK < tool.out.since + LEASE:
+    while tool.out.phase is not RolloutPhase.ASKING or world.now + 3 * TICK < tool.out.since + LEASE:
         world.advance(1)
-    one.link, one.member.next_beat = "up", world.now
+    one.link, one.member.next_heartbeat = "up", world.now
     one.turn(world.store, world.now, world.chance)
     one.link = "down"
     assert one.reserves
     world.advance(5 * FENCE // TICK)  # World.check holds the rule at each instant
-    assert tool.out.phase is Phase.DONE and len(tool.out.steps) == 2
+    assert tool.out.phase is RolloutPhase.DONE and len(tool.out.steps) == 2
 
 
 def test_a_sidecar_that_is_cut_off_reserves_nothing_once_its_fence_is_over():
     world = settled_world()
     one = world.sidecars[0]
     one.link, content = "down", one.served
-    world.advance((FENCE - LEASE // BEATS) // TICK - 1)
+    world.advance((FENCE - LEASE // HEARTBEATS_PER_LEASE) // TICK - 1)
     assert one.reserves
-    world.advance(LEASE // BEATS // TICK + 2)
+    world.advance(LEASE // HEARTBEATS_PER_LEASE // TICK + 2)
     assert not one.reserves and one.served == content
     one.link = "up"
     world.advance(LEASE // TICK)
@@ -528,7 +528,7 @@
     world = settled_world()
     one, store = world.sidecars[0].member, world.store
     until = one.reserves_until
-    one.due(one.next_beat)
+    one.due(one.next_heartbeat)
     one.seen(replace(store.told(), committed=None), world.now)
     assert one.reserves_until == until
     one.seen(store.told(), world.now)
@@ -556,7 +556,7 @@
     for one in world.sidecars[1:]:
         one.link = "down"
     world.advance(2 * FENCE // TICK)
-    assert roll_out(world, CHOICES[3]).phase is Phase.DONE  # the two others are left out
+    assert roll_out(world, CHOICES[3]).phase is RolloutPhase.DONE  # the two others are left out
     if not knows:
         world.sidecars[0].link = "down"
         for one in world.sidecars[1:]:
@@ -565,9 +565,9 @@
     tool = Tool("again", CHOICES[2], world.now)
     world.tools.append(tool)
     world.advance(FENCE // TICK - 1)
-    assert tool.out.phase is Phase.READING and not any(s.reserves for s in world.sidecars[1:])
+    assert tool.out.phase is RolloutPhase.READING and not any(s.reserves for s in world.sidecars[1:])
     world.advance(6 * LEASE // TICK)
-    assert tool.out.phase is Phase.DONE
+    assert tool.out.phase is RolloutPhase.DONE
     for one in world.sidecars:
         one.link = "up"
     world.advance(2 * LEASE // TICK)
@@ -579,7 +579,7 @@
     world = settled_world()
     world.store.names |= {"old"}
     out = roll_out(world, CHOICES[2])
-    assert out.phase is Phase.STOPPED and "no lease of this version" in out.why and "old" in out.why
+    assert out.phase is RolloutPhase.STOPPED and "no lease of this version" in out.why and "old" in out.why
 
 
 def test_an_answer_counts_for_the_start_that_gave_it():
@@ -625,14 +625,14 @@
             reserves(CHOICES[2]),
             reserves(between(CHOICES[0], CHOICES[2])),
         )
-    assert roll_out(world, CHOICES[2], 400, "again").phase is Phase.DONE
+    assert roll_out(world, CHOICES[2], 400, "again").phase is RolloutPhase.DONE
 
 
 def test_a_sidecar_cut_off_through_the_change_serves_on_by_the_old_and_follows_when_it_is_back():
     world = settled_world()
     tool = Tool("t", CHOICES[3], world.now)
     world.tools.append(tool)
-    while tool.out.phase is not Phase.CHANGING:
+    while tool.out.phase is not RolloutPhase.CHANGING:
         world.advance(1)
     cut = world.sidecars[0]
     cut.link = "down"
@@ -649,7 +649,7 @@
 def test_a_lost_reply_to_the_commit_is_found_out():
     world = settled_world()
     tool = Tool("t", CHOICES[3], world.now)
-    while tool.out.phase is not Phase.COMMITTING:
+    while tool.out.phase is not RolloutPhase.COMMITTING:
         world.advance(2)
         for effect in tool.out.seen(world.store.view(), world.now):
             if isinstance(effect, PutStage | CommitGeneration):
@@ -658,7 +658,7 @@
                     tool.out.handle_stage_result(done, world.now)
     world.tools.append(tool)  # whether it was done has not been told to it
     world.advance(100)
-    assert tool.out.phase is Phase.DONE and world.store.name == world.sidecars[0].member.served
+    assert tool.out.phase is RolloutPhase.DONE and world.store.name == world.sidecars[0].member.served
 
 
 @pytest.mark.parametrize("step", [-50 * LEASE, 50 * LEASE])
@@ -666,7 +666,7 @@
     world = settled_world()
     tool = Tool("t", CHOICES[3], world.now)
     world.tools.append(tool)
-    while tool.out.phase is not Phase.CHANGING:
+    while tool.out.phase is not RolloutPhase.CHANGING:
         world.advance(1)
     committed = world.now
     world.store.clock += step
@@ -686,12 +686,12 @@
 
 def test_no_way_is_no_roll_out():
     def plan(_):
-        raise CanNotError("c reserves 3 units/s on shard 2, which bears 1")
+        raise NoSafePathError("c reserves 3 units/s on shard 2, which bears 1")
 
-    out = RollOut("t", "me", plan, LEASE, FENCE, 0)
+    out = Rollout("t", "me", plan, LEASE, FENCE, 0)
     assert (
         out.seen(StoreView(1, epoch=1, settled=True), 0) == []
-        and out.phase is Phase.STOPPED
+        and out.phase is RolloutPhase.STOPPED
         and "bears 1" in out.why
     )
 
--- a/tests/agreement/test_golden_sequences.py
+++ b/tests/agreement/test_golden_sequences.py
@@ -16,13 +16,20 @@
     CloseEpoch,
     Exchange,
     LogEvent,
-    Member,
     OpenEpoch,
     PersistSnapshot,
     RepairStore,
+    Replica,
 )
 from runloft.agreement.records import CommittedGeneration, Lease, Stage, StoreView, Verdict
-from runloft.agreement.rollout import CommitGeneration, DropStage, Phase, PutStage, ReportProgress, RollOut
+from runloft.agreement.rollout import (
+    CommitGeneration,
+    DropStage,
+    PutStage,
+    ReportProgress,
+    Rollout,
+    RolloutPhase,
+)
 from tests.agreement.test_agreement import CHOICES, FENCE, LEASE, TICK, Tool, World, content
 
 REPLICA_DIGEST = "ee9f62abca1f465d3b505cc9becb522ab11671d215038c369d2bd0cf1f275424"
@@ -120,7 +127,7 @@
 
     def add_rollout(self, rollout):
         self.add(
-            tuple(Phase).index(rollout.phase),
+            tuple(RolloutPhase).index(rollout.phase),
             rollout.over,
             rollout.why,
             sorted(rollout.unheard),
@@ -165,7 +172,7 @@
     chance = random.Random(seed)
     own = content(8, 2, more=chance.choice(((), ("x",), ("x", "y"))))
     now = chance.randrange(0, 1000)
-    replica = Member(
+    replica = Replica(
         "s0", f"i{seed}", own, LEASE, FENCE, lambda new: ["no"] * (len(new.plans["p1"]) % 3), now
     )
     store_ahead = 1_000_000
@@ -262,10 +269,10 @@
     recording = Recording()
     for name in ("due", "seen", "lost"):
         recording.wrap(
-            monkeypatch, Member, name, lambda replica, *rest: recording.add_replica(replica, rest[-1])
+            monkeypatch, Replica, name, lambda replica, *rest: recording.add_replica(replica, rest[-1])
         )
     for name in ("seen", "handle_stage_result", "handle_commit_result", "stopped"):
-        recording.wrap(monkeypatch, RollOut, name, lambda rollout, *_: recording.add_rollout(rollout))
+        recording.wrap(monkeypatch, Rollout, name, lambda rollout, *_: recording.add_rollout(rollout))
     for seed in range(30):
         closed_loop_sequence(seed, recording)
     assert recording.kinds == set(range(1, 14))
