--- a/runloft/agreement/client.py
+++ b/runloft/agreement/client.py
@@ -16,7 +16,7 @@
     refusals,
     unreserved,
 )
-from runloft.agreement.local_snapshot import CopyError, CopyWriter, LocalCopy
+from runloft.agreement.local_snapshot import LocalSnapshot, SnapshotError, SnapshotWriter
 from runloft.agreement.member import (
     AddOwnEntries,
     ApplyConfig,
@@ -48,9 +48,9 @@
     reserves: bool = False  # of the generation are held: it is under a lease
     differences: tuple[tuple[str, str, str], ...] = ()  # what, name, key
     held: tuple[str, ...] = ()
-    copy_age_s: float = -1.0
+    snapshot_age_s: float = -1.0
     failures: int = 0
-    copy_failures: int = 0
+    snapshot_failures: int = 0
     exchanges: int = 0
     sayings: list[str] = field(default_factory=list)
 
@@ -68,8 +68,8 @@
         self.settings, self.own, self.clock = settings, own, clock
         self.timeout_s = timeout_s = settings.lease_ns / 1e9 / 4  # of one exchange or write
         self.store = store or AgreementStore(settings.store, settings.prefix, settings.lease_ns, timeout_s)
-        self.copy = LocalCopy(settings.directory, own.name)
-        self.writer = CopyWriter(self.copy)
+        self.copy = LocalSnapshot(settings.directory, own.name)
+        self.writer = SnapshotWriter(self.copy)
         self.standing = AgreementStatus()
         self._running = anyio.CancelScope()
         self._told: tuple[Difference, ...] = ()
@@ -87,8 +87,8 @@
     def start(self) -> Config:
         """Begin with the copy that this machine has kept; give what is gone by: without reserves, as yet."""
         try:
-            kept = self.copy.read_patiently()
-        except CopyError as error:
+            kept = self.copy.read_with_retries()
+        except SnapshotError as error:
             log.warning("the local copy is passed over", error=str(error))
             kept = None
         if kept is None:
@@ -99,7 +99,7 @@
                 self.content, self.standing.generation = effect.content, effect.generation
             elif isinstance(effect, LogEvent):
                 self._say(effect)
-        self.standing.copy_age_s = kept.age_s
+        self.standing.snapshot_age_s = kept.age_s
         return self.agreed(self.own)
 
     def agreed(self, own: Config) -> Config:
@@ -157,7 +157,7 @@
                 await anyio.sleep(wait / 1e9)
             await self._carry_out(self.member.due(self.clock()))
             self.standing.connected = self.member.connected(self.clock())
-            self.standing.copy_failures = self.writer.failures
+            self.standing.snapshot_failures = self.writer.failures
 
     async def stop(self) -> None:
         """Leave in order, if the store answers soon; no exchange comes after that and takes it back."""
--- a/runloft/agreement/local_snapshot.py
+++ b/runloft/agreement/local_snapshot.py
@@ -27,16 +27,16 @@
 LAST_WRITE_S = 0.2  # for one that is being written when the program ends
 
 
-class CopyError(Exception):
+class SnapshotError(Exception):
     """A copy that can't be trusted, or a directory that can't be used."""
 
 
-class UnreadableCopyError(CopyError):
+class UnreadableSnapshotError(SnapshotError):
     """A file that could not be read just now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Copy:
+class Snapshot:
     """What was in force when it was kept, and how long ago that is."""
 
     committed: CommittedGeneration
@@ -60,7 +60,7 @@
         return None
 
 
-class LocalCopy:
+class LocalSnapshot:
     """One sidecar's copy."""
 
     def __init__(
@@ -88,35 +88,35 @@
             os.replace(fresh, self.path)
             _sync_directory(self.path.parent)
         except OSError as error:
-            raise CopyError(f"{self.path}: {error}") from error
+            raise SnapshotError(f"{self.path}: {error}") from error
 
-    def read(self) -> Copy | None:
+    def read(self) -> Snapshot | None:
         """Read it back; None where nothing was kept."""
         try:
             data = self.path.read_bytes()
         except FileNotFoundError:
             return None
         except OSError as error:
-            raise UnreadableCopyError(f"{self.path}: {error}") from error
+            raise UnreadableSnapshotError(f"{self.path}: {error}") from error
         if not data:
             return None
         if _is_mapped(data):
             return self._mapped(data)
         if not data.startswith(FORMAT):
-            raise CopyError(f"{self.path}: another version's copy, or none")
+            raise SnapshotError(f"{self.path}: another version's copy, or none")
         return self._parse(data[len(FORMAT) :])
 
-    def read_patiently(self, sleep: Callable[[float], None] = time.sleep) -> Copy | None:
+    def read_with_retries(self, sleep: Callable[[float], None] = time.sleep) -> Snapshot | None:
         """Read it back; what can't be read for a moment is read again."""
         for _ in range(READ_TRIES):
             try:
                 return self.read()
-            except UnreadableCopyError as error:
+            except UnreadableSnapshotError as error:
                 log.warning("the local copy can't be read yet", error=str(error))
                 sleep(READ_AGAIN_S)
         return self.read()
 
-    def _mapped(self, data: bytes) -> Copy | None:
+    def _mapped(self, data: bytes) -> Snapshot | None:
         """Read the version before's, the newest of those that its pages still hold.
 
         Not by that store's own reader: it maps the file, and dies where pages are missing.
@@ -128,23 +128,23 @@
                 body = rest.decode("utf-8", "replace")
                 _, end = json.JSONDecoder().raw_decode(body)
                 found.append(self._parse(sum_ + b"\n" + body[:end].encode()))
-            except (ValueError, CopyError) as caught:
+            except (ValueError, SnapshotError) as caught:
                 error = caught
         if not found and error is not None:
-            raise CopyError(f"{self.path}: no whole copy is left in it: {error}")
+            raise SnapshotError(f"{self.path}: no whole copy is left in it: {error}")
         return max(found, key=lambda copy: copy.committed.rank) if found else None
 
-    def _parse(self, data: bytes) -> Copy:
+    def _parse(self, data: bytes) -> Snapshot:
         sum_, _, body = data.partition(b"\n")
         if hashlib.sha256(body).hexdigest().encode() != sum_:
-            raise CopyError(f"{self.path}: its sum is wrong")
+            raise SnapshotError(f"{self.path}: its sum is wrong")
         try:
             raw = json.loads(body)
             if raw["name"] != self.name:
-                raise CopyError(f"{self.path}: it is {raw['name']}'s")
-            return Copy(decode_committed(raw["force"]), self._age_s(raw))
+                raise SnapshotError(f"{self.path}: it is {raw['name']}'s")
+            return Snapshot(decode_committed(raw["force"]), self._age_s(raw))
         except (KeyError, TypeError, ValueError, RecordError) as error:
-            raise CopyError(f"{self.path}: {error!r}") from None
+            raise SnapshotError(f"{self.path}: {error!r}") from None
 
     def _age_s(self, raw: dict[str, object]) -> float:
         """Give its age: by time since the machine started, else by the wall clock, which may be stepped."""
@@ -154,13 +154,13 @@
         return max(0.0, (self.unix_ns() - int(str(raw["at_ns"]))) / 1e9)
 
 
-class CopyWriter:
+class SnapshotWriter:
     """Writes copies in a thread of its own, the newest alone, until it is written.
 
     Nobody waits for the disk: neither the lease nor the end of the program depends on it.
     """
 
-    def __init__(self, copy: LocalCopy) -> None:
+    def __init__(self, copy: LocalSnapshot) -> None:
         self.copy, self.failures = copy, 0
         self._wanted: CommittedGeneration | None = None
         self._changed = threading.Condition()
@@ -212,7 +212,7 @@
     def _written(self, committed: CommittedGeneration) -> bool:
         try:
             self.copy.keep(committed)
-        except CopyError as error:
+        except SnapshotError as error:
             self.failures += 1
             log.warning("no local copy was kept, it is tried again", error=str(error))
             return False
--- a/runloft/agreement/member.py
+++ b/runloft/agreement/member.py
@@ -120,7 +120,7 @@
         self.heard_at: int | None = None  # own clock: of the last view
         self.empty_since: int | None = None  # own clock: the store has held nothing since then
         self.next_heartbeat = now
-        self.differences, self.held, self.copy_age_s = 0, 0, -1.0
+        self.differences, self.held, self.snapshot_age_s = 0, 0, -1.0
         self._since_store, self._cut_off = 0, False
         self._asked_at, self._asked, self._heard, self._heard_ns, self._failures = now, 0, 0, 0, 0
         self._fresh = StalenessTracker()  # of an era that is not yet gone by
@@ -147,7 +147,7 @@
         A change that was foreseen in it has come by now: nobody who restarts can know otherwise, and
         the others change within a lease.
         """
-        self.copy_age_s, self.committed = age_s, committed
+        self.snapshot_age_s, self.committed = age_s, committed
         effects: list[Effect] = [LogEvent("from copy", committed.generation, f"{age_s:.0f} s old")]
         return effects + self._adopt(now)
 
@@ -186,7 +186,7 @@
         generation, digest = self.served
         return Lease(
             self.name, self.incarnation, generation, digest, self.own.digest,
-            self.differences, self.held, self._since_store, self.copy_age_s,
+            self.differences, self.held, self._since_store, self.snapshot_age_s,
             self._asked, self._heard, self._heard_ns, self.fence_ns, self.reserves,
         )  # fmt: skip
 
--- a/runloft/agreement/records.py
+++ b/runloft/agreement/records.py
@@ -69,7 +69,7 @@
     differences: int = 0
     held: int = 0
     since_ns: int = 0  # store's time from which it has served by this
-    copy_age_s: float = -1.0  # of the local copy that it started from; below 0: it did not
+    snapshot_age_s: float = -1.0  # of the local copy that it started from; below 0: it did not
     asked: int = 0  # exchanges, since its start
     heard: int = 0  # exchanges that were answered, since its start
     heard_ns: int = 0  # store's time of the last of them: for those who read, nothing is decided by it
--- a/runloft/service/admin.py
+++ b/runloft/service/admin.py
@@ -41,7 +41,7 @@
             ("runloft_agreement_connected", "1: the store was heard within a lease.", standing.connected),
             ("runloft_agreement_reserves", "1: reserves are held, under a lease.", standing.reserves),
             ("runloft_agreement_copy_age_seconds", "Of the copy it started from; -1: none.",
-             standing.copy_age_s),
+             standing.snapshot_age_s),
         ):  # fmt: skip
             gauge = GaugeMetricFamily(name, text)
             gauge.add_metric([], float(value))
@@ -49,7 +49,7 @@
         for name, text, count in (
             ("runloft_agreement_exchanges", "Exchanges with the store.", standing.exchanges),
             ("runloft_agreement_failures", "Exchanges that failed.", standing.failures),
-            ("runloft_agreement_copy_failures", "Failed writes of the copy.", standing.copy_failures),
+            ("runloft_agreement_copy_failures", "Failed writes of the copy.", standing.snapshot_failures),
         ):
             counter = CounterMetricFamily(name, text)
             counter.add_metric([], count)
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -680,7 +680,7 @@
     one = world.sidecars[2]  # whose own file is at fault
     one.link = "down"
     one.start(world.now)
-    assert one.served.plans["p1"]["Parts"] == 1.0 and one.member.copy_age_s == 1.0
+    assert one.served.plans["p1"]["Parts"] == 1.0 and one.member.snapshot_age_s == 1.0
     assert not one.member.connected(world.now)
 
 
--- a/tests/agreement/test_local_copy.py
+++ b/tests/agreement/test_local_copy.py
@@ -10,11 +10,11 @@
 from runloft.agreement.content import Content
 from runloft.agreement.local_snapshot import (
     BootTime,
-    Copy,
-    CopyError,
-    CopyWriter,
-    LocalCopy,
-    UnreadableCopyError,
+    LocalSnapshot,
+    Snapshot,
+    SnapshotError,
+    SnapshotWriter,
+    UnreadableSnapshotError,
 )
 from runloft.agreement.records import CommittedGeneration
 
@@ -38,13 +38,13 @@
 @pytest.mark.parametrize("part", [0.3, 0.6, 0.9])
 def test_a_copy_that_was_cut_off_ends_no_process(tmp_path, part):
     """The embedded store mapped the file: a page that was not there was a SIGBUS, at each start."""
-    copy = LocalCopy(str(tmp_path), "s0")
+    copy = LocalSnapshot(str(tmp_path), "s0")
     copy.keep(CommittedGeneration(3, ONE))
 
     def read():
         os.truncate(copy.path, int(copy.path.stat().st_size * part))
-        with pytest.raises(CopyError):
-            LocalCopy(str(tmp_path), "s0").read()
+        with pytest.raises(SnapshotError):
+            LocalSnapshot(str(tmp_path), "s0").read()
 
     assert in_child(read) == 0
 
@@ -69,10 +69,10 @@
 @pytest.mark.parametrize("call", ["fsync", "replace"])
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
 def test_a_write_that_fails_leaves_the_copy_before(tmp_path, monkeypatch, call, number):
-    copy = LocalCopy(str(tmp_path), "s0")
+    copy = LocalSnapshot(str(tmp_path), "s0")
     copy.keep(CommittedGeneration(2, ONE))
     failing(monkeypatch, call, 1, number)
-    with pytest.raises(CopyError):
+    with pytest.raises(SnapshotError):
         copy.keep(CommittedGeneration(3, ONE))
     assert copy.read().committed.generation == 2
     copy.keep(CommittedGeneration(3, ONE))
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("call", ["fsync", "replace"])
 def test_a_kill_at_any_moment_of_a_write_leaves_one_of_the_two(tmp_path, monkeypatch, call):
-    copy = LocalCopy(str(tmp_path), "s0")
+    copy = LocalSnapshot(str(tmp_path), "s0")
     copy.keep(CommittedGeneration(2, ONE))
 
     def killed():
@@ -98,12 +98,12 @@
     """It was issued once a generation: a restart went by one that was two back."""
     monkeypatch.setattr(copies, "RETRY_LEAST_S", 0.001)
     failures = failing(monkeypatch, "fsync", 4)
-    writer = CopyWriter(LocalCopy(str(tmp_path), "s0"))
+    writer = SnapshotWriter(LocalSnapshot(str(tmp_path), "s0"))
     for generation in (2, 3, 4):
         writer.keep(CommittedGeneration(generation, ONE))
     writer.stop(10)
     if writer.is_behind:  # the end came between two tries
-        again = CopyWriter(writer.copy)
+        again = SnapshotWriter(writer.copy)
         monkeypatch.undo()
         again.keep(CommittedGeneration(4, ONE))
         again.stop(10)
@@ -114,7 +114,7 @@
 def test_a_write_goes_on_until_the_disk_is_back(tmp_path, monkeypatch):
     monkeypatch.setattr(copies, "RETRY_LEAST_S", 0.001)
     failures, written = failing(monkeypatch, "fsync", 5), threading.Event()
-    writer = CopyWriter(LocalCopy(str(tmp_path), "s0"))
+    writer = SnapshotWriter(LocalSnapshot(str(tmp_path), "s0"))
     real = writer.copy.keep
 
     def keep(committed):
@@ -137,7 +137,7 @@
         held.wait(10)
 
     monkeypatch.setattr(os, "fsync", hang)
-    writer = CopyWriter(LocalCopy(str(tmp_path), "s0"))
+    writer = SnapshotWriter(LocalSnapshot(str(tmp_path), "s0"))
     writer.keep(CommittedGeneration(2, ONE))
     assert began.wait(10)
     writer.keep(CommittedGeneration(3, ONE))
@@ -149,17 +149,17 @@
 
 def test_a_copys_age_is_real_time_whatever_the_wall_clock_does(tmp_path):
     wall, boot = [10**18], [BootTime("one", 5 * SECOND)]
-    copy = LocalCopy(str(tmp_path), "s0", lambda: wall[0], lambda: boot[0])
+    copy = LocalSnapshot(str(tmp_path), "s0", lambda: wall[0], lambda: boot[0])
     copy.keep(CommittedGeneration(3, ONE))
     wall[0] += 3600 * SECOND
     boot[0] = BootTime("one", 95 * SECOND)
-    assert copy.read() == Copy(CommittedGeneration(3, ONE), 90.0)
+    assert copy.read() == Snapshot(CommittedGeneration(3, ONE), 90.0)
     boot[0] = BootTime("two", SECOND)  # the machine was started again: there is the wall clock alone
     assert copy.read().age_s == 3600.0
 
 
 def test_a_directory_that_can_not_be_read_at_first_is_read_soon(tmp_path, monkeypatch):
-    copy, left, slept = LocalCopy(str(tmp_path), "s0"), [2], []
+    copy, left, slept = LocalSnapshot(str(tmp_path), "s0"), [2], []
     copy.keep(CommittedGeneration(3, ONE))
     real = copies.Path.read_bytes
 
@@ -170,17 +170,17 @@
         return real(path)
 
     monkeypatch.setattr(copies.Path, "read_bytes", read_bytes)
-    assert copy.read_patiently(slept.append).committed.generation == 3 and len(slept) == 2
+    assert copy.read_with_retries(slept.append).committed.generation == 3 and len(slept) == 2
     left[0] = 100
-    with pytest.raises(UnreadableCopyError):
-        copy.read_patiently(slept.append)
+    with pytest.raises(UnreadableSnapshotError):
+        copy.read_with_retries(slept.append)
 
 
 @pytest.mark.parametrize("harm", ["", "newest", "all"])
 def test_the_copy_of_the_version_before_is_read(tmp_path, harm):
     """Its pages hold several copies; the newest whole one counts, and a file of its own follows."""
     copy, pages = (
-        LocalCopy(str(tmp_path), "s0", boot=lambda: None),
+        LocalSnapshot(str(tmp_path), "s0", boot=lambda: None),
         [b"\0" * 16 + b"\xde\xc0\xef\xbe" + b"\0" * 99],
     )
     for generation in (2, 4, 3):
@@ -191,7 +191,7 @@
         pages.append(page + b"\0\xff" * 20)
     copy.path.write_bytes(b"".join(pages))
     if harm == "all":
-        with pytest.raises(CopyError):
+        with pytest.raises(SnapshotError):
             copy.read()
     else:
         assert copy.read().committed.generation == (3 if harm else 4)
--- a/tests/agreement/test_sharing.py
+++ b/tests/agreement/test_sharing.py
@@ -18,7 +18,7 @@
 
 from runloft.agreement.codec import encode_lease
 from runloft.agreement.content import Content
-from runloft.agreement.local_snapshot import Copy, CopyError, LocalCopy
+from runloft.agreement.local_snapshot import LocalSnapshot, Snapshot, SnapshotError
 from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
 from runloft.agreement.records import NOTHING, CommittedGeneration, Lease, Stage, Verdict
 from runloft.agreement.rollout import CommitGeneration, PutStage
@@ -320,20 +320,20 @@
 
 def test_a_copy_is_read_back_with_its_age(tmp_path):
     clock = [10**18]
-    copy = LocalCopy(str(tmp_path / "deep"), "s0", lambda: clock[0], lambda: None)
+    copy = LocalSnapshot(str(tmp_path / "deep"), "s0", lambda: clock[0], lambda: None)
     assert copy.read() is None
     committed = CommittedGeneration(3, ONE, 7, TWO, "t.0", "me")
     copy.keep(CommittedGeneration(2, TWO))
     copy.keep(committed)
     clock[0] += 90 * 10**9
-    assert copy.read() == Copy(committed, 90.0)
+    assert copy.read() == Snapshot(committed, 90.0)
     clock[0] -= 10**12
     assert copy.read().age_s == 0.0
 
 
 @pytest.mark.parametrize("harm", ["cut", "noise", "sum", "newer", "foreign", "empty"])
 def test_a_copy_that_can_not_be_trusted_is_told(tmp_path, harm):
-    copy = LocalCopy(str(tmp_path), "s0")
+    copy = LocalSnapshot(str(tmp_path), "s0")
     copy.keep(CommittedGeneration(3, ONE))
     data = copy.path.read_bytes()
     if harm == "cut":
@@ -346,12 +346,12 @@
         copy.path.write_bytes(data.replace(b"runloft-copy-2", b"runloft-copy-3"))
     elif harm == "foreign":
         shutil.copy(copy.path, tmp_path / "s1.copy")
-        copy = LocalCopy(str(tmp_path), "s1")
+        copy = LocalSnapshot(str(tmp_path), "s1")
     elif harm == "empty":
         copy.path.write_bytes(b"")
         assert copy.read() is None
         return
-    with pytest.raises(CopyError):
+    with pytest.raises(SnapshotError):
         copy.read()
 
 
--- a/tests/agreement/test_stored_records.py
+++ b/tests/agreement/test_stored_records.py
@@ -21,7 +21,7 @@
     encode_stage,
     encode_verdict,
 )
-from runloft.agreement.local_snapshot import BootTime, LocalCopy
+from runloft.agreement.local_snapshot import BootTime, LocalSnapshot
 from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
 from runloft.agreement.records import CommittedGeneration, Lease, Stage, Verdict
 from runloft.agreement.rollout import CommitGeneration, DropStage, PutStage
@@ -74,7 +74,7 @@
     assert (lease.name, lease.incarnation, lease.generation) == ("s0", "0f0e0d0c0b0a", 8)
     assert (lease.digest, lease.own) == ("391bbfcd1c8a6618", "539addc558e09575")
     assert (lease.differences, lease.held, lease.since_ns) == (3, 2, 1_764_684_000_123_456_000)
-    assert (lease.copy_age_s, lease.asked, lease.heard) == (12.25, 17, 15)
+    assert (lease.snapshot_age_s, lease.asked, lease.heard) == (12.25, 17, 15)
     assert (lease.heard_ns, lease.fence_ns) == (1_764_684_009_000_000_000, 7_500_000_000)
     assert lease.reserves is True
 
@@ -95,9 +95,9 @@
 def test_a_local_copys_file_is_written_back_byte_for_byte(tmp_path, name, boot, generation, age_s):
     shutil.copy(STORED / f"{name}.copy", tmp_path)
     later = BootTime(BOOT.boot, BOOT.since_ns + 5_000_000_000) if boot else None
-    kept = LocalCopy(str(tmp_path), name, lambda: UNIX_NS + 60_000_000_000, lambda: later).read()
+    kept = LocalSnapshot(str(tmp_path), name, lambda: UNIX_NS + 60_000_000_000, lambda: later).read()
     assert kept.age_s == age_s and written(kept.committed) == stored(generation)
-    again = LocalCopy(str(tmp_path / "again"), name, lambda: UNIX_NS, lambda: boot)
+    again = LocalSnapshot(str(tmp_path / "again"), name, lambda: UNIX_NS, lambda: boot)
     again.keep(kept.committed)
     assert again.path.read_bytes() == stored(f"{name}.copy")
     assert again.path.name == f"{name}.copy"
@@ -105,7 +105,7 @@
 
 def test_the_lmdb_copy_of_the_version_before_is_read_and_replaced_by_a_file(tmp_path):
     shutil.copy(STORED / "lmdb.copy", tmp_path / "s0.copy")
-    copy = LocalCopy(str(tmp_path), "s0", lambda: UNIX_NS, lambda: BOOT)
+    copy = LocalSnapshot(str(tmp_path), "s0", lambda: UNIX_NS, lambda: BOOT)
     kept = copy.read()
     assert kept.age_s == 0.0 and written(kept.committed) == stored("generation-rolled-out.json")
     copy.keep(kept.committed)
