--- a/runloft/agreement/client.py
+++ b/runloft/agreement/client.py
@@ -1,223 +1,240 @@
-"""Keeps a sidecar in the agreement: the store's exchanges beside the turn, never in a request's way."""
+"""Keeps one sidecar in the agreement: runs its state machine over the store, beside the data path."""
 
 import uuid
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 
 import anyio
 import structlog
 
-from runloft.agreement.content import (
-    Content,
-    Difference,
-    Effective,
-    content_of,
-    effective,
-    refusals,
-    unreserved,
-)
-from runloft.agreement.local_snapshot import LocalSnapshot, SnapshotError, SnapshotWriter
-from runloft.agreement.member import (
+from runloft.agreement.content import Content, content_of_file
+from runloft.agreement.effective import Difference, Effective, effective, refusals, without_reserves
+from runloft.agreement.effects import (
     AddOwnEntries,
     ApplyConfig,
     Bootstrap,
     CloseEpoch,
-    Effect,
     Exchange,
     LogEvent,
     OpenEpoch,
     PersistSnapshot,
     RepairStore,
-    Replica,
-    StoreWrite,
+    ReplicaEffect,
+    ReplicaWrite,
 )
-from runloft.agreement.store import AgreementStore, StoreError
+from runloft.agreement.errors import SnapshotError, StoreError
+from runloft.agreement.local_snapshot import LocalSnapshot, Snapshot
+from runloft.agreement.replica import Replica
+from runloft.agreement.snapshot_writer import SnapshotWriter
+from runloft.agreement.status import AgreementStatus
+from runloft.agreement.store import AgreementStore
 from runloft.config.faults import ConfigError
 from runloft.config.settings import AgreementSettings, Config, config_from_json
 from runloft.core.model import SuspendedVolumes
 
 log = structlog.get_logger()
-
-
-@dataclass
-class AgreementStatus:
-    """What metrics and logs tell of the agreement."""
-
-    generation: int = 0
-    connected: bool = False
-    reserves: bool = False  # of the generation are held: it is under a lease
-    differences: tuple[tuple[str, str, str], ...] = ()  # what, name, key
-    held: tuple[str, ...] = ()
-    snapshot_age_s: float = -1.0
-    failures: int = 0
-    snapshot_failures: int = 0
-    exchanges: int = 0
-    sayings: list[str] = field(default_factory=list)
+NS_PER_S = 1e9
+EXCHANGE_TIMEOUTS_PER_LEASE = 4
+INCARNATION_DIGITS = 12
+MAX_EVENTS = 20  # that the status keeps
 
 
 class AgreementClient:
-    """One sidecar's agreement."""
+    """One sidecar's agreement.
+
+    ``start`` returns the configuration to begin with; ``run`` keeps it up to date and calls ``on_config``
+    with each new one; ``stop`` leaves the store.
+    """
 
     def __init__(
         self,
         settings: AgreementSettings,
-        own: Config,
+        file_config: Config,
         clock: Callable[[], int],
         store: AgreementStore | None = None,
     ) -> None:
-        self.settings, self.own, self.clock = settings, own, clock
-        self.timeout_s = timeout_s = settings.lease_ns / 1e9 / 4  # of one exchange or write
-        self.store = store or AgreementStore(settings.store, settings.prefix, settings.lease_ns, timeout_s)
-        self.copy = LocalSnapshot(settings.directory, own.name)
-        self.writer = SnapshotWriter(self.copy)
-        self.standing = AgreementStatus()
+        """Take the settings, the sidecar's file, its monotonic clock in ns; ``store`` is for tests."""
+        self.settings = settings
+        self.file_config = file_config
+        self.clock = clock
+        self.timeout_s = settings.lease_ns / NS_PER_S / EXCHANGE_TIMEOUTS_PER_LEASE
+        self.store = store or AgreementStore(
+            settings.store, settings.prefix, settings.lease_ns, self.timeout_s
+        )
+        self.snapshot = LocalSnapshot(settings.directory, file_config.name)
+        self.writer = SnapshotWriter(self.snapshot)
+        self.status = AgreementStatus()
+        self.content: Content | None = None  # what is served; None: the sidecar's own file
+        self.on_config: Callable[[Config], None] = lambda config: None
+        self.replica = Replica(
+            file_config.name,
+            uuid.uuid4().hex[:INCARNATION_DIGITS],
+            content_of_file(file_config.raw or {}),
+            settings.lease_ns,
+            settings.fence_ns,
+            self._refusals,
+            clock(),
+        )
         self._running = anyio.CancelScope()
-        self._told: tuple[Difference, ...] = ()
-        self.content: Content | None = None
-        self.take: Callable[[Config], None] = lambda config: None
-        raw = own.raw or {}
-        self.member = Replica(
-            own.name, uuid.uuid4().hex[:12], content_of(raw), settings.lease_ns, settings.fence_ns,
-            self._refuses, clock(),
-        )  # fmt: skip
-
-    def _refuses(self, content: Content) -> list[str]:
-        return refusals(self.own.raw or {}, content)
+        self._logged_differences: tuple[Difference, ...] = ()
+
+    def _refusals(self, content: Content) -> list[str]:
+        return refusals(self.file_config.raw or {}, content)
+
+    # Configuration
 
     def start(self) -> Config:
-        """Begin with the copy that this machine has kept; give what is gone by: without reserves, as yet."""
+        """Return the configuration by this machine's local snapshot, without reserves as yet."""
+        snapshot = self._read_snapshot()
+        if snapshot is not None:
+            self._start_from(snapshot)
+        return self.with_committed(self.file_config)
+
+    def _read_snapshot(self) -> Snapshot | None:
         try:
-            kept = self.copy.read_with_retries()
+            return self.snapshot.read_with_retries()
         except SnapshotError as error:
-            log.warning("the local copy is passed over", error=str(error))
-            kept = None
-        if kept is None:
-            return self.agreed(self.own)
-        # Nothing runs yet that could write: what there is to keep has just been read.
-        for effect in self.member.remember(kept.committed, kept.age_s, self.clock()):
-            if isinstance(effect, ApplyConfig):
-                self.content, self.standing.generation = effect.content, effect.generation
-            elif isinstance(effect, LogEvent):
-                self._say(effect)
-        self.standing.snapshot_age_s = kept.age_s
-        return self.agreed(self.own)
-
-    def agreed(self, own: Config) -> Config:
-        """Put what is in force in place of what this sidecar's file says."""
-        if own.raw is not self.own.raw:
-            self.own = own
-            self.member.own_changed(content_of(own.raw or {}))
-        raw = own.raw or {}
-        got = effective(raw, self.content) if self.content else Effective(raw)
-        config = own
-        if not self.standing.reserves:
-            got = replace(got, raw=unreserved(got.raw))
-        if got.differences or got.held_plans or got.held_volumes or not self.standing.reserves:
-            config = self._configured(own, got)
-        self._settled(got)
+            log.warning("local snapshot ignored", error=str(error))
+            return None
+
+    def _start_from(self, snapshot: Snapshot) -> None:
+        # Nothing runs yet that could write, and what there is to persist has just been read.
+        for effect in self.replica.start_from_snapshot(snapshot.committed, snapshot.age_s, self.clock()):
+            match effect:
+                case ApplyConfig(content, generation):
+                    self.content = content
+                    self.status.generation = generation
+                case LogEvent():
+                    self._log_event(effect)
+        self.status.snapshot_age_s = snapshot.age_s
+
+    def with_committed(self, file_config: Config) -> Config:
+        """Return the sidecar's file's configuration with the committed figures in place of its own."""
+        if file_config.raw is not self.file_config.raw:
+            self.file_config = file_config
+            self.replica.set_file_content(content_of_file(file_config.raw or {}))
+        raw = file_config.raw or {}
+        result = effective(raw, self.content) if self.content else Effective(raw)
+        if not self.status.holds_reserves:
+            result = replace(result, raw=without_reserves(result.raw))
+        config = file_config
+        is_changed = result.differences or result.suspended_plans or result.suspended_volumes
+        if is_changed or not self.status.holds_reserves:
+            config = self._effective_config(file_config, result)
+        self._set_divergence(result)
         return config
 
-    def _configured(self, own: Config, got: Effective) -> Config:
+    def _effective_config(self, file_config: Config, result: Effective) -> Config:
+        config = file_config
+        plans = result.suspended_plans
+        volumes = result.suspended_volumes
         try:
-            config = replace(config_from_json(got.raw), raw=own.raw)
-            plans, volumes = got.held_plans, got.held_volumes
+            config = replace(config_from_json(result.raw), raw=file_config.raw)
         except ConfigError as error:
-            # Guards the volumes: what this sidecar can't serve as agreed it doesn't serve otherwise.
-            log.error("what is in force can't be served here: it is held", faults=error.faults)
-            config, plans, volumes = own, frozenset(own.plan_names), frozenset[str]()
-        if not self.standing.reserves and self.settings.cut_off == "hold":
+            # Protects the volumes: what this sidecar can't serve as committed it doesn't serve otherwise.
+            log.error("committed generation can't be served here: suspended", faults=error.faults)
+            plans = frozenset(file_config.plan_names)
+            volumes = frozenset()
+        if not self.status.holds_reserves and self.settings.cut_off == "hold":
             plans = frozenset(config.plan_names)
-        known = config.objects.volumes if config.objects else {}
-        ids = {volume.id for name, volume in known.items() if name in volumes}
-        numbers = {index for index, name in enumerate(config.plan_names) if name in plans}
-        return replace(config, held=SuspendedVolumes(frozenset(numbers), frozenset(ids)))
-
-    def _settled(self, got: Effective) -> None:
-        differences = tuple((d.what, d.name, d.key) for d in got.differences)
-        if got.differences != self._told:  # each once, and again when a figure has changed
-            self._told = got.differences
-            for difference in got.differences:
-                log.warning("this sidecar's file is not what is in force", difference=str(difference))
-        held = tuple(sorted(got.held_volumes | got.held_plans))
-        if held != self.standing.held and held:
-            log.warning("held: nothing in force says how to serve it", names=held)
-        self.standing.differences, self.standing.held = differences, held
-        self.member.settled(len(differences), len(held))
+        known_volumes = config.objects.volumes if config.objects else {}
+        volume_ids = {volume.id for name, volume in known_volumes.items() if name in volumes}
+        plan_indexes = {index for index, name in enumerate(config.plan_names) if name in plans}
+        return replace(config, held=SuspendedVolumes(frozenset(plan_indexes), frozenset(volume_ids)))
+
+    def _set_divergence(self, result: Effective) -> None:
+        if result.differences != self._logged_differences:  # each once, and again when a figure has changed
+            self._logged_differences = result.differences
+            for difference in result.differences:
+                log.warning("file differs from the committed generation", difference=str(difference))
+        suspended = tuple(sorted(result.suspended_volumes | result.suspended_plans))
+        if suspended != self.status.suspended and suspended:
+            log.warning("suspended: the committed generation has no such entries", names=suspended)
+        self.status.differences = result.differences
+        self.status.suspended = suspended
+        self.replica.set_divergence(len(result.differences), len(suspended))
+
+    # Lifetime
 
     async def run(self) -> None:
         """Exchange with the store until it is stopped."""
         with self._running:
-            await self._run()
-
-    async def _run(self) -> None:
-        while True:
-            now = self.clock()
-            wait = self.member.next_at() - now
-            if wait > 0:
-                await anyio.sleep(wait / 1e9)
-            await self._carry_out(self.member.due(self.clock()))
-            self.standing.connected = self.member.connected(self.clock())
-            self.standing.snapshot_failures = self.writer.failures
+            while True:
+                await self._wait_until_due()
+                await self._carry_out(self.replica.handle_timer(self.clock()))
+                self.status.connected = self.replica.is_connected(self.clock())
+                self.status.snapshot_failures = self.writer.failures
+
+    async def _wait_until_due(self) -> None:
+        wait_ns = self.replica.next_due_at() - self.clock()
+        if wait_ns > 0:
+            await anyio.sleep(wait_ns / NS_PER_S)
 
     async def stop(self) -> None:
-        """Leave in order, if the store answers soon; no exchange comes after that and takes it back."""
+        """Leave the store if it answers in time; no exchange follows that would undo it."""
         self._running.cancel()
         with anyio.move_on_after(self.timeout_s, shield=True):
             try:
-                await self.store.leave(self.member.name, self.member.incarnation)
+                await self.store.leave(self.replica.name, self.replica.incarnation)
             except StoreError as error:
-                log.info("left without the store's knowing", error=str(error))
+                log.info("store not notified of the shutdown", error=str(error))
             await self.store.close()
         self.writer.stop()
 
-    async def _carry_out(self, effects: list[Effect]) -> None:
+    # Effects
+
+    async def _carry_out(self, effects: list[ReplicaEffect]) -> None:
         for effect in effects:
             match effect:
                 case Exchange():
                     await self._exchange(effect)
-                case ApplyConfig(content, generation, reserves):
-                    self.content, self.standing.generation = content, generation
-                    self.standing.reserves = reserves
-                    self.take(self.agreed(self.own))
+                case ApplyConfig():
+                    self._apply(effect)
                 case PersistSnapshot(committed):
-                    self.writer.keep(committed)
+                    self.writer.submit(committed)
                 case LogEvent():
-                    self._say(effect)
+                    self._log_event(effect)
                 case RepairStore() | Bootstrap() | AddOwnEntries() | OpenEpoch() | CloseEpoch():
-                    await self._put(effect)
+                    await self._write(effect)
+
+    def _apply(self, effect: ApplyConfig) -> None:
+        self.content = effect.content
+        self.status.generation = effect.generation
+        self.status.holds_reserves = effect.holds_reserves
+        self.on_config(self.with_committed(self.file_config))
 
     async def _exchange(self, effect: Exchange) -> None:
-        self.standing.exchanges += 1
+        self.status.exchanges += 1
         try:
             with anyio.fail_after(self.timeout_s):
                 view = await self.store.exchange(effect)
         except (StoreError, TimeoutError) as error:
-            self.standing.failures += 1
+            self.status.failures += 1
             log.debug("exchange failed", error=str(error))
-            await self._carry_out(self.member.lost(self.clock()))
+            await self._carry_out(self.replica.handle_exchange_failure(self.clock()))
             return
-        await self._carry_out(self.member.seen(view, self.clock()))
+        await self._carry_out(self.replica.handle_view(view, self.clock()))
 
-    async def _put(self, effect: StoreWrite) -> None:
+    async def _write(self, effect: ReplicaWrite) -> None:
         try:
             with anyio.fail_after(self.timeout_s):
                 match effect:
                     case RepairStore():
-                        await self.store.restore(effect)
+                        await self.store.repair(effect)
                     case Bootstrap():
-                        await self.store.found(effect)
+                        await self.store.bootstrap(effect)
                     case AddOwnEntries():
-                        await self.store.extend(effect)
+                        await self.store.add_own_entries(effect)
                     case OpenEpoch():
-                        await self.store.begin(effect)
+                        await self.store.open_epoch(effect)
                     case CloseEpoch():
-                        await self.store.settle(effect)
+                        await self.store.close_epoch(effect)
         except (StoreError, TimeoutError) as error:
-            log.debug("not written", what=type(effect).__name__, error=str(error))
-
-    def _say(self, said: LogEvent) -> None:
-        # "restored", "added to" may come again with each exchange until the store has it.
-        text = f"{said.event} {said.generation}"
-        if not self.standing.sayings or self.standing.sayings[-1] != text:
-            log.info(f"agreement: {said.event}", generation=said.generation, detail=said.detail)
-        self.standing.sayings = [*self.standing.sayings[-19:], text]
+            log.debug("write failed", what=type(effect).__name__, error=str(error))
+
+    def _log_event(self, effect: LogEvent) -> None:
+        # Some events come again with each exchange until the store has changed.
+        text = f"{effect.event.value} {effect.generation}"
+        if not self.status.events or self.status.events[-1] != text:
+            log.info(f"agreement: {effect.event.value}", generation=effect.generation, detail=effect.detail)
+        self.status.events = [*self.status.events, text][-MAX_EVENTS:]
--- a/runloft/agreement/codec.py
+++ b/runloft/agreement/codec.py
@@ -6,10 +6,10 @@
 """
 
 import json
-from typing import Any
 
-from runloft.agreement.content import ContentError, content_from
-from runloft.agreement.records import CommittedGeneration, Lease, RecordError, Stage, Verdict
+from runloft.agreement.content import Json, content_from_json
+from runloft.agreement.errors import RecordError
+from runloft.agreement.records import CommittedGeneration, Lease, Stage, Verdict
 
 FORMAT = 1
 LEASE_FORMAT = 2  # 1 had no fence and ran out by the store's clock: whoever writes it can't be left out
@@ -22,10 +22,10 @@
             "format": FORMAT,
             "generation": committed.generation,
             "content": committed.content.as_json(),
-            "at_ns": committed.at_ns,
-            "before": committed.before.as_json() if committed.before else None,
+            "at_ns": committed.effective_at_ns,
+            "before": committed.previous.as_json() if committed.previous else None,
             "token": committed.token,
-            "by": committed.by,
+            "by": committed.committed_by,
             "era": committed.epoch,
         }
     )
@@ -35,17 +35,17 @@
     """Return the committed generation that a text holds; raise RecordError if it holds none."""
     raw = _decode(text, FORMAT)
     try:
-        before = raw["before"]
+        previous = raw["before"]
         return CommittedGeneration(
             generation=int(raw["generation"]),
-            content=content_from(raw["content"]),
-            at_ns=int(raw["at_ns"]),
-            before=content_from(before) if before is not None else None,
+            content=content_from_json(raw["content"]),
+            effective_at_ns=int(raw["at_ns"]),
+            previous=content_from_json(previous) if previous is not None else None,
             token=str(raw["token"]),
-            by=str(raw["by"]),
+            committed_by=str(raw["by"]),
             epoch=int(raw.get("era", 0)),
         )
-    except (KeyError, TypeError, ValueError, ContentError) as error:
+    except (KeyError, TypeError, ValueError) as error:
         raise RecordError(f"not what is in force: {error!r}") from error
 
 
@@ -57,7 +57,7 @@
             "token": stage.token,
             "generation": stage.generation,
             "content": stage.content.as_json(),
-            "by": stage.by,
+            "by": stage.staged_by,
             "era": stage.epoch,
         }
     )
@@ -70,11 +70,11 @@
         return Stage(
             token=str(raw["token"]),
             generation=int(raw["generation"]),
-            content=content_from(raw["content"]),
-            by=str(raw["by"]),
+            content=content_from_json(raw["content"]),
+            staged_by=str(raw["by"]),
             epoch=int(raw.get("era", 0)),
         )
-    except (KeyError, TypeError, ValueError, ContentError) as error:
+    except (KeyError, TypeError, ValueError) as error:
         raise RecordError(f"no stage: {error!r}") from error
 
 
@@ -87,16 +87,16 @@
             "incarnation": lease.incarnation,
             "generation": lease.generation,
             "digest": lease.digest,
-            "own": lease.own,
+            "own": lease.file_digest,
             "differences": lease.differences,
-            "held": lease.held,
-            "since_ns": lease.since_ns,
+            "held": lease.suspended,
+            "since_ns": lease.serving_since_ns,
             "copy_age_s": lease.snapshot_age_s,
-            "asked": lease.asked,
-            "heard": lease.heard,
-            "heard_ns": lease.heard_ns,
+            "asked": lease.exchanges_sent,
+            "heard": lease.exchanges_answered,
+            "heard_ns": lease.answered_at_ns,
             "fence_ns": lease.fence_ns,
-            "reserves": lease.reserves,
+            "reserves": lease.holds_reserves,
         }
     )
 
@@ -110,16 +110,16 @@
             incarnation=str(raw["incarnation"]),
             generation=int(raw["generation"]),
             digest=str(raw["digest"]),
-            own=str(raw["own"]),
+            file_digest=str(raw["own"]),
             differences=int(raw["differences"]),
-            held=int(raw["held"]),
-            since_ns=int(raw["since_ns"]),
+            suspended=int(raw["held"]),
+            serving_since_ns=int(raw["since_ns"]),
             snapshot_age_s=float(raw["copy_age_s"]),
-            asked=int(raw["asked"]),
-            heard=int(raw["heard"]),
-            heard_ns=int(raw["heard_ns"]),
+            exchanges_sent=int(raw["asked"]),
+            exchanges_answered=int(raw["heard"]),
+            answered_at_ns=int(raw["heard_ns"]),
             fence_ns=int(raw["fence_ns"]),
-            reserves=bool(raw["reserves"]),
+            holds_reserves=bool(raw["reserves"]),
         )
     except (KeyError, TypeError, ValueError) as error:
         raise RecordError(f"no lease: {error!r}") from error
@@ -152,11 +152,11 @@
         raise RecordError(f"no verdict: {error!r}") from error
 
 
-def _encode(record: dict[str, Any]) -> str:
+def _encode(record: Json) -> str:
     return json.dumps(record, sort_keys=True, separators=(",", ":"))
 
 
-def _decode(text: str | bytes, expected_format: int) -> dict[str, Any]:
+def _decode(text: str | bytes, expected_format: int) -> Json:
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -1,272 +1,188 @@
-"""The tool's part that talks with the store: ``config roll out``, ``roll back``, ``status``, ``forget``."""
+"""The commands that talk with the store: ``config roll out``, ``roll back``, ``status`` and ``forget``."""
 
 import argparse
-import contextlib
-import getpass
-import json
-import os
-import socket
 import sys
 import time
-import uuid
 from collections.abc import Awaitable, Callable, Sequence
 from pathlib import Path
-from typing import Any
 
 import anyio
 
-from runloft.agreement.content import Content
+from runloft.agreement.content import Json
+from runloft.agreement.errors import StoreError
 from runloft.agreement.fencing import fence_expiry_ns
-from runloft.agreement.member import CloseEpoch, OpenEpoch
-from runloft.agreement.records import StoreView
-from runloft.agreement.rollout import (
-    CommitGeneration,
-    DropStage,
-    Effect,
-    PutStage,
-    ReportProgress,
-    Rollout,
-    RolloutPhase,
+from runloft.agreement.rendering import (
+    print_progress,
+    print_rollout,
+    print_status,
+    print_status_json,
 )
-from runloft.agreement.store import AgreementStore, StoreError
-from runloft.config.commands import checked_fleet, misused, table, tell
+from runloft.agreement.rollout import Plan
+from runloft.agreement.rollout_driver import POLLS_PER_LEASE, run_rollout
+from runloft.agreement.store import AgreementStore
+from runloft.config.commands import checked_fleet, misused, tell
 from runloft.config.faults import serious
-from runloft.config.settings import FENCE_LEASES, AgreementSettings, agreement_of
+from runloft.config.operator import Checked, check_file
+from runloft.config.settings import AgreementSettings, agreement_of
 
-HASTE = 10  # after a lost reply it looks so many times sooner
-ASKS = 10  # looks at the store in the time of a lease
+FLEET_FILE = "fleet.toml"
+CAPACITY_FAULT = "reserve-not-borne"
+NS_PER_MS = 1_000_000
+MS_PER_S = 1_000
+STORE_TIMEOUTS_PER_LEASE = 4
+NS_PER_S = 1e9
+DONE = 0
+FAILED = 1
+Action = Callable[[AgreementStore, AgreementSettings], Awaitable[int]]
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run an action; 0 done, 1 not done and why, 2 wrong use."""
+    """Run a command; return 0 if it is done, 1 if not, 2 for wrong use."""
     try:
         match options.action, getattr(options, "way", None):
             case "roll", "out":
-                return _out(options)
+                return _roll_out(options)
             case "roll", "back":
-                return _back(options)
+                return _roll_back(options)
             case "status", _:
-                return _with_store(options, lambda store, _: _status(store, options.json))
-        return _with_store(options, lambda store, fence_ns: _forget(store, options.name, fence_ns))
+                return _status(options)
+        return _forget(options)
     except ModuleNotFoundError as error:
         return misused(f"{error.name} is missing: pip install -r requirements-tools.txt")
 
 
-def _settings(options: argparse.Namespace, raws: Sequence[dict[str, Any]] = ()) -> AgreementSettings | None:
-    """Find the store: as it is named here, or in operators' files."""
-    if options.store:
-        return agreement_of(
-            {"store": options.store, "directory": "", "prefix": options.prefix, "lease_ms": options.lease_ms}
-        )
-    if not raws and getattr(options, "config", None):
-        from runloft.config.operator import check_file
-
-        raws = [check_file(options.config).raw]
-    for raw in raws:
-        if named := raw.get("agreement"):
-            return agreement_of(named)
-    return None
-
-
-def _with_store(
-    options: argparse.Namespace,
-    act: Callable[[AgreementStore, int], Awaitable[int]],
-    settings: AgreementSettings | None = None,
-) -> int:
-    settings = settings or _settings(options)
-    if settings is None:
-        return misused("no store is named: give --store URL, or --config FILE with an [agreement]")
-    found = settings
-
-    async def main() -> int:
-        store = AgreementStore(found.store, found.prefix, found.lease_ns, found.lease_ns / 4e9)
-        try:
-            return await act(store, found.fence_ns)
-        except StoreError as error:
-            print(f"runloft: the store: {error}", file=sys.stderr)
-            return 1
-        finally:
-            await store.close()
-
-    return anyio.run(main)
-
-
-def _out(options: argparse.Namespace) -> int:
-    from runloft.agreement.planning import wanted, ways
+def _roll_out(options: argparse.Namespace) -> int:
+    # Loaded here: they need requirements-tools.txt, which ``status`` and ``forget`` do without.
+    from runloft.agreement.planning import content_of_fleet, rollout_plan
     from runloft.config.comparing import compared
-    from runloft.config.operator import check_file
 
     directory = Path(options.directory)
-    fleet_file = options.fleet or str(directory / "fleet.toml")
-    paths = sorted(path for path in directory.glob("*.toml") if path.name != "fleet.toml")
+    paths = sorted(path for path in directory.glob("*.toml") if path.name != FLEET_FILE)
     if not paths:
         return misused(f"{directory} holds no operator's file")
-    fleet, faults = checked_fleet(fleet_file, options.nodes)
-    checked = [check_file(str(path)) for path in paths]
-    faults = faults + [fault for one in checked for fault in one.faults]
-    faults += compared(checked, fleet if fleet and not serious(fleet.faults) else None)
+    fleet, fleet_faults = checked_fleet(options.fleet or str(directory / FLEET_FILE), options.nodes)
+    files = [check_file(str(path)) for path in paths]
+    file_faults = [fault for file in files for fault in file.faults]
+    comparable_fleet = fleet if fleet and not serious(fleet.faults) else None
+    faults = [*fleet_faults, *file_faults, *compared(files, comparable_fleet)]
     tell(faults)
     if serious(faults):
-        return 1
-    raws = [one.raw for one in checked]
-    settings = _settings(options, raws)
-    content = wanted(fleet, raws)
-    plan = ways(fleet, content)
-    return _with_store(
-        options, lambda store, fence_ns: roll_out(store, plan, options.json, fence_ns=fence_ns), settings
-    )
+        return FAILED
+    plan = rollout_plan(fleet, content_of_fleet(fleet, _raw_values(files)))
 
+    async def act(store: AgreementStore, settings: AgreementSettings) -> int:
+        return await _carry_out(store, settings, plan, options.json)
 
-def _back(options: argparse.Namespace) -> int:
-    from runloft.agreement.planning import ways
+    return _with_store(options, act, _raw_values(files))
+
+
+def _raw_values(files: Sequence[Checked]) -> list[Json]:
+    return [file.raw for file in files]
 
-    fleet, faults = checked_fleet(options.fleet, None)
-    if fleet is None or (bad := [f for f in serious(faults) if f.code != "reserve-not-borne"]):
-        tell(bad if fleet else faults)
-        return 1
 
-    async def act(store: AgreementStore, fence_ns: int) -> int:
+def _roll_back(options: argparse.Namespace) -> int:
+    from runloft.agreement.planning import rollout_plan  # needs requirements-tools.txt
+
+    fleet, faults = checked_fleet(options.fleet, None)
+    if fleet is None:
+        tell(faults)
+        return FAILED
+    # A fleet that can't bear its own figures may still bear the previous generation's.
+    if other := [fault for fault in serious(faults) if fault.code != CAPACITY_FAULT]:
+        tell(other)
+        return FAILED
+
+    async def act(store: AgreementStore, settings: AgreementSettings) -> int:
         committed = (await store.view()).committed
-        if committed is None or committed.before is None:
+        if committed is None or committed.previous is None:
             print("runloft: there is no generation before the one in force", file=sys.stderr)
-            return 1
-        return await roll_out(store, ways(fleet, committed.before), options.json, fence_ns=fence_ns)
+            return FAILED
+        return await _carry_out(store, settings, rollout_plan(fleet, committed.previous), options.json)
 
     return _with_store(options, act)
 
 
-def me() -> str:
-    """Name who rolls out, for those who find the way barred."""
-    try:
-        user = getpass.getuser()
-    except (KeyError, OSError):
-        user = str(os.getuid())
-    return f"{user}@{socket.gethostname()}"
-
-
-async def roll_out(
-    store: AgreementStore,
-    plan: Callable[[Content | None], Sequence[Content]],
-    as_json: bool = False,
-    report: dict[str, Any] | None = None,
-    quiet: bool = False,
-    fence_ns: int = 0,
-) -> int:
-    """Carry a roll-out through; what it came to is put into ``report``.
-
-    ``fence_ns``: of the sidecars (0: as it is unless it is set); a longer one in a lease is heeded.
-    """
-    lease_ns = store.lease_ms * 1_000_000
-    fence_ns = fence_ns or int(FENCE_LEASES * lease_ns)
-    out = Rollout(uuid.uuid4().hex[:12], me(), plan, lease_ns, fence_ns, time.monotonic_ns())
-    began = time.monotonic()
-    told: list[str] = []
-
-    async def carry_out(effects: list[Effect]) -> None:
-        for effect in effects:
-            match effect:
-                case ReportProgress(text):
-                    told.append(text)
-                    if not as_json:
-                        print(f"{time.monotonic() - began:7.3f} s  {text}", flush=True)
-                case PutStage():
-                    done = await store.put_stage(effect)
-                    await carry_out(out.handle_stage_result(done, time.monotonic_ns()))
-                case CommitGeneration():
-                    done = await store.commit_generation(effect)
-                    await carry_out(out.handle_commit_result(done, time.monotonic_ns()))
-                case DropStage():
-                    await store.drop_stage(effect)
-                case OpenEpoch():
-                    await store.begin(effect)
-                case CloseEpoch():
-                    await store.settle(effect)
-
-    silent_since: float | None = None
-    while not out.over:
-        try:
-            view = await store.view()
-            await carry_out(out.seen(view, time.monotonic_ns()))
-            silent_since = None
-        except StoreError as error:
-            # A reply was lost: what became of it shows in the next view.
-            silent_since = silent_since or time.monotonic()
-            if time.monotonic() - silent_since > 4 * lease_ns / 1e9:
-                # A stage that can't be taken back runs out by itself.
-                with contextlib.suppress(StoreError):
-                    await carry_out(out.stopped(f"the store: {error}"))
-                out.why = out.why or f"the store: {error}"
-                break
-        if not out.over:
-            wait_s = lease_ns / 1e9 / ASKS
-            await anyio.sleep(wait_s if silent_since is None else wait_s / HASTE)
-    done = out.phase is RolloutPhase.DONE
-    if report is not None:
-        report |= {"done": done, "why": out.why, "seconds": time.monotonic() - began, "told": told}
-        report["left_out"] = sorted(out.left_out)
-    if quiet:
-        return 0 if done else 1
+async def _carry_out(store: AgreementStore, settings: AgreementSettings, plan: Plan, as_json: bool) -> int:
     if as_json:
-        lists = {"unheard": sorted(out.unheard), "left_out": sorted(out.left_out)}
-        print(json.dumps({"done": done, "why": out.why, "told": told, **lists}))
-    elif not done:
-        print(f"runloft: stopped, what was in force stays: {out.why}", file=sys.stderr)
-    return 0 if done else 1
+        report = await run_rollout(store, plan, settings.fence_ns)
+    else:
+        report = await run_rollout(store, plan, settings.fence_ns, print_progress)
+    print_rollout(report, as_json)
+    return DONE if report.done else FAILED
 
 
-async def _status(store: AgreementStore, as_json: bool) -> int:
-    view = await store.view()
-    rows = status_rows(view, store.lease_ms * 1_000_000)
-    committed = view.committed
-    if as_json:
-        keys = ("sidecar", "state", "generation", "since", "differences", "held")
-        named = [dict(zip(keys, row, strict=True)) for row in rows]
-        generation = committed.generation if committed else 0
-        staged = {"generation": view.stage.generation, "by": view.stage.by} if view.stage else None
-        print(json.dumps({"generation": generation, "staged": staged, "sidecars": named}, indent=1))
-        return 0
-    if committed is None:
-        print("nothing is in force")
-    else:
-        wait = (committed.at_ns - view.now_ns) / 1e9
-        when = f" in {wait:.1f} s" if wait > 0 else ""
-        by = f", brought by {committed.by}" if committed.by else ""
-        print(f"generation {committed.generation} ({committed.content.digest}) is in force{when}{by}")
-    if view.stage:
-        print(f"generation {view.stage.generation} is staged by {view.stage.by}")
-    table("Sidecars", ("sidecar", "state", "generation", "since", "differs", "held"), rows)
-    return 0
-
-
-def status_rows(view: StoreView, lease_ns: int) -> list[tuple[str, str, str, str, str, str]]:
-    """Give a row for each sidecar that is known; who is silent is told by the store's clock here."""
-    rows = []
-    for name in sorted(view.names):
-        lease = view.leases.get(name)
-        if lease is None:
-            rows.append((name, "unknown", "", "", "", ""))
-            continue
-        agrees = view.committed is not None and lease.serves == view.committed.name
-        state = ("agrees" if lease.reserves else "unreserved") if agrees else "changing"
-        if view.now_ns - lease.heard_ns > lease_ns:
-            state = "silent"
-        since = f"{(view.now_ns - lease.since_ns) / 1e9:.0f} s" if lease.since_ns else ""
-        rows.append((name, state, str(lease.generation), since, str(lease.differences), str(lease.held)))
-    return rows
-
-
-async def _forget(store: AgreementStore, name: str, fence_ns: int) -> int:
-    """Take out a sidecar that has been seen silent for its fence: until then it may serve."""
+def _status(options: argparse.Namespace) -> int:
+    async def act(store: AgreementStore, _: AgreementSettings) -> int:
+        view = await store.view()
+        lease_ns = store.lease_ms * NS_PER_MS
+        if options.json:
+            print_status_json(view, lease_ns)
+        else:
+            print_status(view, lease_ns)
+        return DONE
+
+    return _with_store(options, act)
+
+
+def _forget(options: argparse.Namespace) -> int:
+    async def act(store: AgreementStore, settings: AgreementSettings) -> int:
+        return await _forget_sidecar(store, options.name, settings.fence_ns)
+
+    return _with_store(options, act)
+
+
+async def _forget_sidecar(store: AgreementStore, name: str, fence_ns: int) -> int:
+    """Remove a sidecar that has been seen silent until its fence is over: until then it may serve."""
     view = await store.view()
     lease = view.leases.get(name)
-    mark = lease.mark if lease else None
-    ends = time.monotonic_ns() + (fence_expiry_ns(max(fence_ns, lease.fence_ns)) if lease else 0)
-    while lease is not None and lease.mark == mark and time.monotonic_ns() < ends:
-        await anyio.sleep(store.lease_ms / 1000 / ASKS)
+    sent = lease.sent if lease else None
+    wait_ns = fence_expiry_ns(max(fence_ns, lease.fence_ns)) if lease else 0
+    deadline = time.monotonic_ns() + wait_ns
+    while lease is not None and lease.sent == sent and time.monotonic_ns() < deadline:
+        await anyio.sleep(store.lease_ms / MS_PER_S / POLLS_PER_LEASE)
         lease = (await store.view()).leases.get(name)
-    if name in view.names and await store.forget(name, mark):
+    if name in view.sidecars and await store.forget(name, sent):
         print(f"{name} is no longer known")
-        return 0
-    why = "is not known" if name not in view.names else "holds a lease: it is there"
-    print(f"runloft: {name} {why}", file=sys.stderr)
-    return 1
+        return DONE
+    reason = "is not known" if name not in view.sidecars else "holds a lease: it is there"
+    print(f"runloft: {name} {reason}", file=sys.stderr)
+    return FAILED
+
+
+def _with_store(options: argparse.Namespace, act: Action, files: Sequence[Json] = ()) -> int:
+    """Run an action with a client of the store that the options or the files name."""
+    settings = _settings(options, files)
+    if settings is None:
+        return misused("no store is named: give --store URL, or --config FILE with an [agreement]")
+    return anyio.run(_run_with_store, act, settings)
+
+
+async def _run_with_store(act: Action, settings: AgreementSettings) -> int:
+    timeout_s = settings.lease_ns / NS_PER_S / STORE_TIMEOUTS_PER_LEASE
+    store = AgreementStore(settings.store, settings.prefix, settings.lease_ns, timeout_s)
+    try:
+        return await act(store, settings)
+    except StoreError as error:
+        print(f"runloft: the store: {error}", file=sys.stderr)
+        return FAILED
+    finally:
+        await store.close()
+
+
+def _settings(options: argparse.Namespace, files: Sequence[Json]) -> AgreementSettings | None:
+    """Return the store's settings: as the options have them, or as operators' files do."""
+    if options.store:
+        return agreement_of(
+            {
+                "store": options.store,
+                "directory": "",
+                "prefix": options.prefix,
+                "lease_ms": options.lease_ms,
+            }
+        )
+    if not files and getattr(options, "config", None):
+        files = [check_file(options.config).raw]
+    for raw in files:
+        if named := raw.get("agreement"):
+            return agreement_of(named)
+    return None
--- a/runloft/agreement/fencing.py
+++ b/runloft/agreement/fencing.py
@@ -1,38 +1,39 @@
-"""Leases with fencing: why nobody serves reserves by a generation that is two back.
-
-A sidecar holds the reserves of what it serves by for ``fence_ns`` from the moment at which it *asked* in
-its last exchange that was answered with that generation as the one in force.  After that it is fenced: it
-reserves nothing until it has heard the store again.  Whoever brings the next generation into force leaves
-a sidecar out once it has been seen to hear nothing for a lease, and
-
-- its record says that it serves by what is in force: it is one generation back then, as whoever misses a
-  change is; or
-- it has been seen to ask nothing for the fence and its drift allowance: its last question was asked before
-  its record was first read, so that it holds no lease at all, and need not be known any more; or
-- what is in force has been seen to be for as long: a lease by anything before it was asked for before.
-
-Both measure by their own steady clocks; the store's clock may step as it likes.  A store that has lost
-what it held begins another era.  Until that has been watched for as long, by a sidecar or by the tool, no
-lease is renewed and nothing is rolled out: who held a lease of the store as it was is fenced by then.
+"""Leases with fencing: why no sidecar holds reserves by a generation that is two behind.
+
+A sidecar holds the reserves of the generation that it serves for ``fence_ns``, counted from the moment at
+which it *sent* its last exchange that was answered with that generation as the committed one.  After that
+it is fenced: it reserves nothing until the store has answered again.  A rollout that commits the next
+generation excludes a sidecar once it has been seen to get no answer for a lease, and
+
+- its lease record says that it serves the committed generation: it will be one behind, as any sidecar that
+  misses a change is; or
+- it has been seen to send nothing for the fence and its drift allowance: its last exchange was sent before
+  its record was first read, so it holds no reserves at all and is removed from the known sidecars; or
+- the committed generation has been seen unchanged for as long: a lease on an earlier one has expired.
+
+Both sides measure by their own monotonic clocks; the store's clock may step.  A store that has lost its
+data opens another epoch.  Until that epoch has been observed for as long, by a sidecar or by a rollout, no
+lease is renewed and nothing is rolled out: whoever held a lease in the previous epoch is fenced by then.
 """
 
 from runloft.config.settings import FENCE_DRIFT_DIVISOR
 
 
 def fence_expiry_ns(fence_ns: int) -> int:
-    """Give how long whoever waits for a fence has to wait until it is over for certain."""
+    """Return how long to wait until a fence of ``fence_ns`` is over for certain, clock drift included."""
     return fence_ns + fence_ns // FENCE_DRIFT_DIVISOR
 
 
 class StalenessTracker:
-    """How long something has been seen unchanged, by the clock of whoever looks."""
+    """Measures how long a value has been seen unchanged, by the observer's clock."""
 
     def __init__(self) -> None:
-        self._mark: object = None
-        self._since = 0
-
-    def lasts(self, mark: object, now: int) -> int:
-        """Look at it; give how long it has been this, in nanoseconds."""
-        if mark != self._mark:
-            self._mark, self._since = mark, now
-        return now - self._since
+        self._value: object = None
+        self._unchanged_since = 0
+
+    def observe(self, value: object, now: int) -> int:
+        """Record the value as seen at ``now``; return for how many nanoseconds it has been unchanged."""
+        if value != self._value:
+            self._value = value
+            self._unchanged_since = now
+        return now - self._unchanged_since
--- a/runloft/agreement/planning.py
+++ b/runloft/agreement/planning.py
@@ -1,22 +1,22 @@
-"""The way from what is in force to what is wanted: in one step, in two, or not at all."""
+"""The plan of a rollout: from the committed generation to the wanted one, in one step or in two."""
 
-from collections.abc import Callable, Iterable, Sequence
-from typing import Any
+from collections.abc import Iterable, Sequence
 
-from runloft.agreement.content import Content, between, content_of, joined
-from runloft.agreement.rollout import NoSafePathError
+from runloft.agreement.content import Content, Json, content_of_file, intermediate, merged
+from runloft.agreement.errors import NoSafePathError
+from runloft.agreement.rollout import Plan
 from runloft.config.faults import Fault, serious
 from runloft.config.fleet import Fleet, Volume
 from runloft.config.honouring import honourable
 from runloft.config.operator import PlanRecord
 from runloft.config.records import settings_of
 
-KEYS = {one.key: name for name, one in settings_of(PlanRecord).items()}
+PLAN_FIELDS = {setting.key: name for name, setting in settings_of(PlanRecord).items()}
 
 
-def wanted(fleet: Fleet, files: Iterable[dict[str, Any]]) -> Content:
-    """Give what a fleet and its files say together: files have the classes, the fleet every volume."""
-    content = joined(content_of(raw) for raw in files)
+def content_of_fleet(fleet: Fleet, files: Iterable[Json]) -> Content:
+    """Return what a fleet and its files say together: the classes are the files', the volumes the fleet's."""
+    content = merged(content_of_file(raw) for raw in files)
     volumes = {
         volume.name: {
             "id": f"{volume.id:016x}",
@@ -30,9 +30,11 @@
 
 
 def volumes_of(content: Content) -> list[Volume]:
-    """Give the volumes whose shards a content knows; a first generation knows none."""
+    """Return the volumes whose shards a content has; a bootstrapped generation has none."""
     plans = {
-        name: PlanRecord(name=name, **{KEYS[key]: value for key, value in row.items() if key in KEYS})
+        name: PlanRecord(
+            name=name, **{PLAN_FIELDS[key]: value for key, value in row.items() if key in PLAN_FIELDS}
+        )
         for name, row in content.plans.items()
     }
     return [
@@ -42,25 +44,27 @@
     ]
 
 
-def ways(fleet: Fleet, new: Content) -> Callable[[Content | None], Sequence[Content]]:
-    """Give the plan of a roll-out: the steps from what is in force."""
+def rollout_plan(fleet: Fleet, new: Content) -> Plan:
+    """Return the plan of a rollout of ``new`` over a fleet, as ``Rollout`` takes it."""
 
-    def short(one: Content, other: Content) -> list[Fault]:
-        some = Fleet(fleet.file, fleet.record, fleet.reader, fleet.nodes, volumes_of(one))
-        return serious(honourable(some, volumes_of(other)))
+    def overload(one: Content, other: Content) -> list[Fault]:
+        """Return why the fleet can't serve both contents at once."""
+        volumes = volumes_of(one)
+        capacity = Fleet(fleet.file, fleet.record, fleet.reader, fleet.nodes, volumes)
+        return serious(honourable(capacity, volumes_of(other)))
 
     def plan(old: Content | None) -> Sequence[Content]:
-        if faults := short(new, Content()):
+        if faults := overload(new, Content()):
             raise NoSafePathError("; ".join(map(str, faults)))
-        if old is None or not short(new, old):
+        if old is None or not overload(new, old):
             return [new]
-        middle = between(old, new)
-        for pair in ((middle, old), (new, middle)):
-            if faults := short(*pair):
-                raise NoSafePathError(
-                    "while one takes the other's place both are served, and not even in two steps can "
-                    "that be honoured: " + "; ".join(map(str, faults))
-                )
-        return [middle, new]
+        step = intermediate(old, new)
+        faults = overload(step, old) or overload(new, step)
+        if faults:
+            raise NoSafePathError(
+                "while one takes the other's place both are served, and not even in two steps can "
+                "that be honoured: " + "; ".join(map(str, faults))
+            )
+        return [step, new]
 
     return plan
--- /dev/null
+++ b/runloft/agreement/replica.py
@@ -0,0 +1,372 @@
+"""A sidecar's part in the agreement: a state machine without I/O, fed with the store's views.
+
+Times are nanoseconds.  ``now`` is the sidecar's own monotonic clock; the store's time comes with each view.
+The moment at which a generation takes effect is converted to the own clock once, when the generation is
+first seen, and is at most a lease away: whatever clock steps after that, sidecars that are connected to the
+store change within a lease of each other.
+
+A sidecar serves the committed generation that it knows, also while the store is unavailable, but holds its
+reserves under a lease only (``fencing``).  The highest rank ever seen wins over a store that has lost it.
+An exchange carries nothing about other sidecars, so its cost doesn't grow with their number.
+
+States and transitions (``ReplicaState``):
+
+============= ================================================ ============= ==============================
+state         event                                            next state    effects
+============= ================================================ ============= ==============================
+UNINITIALIZED local snapshot read at start                     FENCED        ApplyConfig
+UNINITIALIZED store without a generation for a lease           unchanged     Bootstrap
+UNINITIALIZED view with a generation                           FENCED        PersistSnapshot, ApplyConfig
+FENCED        view confirms the generation in a trusted epoch  LEASED        ApplyConfig with reserves
+LEASED        no such view for ``fence_ns`` since it was sent  FENCED        ApplyConfig without reserves
+any           view with a higher generation                    unchanged     PersistSnapshot, then ApplyConfig
+                                                                             when it takes effect
+any           view with a lower generation, or with none       unchanged     RepairStore
+any           view with an unanswered stage                    unchanged     Exchange with a verdict
+any           view without an epoch, or with too low a one     unchanged     OpenEpoch
+any           epoch observed for longer than any fence         unchanged     CloseEpoch (of the previous one)
+============= ================================================ ============= ==============================
+
+An epoch is trusted once the previous one is closed.  A view may cause several of these transitions.
+"""
+
+from collections.abc import Callable
+from dataclasses import replace
+from enum import Enum
+
+from runloft.agreement.content import Content, completed
+from runloft.agreement.effects import (
+    AddOwnEntries,
+    AgreementEvent,
+    ApplyConfig,
+    Bootstrap,
+    CloseEpoch,
+    Exchange,
+    LogEvent,
+    OpenEpoch,
+    PersistSnapshot,
+    RepairStore,
+    ReplicaEffect,
+)
+from runloft.agreement.fencing import StalenessTracker, fence_expiry_ns
+from runloft.agreement.records import (
+    CommittedGeneration,
+    Lease,
+    Stage,
+    StoreView,
+    Verdict,
+    Version,
+    rank_of,
+)
+
+HEARTBEATS_PER_LEASE = 4
+# A failed exchange is retried after a heartbeat divided by this; each further retry waits twice as long.
+FAST_RETRY_DIVISOR = 4
+MAX_BACKOFF_DOUBLINGS = 4
+MAX_REFUSALS = 8  # in a verdict
+MAX_LOGGED_REFUSALS = 3
+
+
+class ReplicaState(Enum):
+    """Whether a sidecar knows a committed generation, and whether it holds its reserves."""
+
+    UNINITIALIZED = "uninitialized"
+    FENCED = "fenced"
+    LEASED = "leased"
+
+
+class Replica:
+    """One sidecar's copy of the committed generation, and its lease on it."""
+
+    def __init__(
+        self,
+        name: str,
+        incarnation: str,
+        file_content: Content,
+        lease_ns: int,
+        fence_ns: int,
+        validate: Callable[[Content], list[str]],
+        now: int,
+    ) -> None:
+        """Take the sidecar's name and incarnation, its file's content, and the lease's times.
+
+        ``validate`` returns why this sidecar can't serve a content, an empty list if it can.
+        """
+        self.name = name
+        self.incarnation = incarnation
+        self.file_content = file_content
+        self.lease_ns = lease_ns
+        self.fence_ns = fence_ns
+        self.validate = validate
+        self.committed: CommittedGeneration | None = None  # the highest generation seen
+        self.version = Version(0, file_content.digest)  # what is served
+        self.content: Content | None = None  # what is served; None: the sidecar's own file
+        self.change_due_at: int | None = None  # when ``committed`` takes effect
+        self.lease_expires_at: int | None = None  # None: no lease
+        self.epoch = 0  # of the store whose answers renew the lease
+        self.verdict: Verdict | None = None
+        self.answered_at: int | None = None  # own clock, of the last view
+        self.store_empty_since: int | None = None
+        self.next_heartbeat_at = now
+        self.differences = 0
+        self.suspended = 0
+        self.snapshot_age_s = -1.0
+        self._serving_since_ns = 0  # store's time
+        self._disconnected = False
+        self._sent_at = now
+        self._exchanges_sent = 0
+        self._exchanges_answered = 0
+        self._store_time_ns = 0  # of the last view
+        self._failures = 0  # exchanges, since the last view
+        self._epoch_tracker = StalenessTracker()
+
+    # Queries
+
+    @property
+    def state(self) -> ReplicaState:
+        """Return the state."""
+        if self.committed is None:
+            return ReplicaState.UNINITIALIZED
+        return ReplicaState.FENCED if self.lease_expires_at is None else ReplicaState.LEASED
+
+    @property
+    def holds_reserves(self) -> bool:
+        """Return whether it holds the reserves of what it serves."""
+        return self.state is ReplicaState.LEASED
+
+    def is_connected(self, now: int) -> bool:
+        """Return whether the store answered within the last lease."""
+        return self.answered_at is not None and now - self.answered_at <= self.lease_ns
+
+    def next_due_at(self) -> int:
+        """Return the time at which ``handle_timer`` has something to do."""
+        times = (self.next_heartbeat_at, self.change_due_at, self.lease_expires_at)
+        return min(time for time in times if time is not None)
+
+    def lease(self) -> Lease:
+        """Return the lease record for the store."""
+        return Lease(
+            name=self.name,
+            incarnation=self.incarnation,
+            generation=self.version.generation,
+            digest=self.version.digest,
+            file_digest=self.file_content.digest,
+            differences=self.differences,
+            suspended=self.suspended,
+            serving_since_ns=self._serving_since_ns,
+            snapshot_age_s=self.snapshot_age_s,
+            exchanges_sent=self._exchanges_sent,
+            exchanges_answered=self._exchanges_answered,
+            answered_at_ns=self._store_time_ns,
+            fence_ns=self.fence_ns,
+            holds_reserves=self.holds_reserves,
+        )
+
+    # Events
+
+    def start_from_snapshot(
+        self, committed: CommittedGeneration, age_s: float, now: int
+    ) -> list[ReplicaEffect]:
+        """Start from this machine's local snapshot, without its reserves until the store has answered.
+
+        A change that was pending in it counts as due: a sidecar that restarts can't know otherwise, and
+        the others change within a lease.
+        """
+        self.snapshot_age_s = age_s
+        self.committed = committed
+        event = LogEvent(AgreementEvent.STARTED_FROM_SNAPSHOT, committed.generation, f"{age_s:.0f} s old")
+        return [event, *self._apply(now)]
+
+    def set_file_content(self, content: Content) -> None:
+        """Take the content of this sidecar's reloaded file."""
+        self.file_content = content
+        if self.committed is None:
+            self.version = Version(0, content.digest)
+
+    def set_divergence(self, differences: int, suspended: int) -> None:
+        """Take how far the sidecar's file is from what it serves; it goes into the lease."""
+        self.differences = differences
+        self.suspended = suspended
+
+    def handle_timer(self, now: int) -> list[ReplicaEffect]:
+        """Return the effects that are due at ``now``."""
+        effects: list[ReplicaEffect] = []
+        if self.change_due_at is not None and now >= self.change_due_at:
+            effects += self._apply(now)
+        if self.lease_expires_at is not None and now >= self.lease_expires_at:
+            self.lease_expires_at = None
+            fenced = LogEvent(AgreementEvent.FENCED, self.version.generation, "nothing is reserved")
+            effects = [*self._with_current_reserves(effects), fenced]
+        if not self._disconnected and self.answered_at is not None and not self.is_connected(now):
+            self._disconnected = True
+            detail = "the store did not answer for a lease"
+            effects.append(LogEvent(AgreementEvent.DISCONNECTED, self.version.generation, detail))
+        if now >= self.next_heartbeat_at:
+            self.next_heartbeat_at = now + self._heartbeat_ns
+            self._sent_at = now
+            self._exchanges_sent += 1
+            effects.append(Exchange(self.lease(), self.verdict))
+        return effects
+
+    def handle_exchange_failure(self, now: int) -> list[ReplicaEffect]:
+        """Schedule the retry of an exchange that failed, whether the store received it or not."""
+        # Backoff: a store that is back after an outage must not meet everybody's fast retries.
+        fast_retry_ns = self._heartbeat_ns // FAST_RETRY_DIVISOR
+        backoff_ns = fast_retry_ns << min(self._failures, MAX_BACKOFF_DOUBLINGS)
+        self._failures += 1
+        self.next_heartbeat_at = min(self.next_heartbeat_at, now + min(self._heartbeat_ns, backoff_ns))
+        return []
+
+    def handle_view(self, view: StoreView, now: int) -> list[ReplicaEffect]:
+        """Take what the store holds, as the answer to the last exchange."""
+        effects: list[ReplicaEffect] = []
+        if self._disconnected or self.answered_at is None:
+            generation = view.committed.generation if view.committed else 0
+            effects.append(LogEvent(AgreementEvent.CONNECTED, generation))
+        self._disconnected = False
+        self.answered_at = now
+        self._store_time_ns = view.now_ns
+        self._failures = 0
+        self._exchanges_answered += 1
+        effects += self._check_epoch(view, now)
+        if view.committed is None:
+            effects += self._handle_empty_store(now)
+        else:
+            effects += self._handle_committed(view.committed, view.now_ns, now)
+        effects = self._renew_lease(view, effects)
+        effects += self._answer_stage(view.stage, now)
+        return effects
+
+    # Transitions
+
+    @property
+    def _heartbeat_ns(self) -> int:
+        return self.lease_ns // HEARTBEATS_PER_LEASE
+
+    def _check_epoch(self, view: StoreView, now: int) -> list[ReplicaEffect]:
+        """Trust a new epoch only when the leases of the previous one have expired."""
+        highest_seen = rank_of(self.committed).epoch
+        if not view.epoch or view.epoch < highest_seen:
+            return [OpenEpoch(max(view.now_ns, highest_seen, self.epoch) + 1, view.epoch)]
+        observed_ns = self._epoch_tracker.observe(view.epoch, now)
+        if view.previous_epoch_closed:
+            self.epoch = view.epoch
+        elif observed_ns >= fence_expiry_ns(self.fence_ns):
+            self.epoch = view.epoch
+            return [CloseEpoch(view.epoch)]
+        return []
+
+    def _renew_lease(self, view: StoreView, effects: list[ReplicaEffect]) -> list[ReplicaEffect]:
+        """Extend the lease to a fence after the exchange was sent, if the view confirms the generation."""
+        committed = self.committed
+        if committed is None or view.epoch != self.epoch or committed.epoch > view.epoch:
+            return effects
+        nothing_effective_yet = self.change_due_at is not None and committed.previous is None
+        if rank_of(view.committed) != committed.rank or nothing_effective_yet:
+            return effects
+        was_fenced = self.lease_expires_at is None
+        self.lease_expires_at = self._sent_at + self.fence_ns
+        if not was_fenced:
+            return effects
+        acquired = LogEvent(AgreementEvent.LEASE_ACQUIRED, self.version.generation)
+        return [*self._with_current_reserves(effects), acquired]
+
+    def _with_current_reserves(self, effects: list[ReplicaEffect]) -> list[ReplicaEffect]:
+        """Apply the content that is served, or the one about to be, with the reserves as they are now."""
+        is_applied_already = any(isinstance(effect, ApplyConfig) for effect in effects)
+        if self.content is not None and not is_applied_already:
+            return [*effects, ApplyConfig(self.content, self.version.generation, self.holds_reserves)]
+        return [
+            replace(effect, holds_reserves=self.holds_reserves) if isinstance(effect, ApplyConfig) else effect
+            for effect in effects
+        ]
+
+    def _handle_empty_store(self, now: int) -> list[ReplicaEffect]:
+        """Put back what is known; otherwise bootstrap, when nobody has done so for a lease."""
+        if self.committed is not None:
+            return self._repair_store(self.committed)
+        if self.store_empty_since is None:
+            self.store_empty_since = now
+        if now - self.store_empty_since < self.lease_ns:
+            return []
+        # Retried a lease later: another sidecar may have been first, which the next view shows.
+        self.store_empty_since = now
+        return [Bootstrap(CommittedGeneration(1, self.file_content, committed_by=self.name))]
+
+    def _repair_store(self, committed: CommittedGeneration) -> list[ReplicaEffect]:
+        return [RepairStore(committed), LogEvent(AgreementEvent.STORE_REPAIRED, committed.generation)]
+
+    def _handle_committed(
+        self, committed: CommittedGeneration, store_now: int, now: int
+    ) -> list[ReplicaEffect]:
+        """Compare the store's committed generation with the highest one seen."""
+        if self.committed is not None and committed.rank < self.committed.rank:
+            return self._repair_store(self.committed)
+        if self.committed is not None and committed.rank == self.committed.rank:
+            return self._add_own_entries(committed)
+        self.committed = committed
+        persist = PersistSnapshot(committed)
+        # Bounded against clocks that step: at most a lease from now, and not computed again.
+        wait_ns = min(max(0, committed.effective_at_ns - store_now), self.lease_ns)
+        if wait_ns == 0:
+            return [persist, *self._apply(now, store_now), *self._add_own_entries(committed)]
+        self.change_due_at = now + wait_ns
+        pending = LogEvent(AgreementEvent.CHANGE_PENDING, committed.generation, f"in {wait_ns / 1e9:.3f} s")
+        return [persist, pending, *self._serve_previous(committed)]
+
+    def _serve_previous(self, committed: CommittedGeneration) -> list[ReplicaEffect]:
+        """Serve the generation before a pending one, which is in effect until then, here too."""
+        if committed.previous is None:
+            return []
+        version = Version(committed.generation - 1, committed.previous.digest)
+        if self.version == version:
+            return []
+        self.version = version
+        self.content = committed.previous
+        return [ApplyConfig(committed.previous, version.generation, self.holds_reserves)]
+
+    def _add_own_entries(self, committed: CommittedGeneration) -> list[ReplicaEffect]:
+        """Ask for what the generation lacks, unless a rollout has decided what there is to be."""
+        if committed.token or self.change_due_at is not None:
+            return []
+        content = completed(committed.content, self.file_content)
+        if content is committed.content:
+            return []
+        extended = CommittedGeneration(
+            committed.generation + 1, content, committed_by=self.name, epoch=committed.epoch
+        )
+        event = LogEvent(AgreementEvent.ENTRIES_ADDED, extended.generation)
+        return [AddOwnEntries(extended, committed.rank), event]
+
+    def _apply(self, now: int, store_now: int = 0) -> list[ReplicaEffect]:
+        """Serve the committed generation from now on."""
+        committed = self.committed
+        assert committed is not None
+        self.change_due_at = None
+        self.version = committed.version
+        self._serving_since_ns = store_now or committed.effective_at_ns
+        self.next_heartbeat_at = min(self.next_heartbeat_at, now)  # the store is notified at once
+        # Where no rollout has decided, this sidecar's volumes that nobody else has are served too.
+        is_decided = bool(committed.token)
+        self.content = committed.content if is_decided else completed(committed.content, self.file_content)
+        return [
+            ApplyConfig(self.content, committed.generation, self.holds_reserves),
+            LogEvent(AgreementEvent.GENERATION_APPLIED, committed.generation),
+        ]
+
+    def _answer_stage(self, stage: Stage | None, now: int) -> list[ReplicaEffect]:
+        """Answer a stage once; the verdict goes with every exchange until another stage is there."""
+        if stage is None:
+            self.verdict = None
+            return []
+        if self.verdict is not None and self.verdict.token == stage.token:
+            return []
+        refusals = self.validate(stage.content)
+        highest = rank_of(self.committed)
+        if (stage.epoch, stage.generation) <= (highest.epoch, highest.generation):
+            outdated = f"generation {stage.generation} is staged, and {highest.generation} was in force here"
+            refusals = [outdated, *refusals]
+        self.verdict = Verdict(self.name, self.incarnation, stage.token, tuple(refusals[:MAX_REFUSALS]))
+        self.next_heartbeat_at = min(self.next_heartbeat_at, now)
+        event = AgreementEvent.STAGE_REJECTED if refusals else AgreementEvent.STAGE_ACCEPTED
+        return [LogEvent(event, stage.generation, "; ".join(refusals[:MAX_LOGGED_REFUSALS]))]
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -1,192 +1,209 @@
-"""A roll-out: staged, honoured by each sidecar, in force at one moment; a state machine without I/O.
-
-It may be killed at any step: a stage that nobody renews runs out and changes nothing, and what is in
-force has its moment written into it, which the sidecars keep by themselves.  Every write names what it
-expects to find, so that a lost reply, a second roll-out or a sidecar that joins meanwhile is noticed.
-
-A sidecar that is silent is left out, by the rules of ``fencing``: there are never more than two generations
-by which anything is reserved, and the larger of both has been shown to be honourable.
+"""A rollout: staged, accepted by each sidecar, effective at one moment; a state machine without I/O.
+
+It may be killed at any step: a stage that nobody renews expires and changes nothing, and a committed
+generation carries the moment at which it takes effect, which the sidecars keep by themselves.  Every write
+names what it expects to find, so that a lost reply, a second rollout or a sidecar that joins meanwhile is
+noticed.
+
+A sidecar that is silent is excluded, by the rules of ``fencing``: there are never more than two generations
+by which anything is reserved, and the larger of both has been shown to be feasible.
+
+States and transitions (``RolloutPhase``), for each step of the plan:
+
+========== ============================================================= ========== =======================
+phase      event                                                         next       effects
+========== ============================================================= ========== =======================
+PLANNING   view without an epoch                                         unchanged  OpenEpoch
+PLANNING   the previous epoch isn't closed, or a generation is pending   unchanged
+PLANNING   plan made, the step is committed already                      next step  ReportProgress
+PLANNING   plan made                                                     STAGING    PutStage
+STAGING    stage written                                                 VALIDATING
+VALIDATING answers are missing                                           unchanged  PutStage, as a renewal
+VALIDATING all accepted, the silent ones excluded                        COMMITTING CommitGeneration
+COMMITTING commit written, or found in a view after a lost reply         APPLYING
+COMMITTING commit not written                                            VALIDATING
+APPLYING   effective, and all connected sidecars serve it, or time out   next step  ReportProgress
+any        rejected, timed out, or somebody else's generation or stage   STOPPED    DropStage, if staged
+========== ============================================================= ========== =======================
+
+The next step begins with PLANNING; after the last one the phase is DONE.
 """
 
-from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Callable, Sequence
 from enum import Enum
 
+from runloft.agreement.ballot import Ballot, SidecarTracker
 from runloft.agreement.content import Content
+from runloft.agreement.effects import (
+    CloseEpoch,
+    CommitGeneration,
+    DropStage,
+    OpenEpoch,
+    PutStage,
+    ReportProgress,
+    RolloutEffect,
+)
+from runloft.agreement.errors import NoSafePathError
 from runloft.agreement.fencing import StalenessTracker, fence_expiry_ns
-from runloft.agreement.member import CloseEpoch, OpenEpoch
-from runloft.agreement.records import CommittedGeneration, Lease, Mark, Rank, Stage, StoreView, rank_of
+from runloft.agreement.records import (
+    CommittedGeneration,
+    Lease,
+    Stage,
+    StoreView,
+    Verdict,
+    rank_of,
+)
 
-PATIENCE = 4  # leases: for answers, and for all to have changed
+TIMEOUT_LEASES = 4  # for answers, and for all sidecars to have changed
+FENCE_MARGIN_LEASES = 2  # beside a fence that has to be waited for
+
+Plan = Callable[[Content | None], Sequence[Content]]
 
 
 class RolloutPhase(Enum):
-    """How far it is."""
+    """How far a rollout is."""
 
-    READING = "reading"
+    PLANNING = "planning"
     STAGING = "staging"
-    ASKING = "asking"
+    VALIDATING = "validating"
     COMMITTING = "committing"
-    CHANGING = "changing"
+    APPLYING = "applying"
     DONE = "done"
     STOPPED = "stopped"
 
 
-@dataclass(frozen=True, slots=True)
-class PutStage:
-    """Stage a generation, or renew it; only while ``expects`` is in force and no other is staged."""
-
-    stage: Stage
-    expects: Rank
-
-
-@dataclass(frozen=True, slots=True)
-class CommitGeneration:
-    """Bring a generation into force.
-
-    Only while ``expects`` is in force, the stage is there, exactly ``names`` are known, those ``left_out``
-    have heard nothing more, and those ``fenced`` have asked nothing more: these are not known any more.
-    ``in_ns``: the moment, from the store's time at which it is written; a lease, so that whoever heard the
-    store within a lease of it has been told.
-    """
-
-    committed: CommittedGeneration
-    expects: Rank
-    names: frozenset[str]
-    in_ns: int
-    left_out: Mapping[str, Mark] = field(default_factory=dict)  # what each had heard
-    fenced: Mapping[str, Mark] = field(default_factory=dict)  # and what it had asked
-
-
-@dataclass(frozen=True, slots=True)
-class DropStage:
-    """Take a stage back, if it is this one."""
-
-    token: str
-
-
-@dataclass(frozen=True, slots=True)
-class ReportProgress:
-    """Tell the operator how it goes."""
-
-    text: str
-
-
-Effect = PutStage | CommitGeneration | DropStage | ReportProgress | OpenEpoch | CloseEpoch
-
-
-class NoSafePathError(Exception):
-    """There is no way from what is in force to what is wanted."""
-
-
 class Rollout:
     """One or more generations, one after the other.
 
-    ``plan`` gives them from what is in force (None: nothing), or raises ``NoSafePathError``.
+    ``plan`` returns the contents to commit, given the committed one (None: there is none), or raises
+    ``NoSafePathError``.  Feed ``handle_view`` with views until ``is_finished``.
     """
 
-    def __init__(
-        self,
-        token: str,
-        by: str,
-        plan: Callable[[Content | None], Sequence[Content]],
-        lease_ns: int,
-        fence_ns: int,
-        now: int,
-    ) -> None:
-        self.token, self.by, self.plan = token, by, plan
-        self.lease_ns, self.fence_ns = lease_ns, fence_ns
+    def __init__(self, token: str, operator: str, plan: Plan, lease_ns: int, fence_ns: int, now: int) -> None:
+        self.token = token
+        self.operator = operator
+        self.plan = plan
+        self.lease_ns = lease_ns
+        self.fence_ns = fence_ns
         self.steps: Sequence[Content] = ()
-        self.phase, self.since = RolloutPhase.READING, now
-        self.why = ""  # it stopped
-        self.unheard: frozenset[str] = frozenset()  # had not changed when patience ended
-        self.left_out: set[str] = set()  # were silent
+        self.step = 0
+        self.phase = RolloutPhase.PLANNING
+        self.phase_started_at = now
+        self.reason = ""  # why it has stopped
+        self.unconfirmed: frozenset[str] = frozenset()  # had not changed at the timeout
+        self.excluded: set[str] = set()
         self.epoch = 0  # of the store in which it is carried out
         self.base: CommittedGeneration | None = None
-        self.wanted: CommittedGeneration | None = None
-        self.step = 0
-        self.renewed_at = now
-        self._epoch, self._force = StalenessTracker(), StalenessTracker()
-        self._hearing: dict[str, StalenessTracker] = {}
-        self._marks: dict[str, StalenessTracker] = {}
-        self._deaf: dict[str, int] = {}  # how long each has been seen to hear nothing
-        self._mute: dict[str, int] = {}  # how long each has been seen to ask nothing
-        self._in_force = 0  # how long what is in force has been seen to be
+        self.target: CommittedGeneration | None = None
+        self.stage_renewed_at = now
+        self._epoch_tracker = StalenessTracker()
+        self._committed_tracker = StalenessTracker()
+        self._committed_unchanged_ns = 0
+        self._sidecars: dict[str, SidecarTracker] = {}
 
     @property
-    def over(self) -> bool:
-        """Say whether there is nothing more to do."""
+    def is_finished(self) -> bool:
+        """Return whether there is nothing more to do."""
         return self.phase in (RolloutPhase.DONE, RolloutPhase.STOPPED)
 
-    @property
-    def _stage_token(self) -> str:
-        return f"{self.token}.{self.step}"
+    # Events
 
-    def seen(self, view: StoreView, now: int) -> list[Effect]:
-        """Heed what the store holds; asked for again and again until it is over."""
-        self._in_force = self._force.lasts((rank_of(view.committed), view.epoch), now)
+    def handle_view(self, view: StoreView, now: int) -> list[RolloutEffect]:
+        """Take what the store holds; to be repeated until the rollout is finished."""
+        committed_state = (rank_of(view.committed), view.epoch)
+        self._committed_unchanged_ns = self._committed_tracker.observe(committed_state, now)
         for name, lease in view.leases.items():
-            self._deaf[name] = self._hearing.setdefault(name, StalenessTracker()).lasts(lease.hearing, now)
-            self._mute[name] = self._marks.setdefault(name, StalenessTracker()).lasts(lease.mark, now)
+            self._sidecars.setdefault(name, SidecarTracker()).observe(lease, now)
         match self.phase:
-            case RolloutPhase.READING:
-                return self._begin(view, now)
-            case RolloutPhase.STAGING | RolloutPhase.ASKING:
-                return self._asked(view, now)
+            case RolloutPhase.PLANNING:
+                return self._plan_step(view, now)
+            case RolloutPhase.STAGING | RolloutPhase.VALIDATING:
+                return self._validate(view, now)
             case RolloutPhase.COMMITTING:
-                return self._unsure(view, now)
-            case RolloutPhase.CHANGING:
-                return self._changing(view, now)
+                return self._resolve_commit(view, now)
+            case RolloutPhase.APPLYING:
+                return self._await_change(view, now)
         return []
 
-    def handle_stage_result(self, done: bool, now: int) -> list[Effect]:
-        """Heed whether the stage was put."""
-        if self.phase is RolloutPhase.STAGING and done:
-            self._to(RolloutPhase.ASKING, now)
-        elif not done and self.phase in (RolloutPhase.STAGING, RolloutPhase.ASKING):
+    def handle_stage_result(self, written: bool, now: int) -> list[RolloutEffect]:
+        """Take whether the stage was written."""
+        if self.phase is RolloutPhase.STAGING and written:
+            self._enter(RolloutPhase.VALIDATING, now)
+        elif not written and self.phase in (RolloutPhase.STAGING, RolloutPhase.VALIDATING):
             return self._stop("another roll-out is under way, or another generation came into force")
         return []
 
-    def handle_commit_result(self, done: bool, now: int) -> list[Effect]:
-        """Heed whether it was brought into force; a lost reply tells nothing, the next view does."""
+    def handle_commit_result(self, written: bool, now: int) -> list[RolloutEffect]:
+        """Take whether the generation was committed; after a lost reply, the next view shows it."""
         if self.phase is RolloutPhase.COMMITTING:
-            self._to(RolloutPhase.CHANGING if done else RolloutPhase.ASKING, now)
+            self._enter(RolloutPhase.APPLYING if written else RolloutPhase.VALIDATING, now)
         return []
 
-    def stopped(self, why: str) -> list[Effect]:
-        """Stop on the operator's word, as far as it still can be stopped."""
-        if self.phase in (RolloutPhase.COMMITTING, RolloutPhase.CHANGING):
+    def abort(self, reason: str) -> list[RolloutEffect]:
+        """Stop, if it still can be stopped."""
+        if self.phase in (RolloutPhase.COMMITTING, RolloutPhase.APPLYING):
             return [ReportProgress("it is in force, or may be: roll back to undo it")]
-        return self._stop(why)
-
-    def _to(self, phase: RolloutPhase, now: int) -> None:
-        if phase is not self.phase:
-            # Asking goes on from where it was when a commit found that somebody had joined.
-            if (self.phase, phase) != (RolloutPhase.COMMITTING, RolloutPhase.ASKING):
-                self.since = now
-            self.phase = phase
-
-    def _stop(self, why: str) -> list[Effect]:
-        staged = self.phase in (RolloutPhase.STAGING, RolloutPhase.ASKING)
-        self.phase, self.why = RolloutPhase.STOPPED, why
-        return [DropStage(self._stage_token)] if staged else []
-
-    def _begin(self, view: StoreView, now: int) -> list[Effect]:
-        if self.step and (view.committed is None or view.committed.token != f"{self.token}.{self.step - 1}"):
+        return self._stop(reason)
+
+    # Phases
+
+    def _enter(self, phase: RolloutPhase, now: int) -> None:
+        if phase is self.phase:
+            return
+        # The timeout goes on from where it was when a commit found that a sidecar had joined.
+        is_back_from_commit = (self.phase, phase) == (RolloutPhase.COMMITTING, RolloutPhase.VALIDATING)
+        if not is_back_from_commit:
+            self.phase_started_at = now
+        self.phase = phase
+
+    def _stop(self, reason: str) -> list[RolloutEffect]:
+        is_staged = self.phase in (RolloutPhase.STAGING, RolloutPhase.VALIDATING)
+        self.phase = RolloutPhase.STOPPED
+        self.reason = reason
+        return [DropStage(self._stage_token)] if is_staged else []
+
+    @property
+    def _timeout_ns(self) -> int:
+        """Return how long answers are waited for: a fence has to fit in."""
+        return max(TIMEOUT_LEASES * self.lease_ns, self.fence_ns + FENCE_MARGIN_LEASES * self.lease_ns)
+
+    def _is_timed_out(self, now: int) -> bool:
+        return now - self.phase_started_at > self._timeout_ns
+
+    @property
+    def _stage_token(self) -> str:
+        return f"{self.token}.{self.step}"
+
+    @property
+    def _next_generation(self) -> int:
+        return (self.base.generation if self.base else 0) + 1
+
+    def _stage(self) -> Stage:
+        content = self.steps[self.step]
+        return Stage(self._stage_token, self._next_generation, content, self.operator, self.epoch)
+
+    # Phase PLANNING
+
+    def _plan_step(self, view: StoreView, now: int) -> list[RolloutEffect]:
+        previous_token = f"{self.token}.{self.step - 1}"
+        if self.step and (view.committed is None or view.committed.token != previous_token):
             return self._stop("another generation came into force between two steps")
         self.base = view.committed
-        if not view.epoch or view.epoch < rank_of(view.committed)[0]:
-            epoch = max(view.now_ns, rank_of(view.committed)[0]) + 1
-            return (
-                [OpenEpoch(epoch, view.epoch)] if now - self.since <= self._patience else self._stop("no era")
-            )
-        if self._epoch.lasts(view.epoch, now) < fence_expiry_ns(self.fence_ns) and not view.settled:
-            return []  # the store has begun anew: who was cut off may hold a lease of what it was
-        settle: list[Effect] = [] if view.settled else [CloseEpoch(view.epoch)]
-        if view.committed is not None and view.committed.at_ns > view.now_ns:
-            if now - self.since > self._patience:
+        base_epoch = rank_of(view.committed).epoch
+        if not view.epoch or view.epoch < base_epoch:
+            if self._is_timed_out(now):
+                return self._stop("no era")
+            return [OpenEpoch(max(view.now_ns, base_epoch) + 1, view.epoch)]
+        epoch_observed_ns = self._epoch_tracker.observe(view.epoch, now)
+        if epoch_observed_ns < fence_expiry_ns(self.fence_ns) and not view.previous_epoch_closed:
+            return []  # a disconnected sidecar may hold a lease in the previous epoch
+        if view.committed is not None and view.committed.effective_at_ns > view.now_ns:
+            if self._is_timed_out(now):
                 return self._stop("the generation before has not come into force")
-            return []  # it is on its way: a third at once is never served
+            return []  # it is pending: there must never be a third one at once
+        return self._start_step(view, now)
+
+    def _start_step(self, view: StoreView, now: int) -> list[RolloutEffect]:
         if self.step == 0:
             try:
                 self.steps = self.plan(view.committed.content if view.committed else None)
@@ -194,119 +211,162 @@
                 return self._stop(str(error))
         content = self.steps[self.step]
         if view.committed is not None and view.committed.content.digest == content.digest:
-            return self._next(now)
+            return self._finish_step(now)
         if view.stage is not None and not view.stage.token.startswith(f"{self.token}."):
-            return self._stop(f"another roll-out is under way, by {view.stage.by}")
-        self._to(RolloutPhase.STAGING, now)
-        self.renewed_at = now
+            return self._stop(f"another roll-out is under way, by {view.stage.staged_by}")
+        self._enter(RolloutPhase.STAGING, now)
+        self.stage_renewed_at = now
         self.epoch = view.epoch
-        stage = self._stage(content)
-        staged = ReportProgress(f"staged as generation {stage.generation}")
-        return [*settle, PutStage(stage, rank_of(view.committed)), staged]
+        stage = self._stage()
+        close_epoch: list[RolloutEffect] = [] if view.previous_epoch_closed else [CloseEpoch(view.epoch)]
+        return [
+            *close_epoch,
+            PutStage(stage, rank_of(view.committed)),
+            ReportProgress(f"staged as generation {stage.generation}"),
+        ]
 
-    @property
-    def _patience(self) -> int:
-        """Give how long it waits for answers: a fence has to fit in."""
-        return max(PATIENCE * self.lease_ns, self.fence_ns + 2 * self.lease_ns)
-
-    def _stage(self, content: Content) -> Stage:
-        generation = (self.base.generation if self.base else 0) + 1
-        return Stage(self._stage_token, generation, content, self.by, self.epoch)
-
-    def _left_out(self, lease: Lease) -> tuple[bool, bool]:
-        """Say whether a sidecar may be left out of what comes next, and whether it is fenced for certain."""
-        over = fence_expiry_ns(max(self.fence_ns, lease.fence_ns))
-        fenced = self._mute[lease.name] >= over
-        none_back = fenced or self._abreast(lease) or self._in_force >= over
-        return self._deaf[lease.name] >= self.lease_ns and none_back, fenced
-
-    def _abreast(self, lease: Lease) -> bool:
-        return self.base is not None and lease.serves == self.base.name
-
-    def _asked(self, view: StoreView, now: int) -> list[Effect]:
-        content, rank = self.steps[self.step], rank_of(self.base)
-        if rank_of(view.committed) != rank or view.epoch != self.epoch:
-            return self._stop("another generation came into force, or the store has begun anew")
-        token = self._stage_token
-        if view.stage is not None and view.stage.token != token:
-            return self._stop(f"another roll-out is under way, by {view.stage.by}")
-        verdicts = {name: v for name, v in view.verdicts.items() if v.token == token}
-        refused = [f"{name}: {'; '.join(v.refusals)}" for name, v in sorted(verdicts.items()) if v.refusals]
-        if refused:
-            return self._stop(f"refused by {' | '.join(refused)}")
-        if foreign := view.foreign():
-            known = ", ".join(sorted(foreign))
-            return self._stop(f"known by no lease of this version, so it can't be left out: {known}")
-        left_out, fenced, waiting = {}, {}, set()
+    # Phases STAGING and VALIDATING
+
+    def _validate(self, view: StoreView, now: int) -> list[RolloutEffect]:
+        """Commit once every sidecar has accepted or may be excluded; stop at the first obstacle."""
+        verdicts = {
+            name: verdict for name, verdict in view.verdicts.items() if verdict.token == self._stage_token
+        }
+        if obstacle := self._obstacle(view, verdicts):
+            return self._stop(obstacle)
+        ballot = self._count(view, verdicts)
+        if view.stage is None or ballot.missing:
+            return self._await_verdicts(view, ballot, now)
+        return self._commit(view, ballot, now)
+
+    def _obstacle(self, view: StoreView, verdicts: dict[str, Verdict]) -> str:
+        """Return why the rollout can't go on, an empty text if it can."""
+        if rank_of(view.committed) != rank_of(self.base) or view.epoch != self.epoch:
+            return "another generation came into force, or the store has begun anew"
+        if view.stage is not None and view.stage.token != self._stage_token:
+            return f"another roll-out is under way, by {view.stage.staged_by}"
+        refusals = [
+            f"{name}: {'; '.join(verdict.refusals)}"
+            for name, verdict in sorted(verdicts.items())
+            if verdict.refusals
+        ]
+        if refusals:
+            return f"refused by {' | '.join(refusals)}"
+        if unreadable := view.sidecars_without_lease():
+            names = ", ".join(sorted(unreadable))
+            return f"known by no lease of this version, so it can't be left out: {names}"
+        return ""
+
+    def _count(self, view: StoreView, verdicts: dict[str, Verdict]) -> Ballot:
+        ballot = Ballot()
         for name, lease in view.leases.items():
-            may, is_fenced = self._left_out(lease)
-            if may:
-                left_out[name] = lease.hearing
+            is_fenced = self._is_fenced(lease)
+            is_excluded = self._may_be_excluded(lease, is_fenced)
+            if is_excluded:
+                ballot.excluded[name] = lease.answered
             if is_fenced:
-                fenced[name] = lease.mark
-            # A sidecar that restarted after its answer has to give it again.
-            answered = name in verdicts and verdicts[name].incarnation == lease.incarnation
-            if not may and not (answered and (self.base is None or self._abreast(lease))):
-                waiting.add(name)
-        if waiting or view.stage is None:
-            if now - self.since > self._patience:
-                return self._stop(f"no answer from {', '.join(sorted(waiting)) or 'the store'}")
-            if view.stage is not None and now - self.renewed_at < self.lease_ns // 2:
-                return []
-            self.renewed_at = now
-            return [PutStage(self._stage(content), rank)]
-        before = self.base.content if self.base else None
-        generation = (self.base.generation if self.base else 0) + 1
-        self.wanted = CommittedGeneration(generation, content, 0, before, token, self.by, self.epoch)
-        self._to(RolloutPhase.COMMITTING, now)
-        self.left_out |= left_out.keys()
-        names = frozenset(view.names)
-        said = f"honoured by {len(names) - len(left_out)}: generation {generation} comes into force"
-        if left_out:
-            said += f"; silent and left out: {', '.join(sorted(left_out))}"
+                ballot.fenced[name] = lease.sent
+            # A sidecar that restarted after its answer has to answer again.
+            has_answered = name in verdicts and verdicts[name].incarnation == lease.incarnation
+            has_accepted = has_answered and (self.base is None or self._serves_base(lease))
+            if not is_excluded and not has_accepted:
+                ballot.missing.add(name)
+        return ballot
+
+    def _fence_expiry_ns(self, lease: Lease) -> int:
+        return fence_expiry_ns(max(self.fence_ns, lease.fence_ns))
+
+    def _is_fenced(self, lease: Lease) -> bool:
+        """Return whether a sidecar is fenced for certain."""
+        return self._sidecars[lease.name].silent_ns >= self._fence_expiry_ns(lease)
+
+    def _may_be_excluded(self, lease: Lease, is_fenced: bool) -> bool:
+        """Return whether the next generation may be committed without a sidecar's answer."""
+        if self._sidecars[lease.name].unanswered_ns < self.lease_ns:
+            return False
+        earlier_leases_expired = self._committed_unchanged_ns >= self._fence_expiry_ns(lease)
+        return is_fenced or self._serves_base(lease) or earlier_leases_expired
+
+    def _serves_base(self, lease: Lease) -> bool:
+        return self.base is not None and lease.version == self.base.version
+
+    def _await_verdicts(self, view: StoreView, ballot: Ballot, now: int) -> list[RolloutEffect]:
+        if self._is_timed_out(now):
+            return self._stop(f"no answer from {', '.join(sorted(ballot.missing)) or 'the store'}")
+        if view.stage is not None and now - self.stage_renewed_at < self.lease_ns // 2:
+            return []
+        self.stage_renewed_at = now
+        return [PutStage(self._stage(), rank_of(self.base))]
+
+    def _commit(self, view: StoreView, ballot: Ballot, now: int) -> list[RolloutEffect]:
+        self.target = CommittedGeneration(
+            self._next_generation,
+            self.steps[self.step],
+            previous=self.base.content if self.base else None,
+            token=self._stage_token,
+            committed_by=self.operator,
+            epoch=self.epoch,
+        )
+        self._enter(RolloutPhase.COMMITTING, now)
+        self.excluded |= ballot.excluded.keys()
+        accepted_count = len(view.sidecars) - len(ballot.excluded)
+        text = f"honoured by {accepted_count}: generation {self.target.generation} comes into force"
+        if ballot.excluded:
+            text += f"; silent and left out: {', '.join(sorted(ballot.excluded))}"
         return [
-            CommitGeneration(self.wanted, rank, names, self.lease_ns, left_out, fenced),
-            ReportProgress(said),
+            CommitGeneration(
+                self.target,
+                rank_of(self.base),
+                view.sidecars,
+                self.lease_ns,
+                ballot.excluded,
+                ballot.fenced,
+            ),
+            ReportProgress(text),
         ]
 
-    def _unsure(self, view: StoreView, now: int) -> list[Effect]:
+    # Phase COMMITTING
+
+    def _resolve_commit(self, view: StoreView, now: int) -> list[RolloutEffect]:
         """Find out what became of a commit whose reply was lost."""
         if view.committed is not None and view.committed.token == self._stage_token:
-            self._to(RolloutPhase.CHANGING, now)
-            return self._changing(view, now)
+            self._enter(RolloutPhase.APPLYING, now)
+            return self._await_change(view, now)
         if rank_of(view.committed) == rank_of(self.base):
-            self._to(RolloutPhase.ASKING, now)
-            return self._asked(view, now)
-        self.phase, self.why = RolloutPhase.STOPPED, "another generation came into force"
-        return []
-
-    def _changing(self, view: StoreView, now: int) -> list[Effect]:
-        assert self.wanted is not None
-        if view.committed is not None and view.committed.rank > self.wanted.rank:
-            return self._next(now)  # somebody has gone on from it
-        late = {
+            self._enter(RolloutPhase.VALIDATING, now)
+            return self._validate(view, now)
+        return self._stop("another generation came into force")
+
+    # Phase APPLYING
+
+    def _await_change(self, view: StoreView, now: int) -> list[RolloutEffect]:
+        """Wait until all connected sidecars serve the target."""
+        target = self.target
+        assert target is not None
+        if view.committed is not None and view.committed.rank > target.rank:
+            return self._finish_step(now)  # a later generation has been committed on top of it
+        late = frozenset(
             name
             for name, lease in view.leases.items()
-            if lease.serves != self.wanted.name and self._deaf[name] < self.lease_ns
-        }
-        changed = view.committed is not None and view.now_ns >= view.committed.at_ns
-        if changed and not late:
-            return self._next(now)
-        if now - self.since > self._patience + self.lease_ns:
-            self.unheard = frozenset(late)
-            if self.step + 1 < len(self.steps):
-                self.phase, self.why = RolloutPhase.STOPPED, f"not changed: {', '.join(sorted(late))}"
-                return []
-            return self._next(now)
-        return []
-
-    def _next(self, now: int) -> list[Effect]:
-        committed = self.wanted or self.base
-        said = ReportProgress(f"generation {committed.generation if committed else 0} is in force")
+            if lease.version != target.version and self._sidecars[name].unanswered_ns < self.lease_ns
+        )
+        is_effective = view.committed is not None and view.now_ns >= view.committed.effective_at_ns
+        if is_effective and not late:
+            return self._finish_step(now)
+        if now - self.phase_started_at <= self._timeout_ns + self.lease_ns:
+            return []
+        self.unconfirmed = late
+        if self.step + 1 < len(self.steps):
+            return self._stop(f"not changed: {', '.join(sorted(late))}")
+        return self._finish_step(now)
+
+    def _finish_step(self, now: int) -> list[RolloutEffect]:
+        committed = self.target or self.base
+        generation = committed.generation if committed else 0
         self.step += 1
-        self.wanted = None
+        self.target = None
         if self.step >= len(self.steps):
             self.phase = RolloutPhase.DONE
         else:
-            self._to(RolloutPhase.READING, now)
-        return [said]
+            self._enter(RolloutPhase.PLANNING, now)
+        return [ReportProgress(f"generation {generation} is in force")]
--- /dev/null
+++ b/runloft/agreement/store_protocol.py
@@ -0,0 +1,115 @@
+"""How the agreement's records lie in Redis: keys, marks, the epoch, and replies read back.
+
+Keys, all under the prefix: ``force`` (the committed generation), ``names`` (a set of the known sidecars),
+``lease:NAME`` and ``era`` (no expiry), ``stage`` (expires unless renewed), ``verdicts`` (a hash, expires
+with its stage).  ``force:rank`` and ``stage:token`` are marks, written with the two large records, so that
+these are read when they have changed and not with every exchange.  Other keys are left alone.
+"""
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Any, NamedTuple, TypeVar
+
+import structlog
+
+from runloft.agreement.errors import RecordError
+from runloft.agreement.records import CommittedGeneration, EpochRecord
+
+log = structlog.get_logger()
+STAGE_LEASES = 2  # a stage expires after so many leases, unless it is renewed
+VERDICT_LEASES = 2 * STAGE_LEASES
+MARK_WORDS = 6  # epoch, generation, digest, token, time it takes effect, digest of the previous content
+MARK_TIME_INDEX = 4
+EPOCH_CLOSED = b"settled"
+NS_PER_S = 1_000_000_000
+NS_PER_US = 1_000
+T = TypeVar("T")
+
+
+class StoreKeys:
+    """The keys under a prefix."""
+
+    def __init__(self, prefix: str) -> None:
+        self.committed = f"{prefix}:force"
+        self.committed_mark = f"{prefix}:force:rank"
+        self.stage = f"{prefix}:stage"
+        self.stage_mark = f"{prefix}:stage:token"
+        self.epoch = f"{prefix}:era"
+        self.sidecars = f"{prefix}:names"
+        self.verdicts = f"{prefix}:verdicts"
+        self._lease_prefix = f"{prefix}:lease:"
+
+    def lease(self, sidecar: str) -> str:
+        """Return the key of a sidecar's lease."""
+        return f"{self._lease_prefix}{sidecar}"
+
+
+class NamedReply(NamedTuple):
+    """A reply of the store, and the name of the record that it should hold."""
+
+    name: bytes | str
+    text: bytes | None
+
+
+@dataclass(frozen=True, slots=True)
+class GenerationMark:
+    """The part of a mark that isn't known from the stage and the previous generation."""
+
+    text: bytes
+    effective_at_ns: int
+
+
+def encode_mark(committed: CommittedGeneration) -> bytes:
+    """Return the mark of a committed generation, which differs wherever the record does."""
+    previous = committed.previous.digest if committed.previous else ""
+    words = (*committed.rank, committed.token, committed.effective_at_ns, previous)
+    return " ".join(map(str, words)).encode()
+
+
+def decode_mark(text: bytes) -> GenerationMark | None:
+    """Return what a mark says; None where it is no mark."""
+    words = text.split(b" ")
+    if len(words) != MARK_WORDS or not words[MARK_TIME_INDEX].isdigit():
+        return None
+    return GenerationMark(text, int(words[MARK_TIME_INDEX]))
+
+
+def encode_epoch(epoch: EpochRecord) -> str:
+    """Return the stored text of an epoch."""
+    return f"{epoch.number} {EPOCH_CLOSED.decode()}" if epoch.previous_closed else f"{epoch.number}"
+
+
+def decode_epoch(text: bytes | None) -> EpochRecord:
+    """Return the epoch that a text holds; the record of no epoch where it holds none."""
+    words = text.split() if text is not None else []
+    if not words or not words[0].isdigit() or words[1:] not in ([], [EPOCH_CLOSED]):
+        return EpochRecord()
+    return EpochRecord(int(words[0]), previous_closed=len(words) > 1)
+
+
+def decode_time(reply: Any) -> int:
+    """Return the store's time in nanoseconds from the reply to TIME."""
+    seconds, microseconds = reply
+    return int(seconds) * NS_PER_S + int(microseconds) * NS_PER_US
+
+
+def decode_text(value: bytes | str) -> str:
+    """Return a name as text."""
+    return value.decode() if isinstance(value, bytes) else value
+
+
+def decode_names(reply: Iterable[bytes | str]) -> frozenset[str]:
+    """Return the members of a set of names."""
+    return frozenset(map(decode_text, reply))
+
+
+def decode_readable(replies: Iterable[NamedReply], decode: Callable[[bytes], T]) -> dict[str, T]:
+    """Return the records that can be read, by name; report and ignore the others."""
+    records = {}
+    for name, text in replies:
+        try:
+            if text is not None:
+                records[decode_text(name)] = decode(text)
+        except RecordError as error:
+            log.warning("a record in the store is ignored", name=decode_text(name), error=str(error))
+    return records
--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -15,8 +15,8 @@
 import anyio
 
 from runloft.agreement.client import AgreementClient
-from runloft.agreement.commands import roll_out
 from runloft.agreement.content import Content
+from runloft.agreement.rollout_driver import run_rollout
 from runloft.agreement.store import AgreementStore
 from runloft.config.commands import table
 from runloft.config.settings import AgreementSettings, Config, config_from_json
@@ -62,35 +62,33 @@
         async with anyio.create_task_group() as group:
             await group.start(server.run)
             url = f"redis://{server.address}/0"
-            members = []
+            clients = []
             for number in range(count):
                 config = own_config(f"s{number}", str(Path(folder)), url, lease_ms)
                 settings = config.agreement
                 assert isinstance(settings, AgreementSettings)
-                member = AgreementClient(settings, config, time.monotonic_ns)
-                member.start()
-                member.take = _noting(changed, config.name)
-                members.append(member)
-                group.start_soon(member.run)
+                client = AgreementClient(settings, config, time.monotonic_ns)
+                client.start()
+                client.on_config = _noting(changed, config.name)
+                clients.append(client)
+                group.start_soon(client.run)
             store = AgreementStore(url, "runloft", int(lease_ms * 1e6), lease_ms / 4000)
             with anyio.fail_after(MOST_S):
-                while any(member.standing.generation == 0 for member in members):
+                while any(client.status.generation == 0 for client in clients):
                     await anyio.sleep(lease_ms / 10_000)
                 await anyio.sleep(lease_ms / 500)
             server.failures.lost = lost
             changed.clear()
             began, done = time.monotonic(), False
             for _ in range(20):  # what a lost reply has stopped is begun again, as an operator would
-                report: dict[str, object] = {}
-                await roll_out(store, _heavier, as_json=True, report=report, quiet=True)
-                done = bool(report["done"])
+                done = (await run_rollout(store, _heavier)).done
                 if done or time.monotonic() - began > MOST_S:
                     break
                 await anyio.sleep(lease_ms / 500)  # until what it had staged has run out
             seconds = time.monotonic() - began
             times = sorted(changed.values())
-            for member in members:
-                await member.stop()
+            for client in clients:
+                await client.stop()
             await store.close()
             group.cancel_scope.cancel()
     return RollOutTime(count, lost, done, seconds, times[-1] - times[0] if times else 0.0)
--- a/runloft/lab/running.py
+++ b/runloft/lab/running.py
@@ -20,10 +20,11 @@
 import anyio.abc
 import tomli_w
 
-from runloft.agreement.commands import roll_out
-from runloft.agreement.planning import wanted, ways
+from runloft.agreement.errors import StoreError
+from runloft.agreement.planning import content_of_fleet, rollout_plan
 from runloft.agreement.records import StoreView
-from runloft.agreement.store import AgreementStore, StoreError
+from runloft.agreement.rollout_driver import run_rollout
+from runloft.agreement.store import AgreementStore
 from runloft.config.generating import Generator
 from runloft.config.records import Reader, raw_of
 from runloft.lab.discovery import LabDiscovery
@@ -203,8 +204,8 @@
 
 def _settled(view: StoreView, sidecars: int) -> bool:
     """Whether all are there and serve by what is in force."""
-    reserving = sum(lease.reserves for lease in view.leases.values())
-    return view.committed is not None and reserving >= sidecars and not view.behind()
+    reserving = sum(lease.holds_reserves for lease in view.leases.values())
+    return view.committed is not None and reserving >= sidecars and not view.lagging_sidecars()
 
 
 async def _rolled_out(scenario: Scenario, world: Fleet, files: dict[str, Path]) -> float:
@@ -217,19 +218,18 @@
         own = generator.record(index)  # as the fleet has it, without the edits
         assert own is not None
         raws.append(raw_of(own))
-    content = wanted(scenario.fleet, raws)
-    report: dict[str, Any] = {}
+    content = content_of_fleet(scenario.fleet, raws)
     try:
         with anyio.fail_after(START_S):
             # Guards the roll-out against the sidecars' own start: what they bring along may change what is
             # in force until each of them serves by it.
             while not _settled(await store.view(), len(files)):
                 await anyio.sleep(lease_ns / 1e10)
-        await roll_out(store, ways(scenario.fleet, content), as_json=True, report=report, quiet=True)
+        report = await run_rollout(store, rollout_plan(scenario.fleet, content))
     except StoreError as error:
-        report |= {"done": False, "why": str(error)}
+        raise RuntimeError(f"the roll-out stopped: {error}") from error
     finally:
         await store.close()
-    if not report["done"]:
-        raise RuntimeError(f"the roll-out stopped: {report['why']}")
-    return float(report["seconds"])
+    if not report.done:
+        raise RuntimeError(f"the roll-out stopped: {report.reason}")
+    return report.seconds
--- a/runloft/lab/scale/hollow.py
+++ b/runloft/lab/scale/hollow.py
@@ -103,20 +103,19 @@
         """Give the generation that it serves by."""
         if self.agreeing is None:
             return 0
-        # One that began with its copy says nothing of it in its standing until something changes.
-        served = getattr(getattr(self.agreeing, "member", None), "served", (0, ""))
-        return self.agreeing.standing.generation or int(served[0])
+        # One that began with its copy says nothing of it in its status until something changes.
+        return self.agreeing.status.generation or self.agreeing.replica.version.generation
 
     @property
     def there(self) -> bool:
         """Say whether it hears the store and holds what it serves by, its reserves too."""
-        standing = self.agreeing.standing if self.agreeing else None
-        return standing is not None and standing.connected and getattr(standing, "reserves", True)
+        status = self.agreeing.status if self.agreeing else None
+        return status is not None and status.connected and status.holds_reserves
 
     def look(self) -> None:
         """Note a generation that is new to it, once it holds the reserves."""
         now_at = self.generation
-        if self.agreeing and not getattr(self.agreeing.standing, "reserves", True):
+        if self.agreeing and not self.agreeing.status.holds_reserves:
             return
         if now_at and (not self.changes or self.changes[-1][0] != now_at):
             self.changes.append((now_at, time.monotonic()))
@@ -147,7 +146,7 @@
     def _agreeing(self, config: Config, clock: Clock) -> None:
         assert config.agreement
         self.agreeing = AgreementClient(config.agreement, config, clock)
-        self.agreeing.take = self._take
+        self.agreeing.on_config = self._take
 
     def _take(self, config: Config) -> None:
         self.look()
--- a/runloft/lab/scale/tool.py
+++ b/runloft/lab/scale/tool.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from runloft.agreement.commands import roll_out
-from runloft.agreement.content import Content, content_of
+from runloft.agreement.content import Content, content_of_file
+from runloft.agreement.rollout_driver import RolloutReport, run_rollout
 from runloft.agreement.store import AgreementStore
 from runloft.lab.scale.child import Role
 
@@ -31,18 +31,18 @@
         import anyio
 
         store = AgreementStore(url, "runloft", lease_ms * 1_000_000, lease_ms / 4000)
-        report: dict[str, Any] = {"done": False, "why": f"not over in {most_s:g} s"}
+        report: RolloutReport | None = None
         began, cpu = time.monotonic(), time.process_time()
         try:
             with anyio.move_on_after(most_s):
-                await roll_out(store, changed(number, content_of(raw)), True, report, True)
+                report = await run_rollout(store, changed(number, content_of_file(raw)))
         finally:
             await store.close()
         return {
             "began": began,
             "ended": time.monotonic(),
             "cpu_s": time.process_time() - cpu,
-            "done": report["done"],
-            "why": str(report["why"]),
-            "left_out": len(report.get("left_out", ())),  # silent ones, which it went on without
+            "done": report.done if report else False,
+            "why": report.reason if report else f"not over in {most_s:g} s",
+            "left_out": len(report.excluded) if report else 0,  # silent ones, which it went on without
         }
--- a/runloft/service/admin.py
+++ b/runloft/service/admin.py
@@ -13,7 +13,7 @@
 from runloft.core.reducer import Core
 
 if TYPE_CHECKING:  # it brings the store's client along, which metrics need not
-    from runloft.agreement.client import AgreementStatus
+    from runloft.agreement.status import AgreementStatus
 
 log = structlog.get_logger()
 MOST_SHOWN = 20  # volumes with accounts among the metrics
@@ -22,8 +22,8 @@
 class Figures:
     """Gathered when they are asked for; what is read is replaced whole, so no lock is needed."""
 
-    def __init__(self, core: Core, standing: "AgreementStatus | None") -> None:
-        self.core, self.standing = core, standing
+    def __init__(self, core: Core, status: "AgreementStatus | None") -> None:
+        self.core, self.status = core, status
 
     def collect(self) -> Iterator[Metric]:
         """Give all metrics."""
@@ -33,23 +33,23 @@
         yield from _reasons()
         if isinstance(self.core.observer, Ledger):
             yield from _accounts(self.core.observer)
-        standing = self.standing
-        if standing is None:
+        status = self.status
+        if status is None:
             return
         for name, text, value in (
-            ("runloft_agreement_generation", "Generation that this sidecar serves by.", standing.generation),
-            ("runloft_agreement_connected", "1: the store was heard within a lease.", standing.connected),
-            ("runloft_agreement_reserves", "1: reserves are held, under a lease.", standing.reserves),
+            ("runloft_agreement_generation", "Generation that this sidecar serves by.", status.generation),
+            ("runloft_agreement_connected", "1: the store was heard within a lease.", status.connected),
+            ("runloft_agreement_reserves", "1: reserves are held, under a lease.", status.holds_reserves),
             ("runloft_agreement_copy_age_seconds", "Of the copy it started from; -1: none.",
-             standing.snapshot_age_s),
+             status.snapshot_age_s),
         ):  # fmt: skip
             gauge = GaugeMetricFamily(name, text)
             gauge.add_metric([], float(value))
             yield gauge
         for name, text, count in (
-            ("runloft_agreement_exchanges", "Exchanges with the store.", standing.exchanges),
-            ("runloft_agreement_failures", "Exchanges that failed.", standing.failures),
-            ("runloft_agreement_copy_failures", "Failed writes of the copy.", standing.snapshot_failures),
+            ("runloft_agreement_exchanges", "Exchanges with the store.", status.exchanges),
+            ("runloft_agreement_failures", "Exchanges that failed.", status.failures),
+            ("runloft_agreement_copy_failures", "Failed writes of the copy.", status.snapshot_failures),
         ):
             counter = CounterMetricFamily(name, text)
             counter.add_metric([], count)
@@ -59,11 +59,11 @@
             "1 for each figure of this sidecar's file that is not what is in force.",
             labels=["what", "name", "key"],
         )
-        for what, name, key in standing.differences:
-            apart.add_metric([what, name, key], 1)
+        for difference in status.differences:
+            apart.add_metric([difference.kind, difference.name, difference.key], 1)
         yield apart
         held = GaugeMetricFamily("runloft_held", "1 for each volume or plan that is held.", labels=["name"])
-        for name in standing.held:
+        for name in status.suspended:
             held.add_metric([name], 1)
         yield held
 
@@ -116,11 +116,11 @@
 
 
 def admin_listener(
-    where: tuple[str, int], core: Core, standing: "AgreementStatus | None"
+    where: tuple[str, int], core: Core, status: "AgreementStatus | None"
 ) -> Callable[[], None]:
     """Listen, in a thread of the library's; give what closes it."""
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(Figures(core, standing))
+    registry.register(Figures(core, status))
     server, thread = start_http_server(where[1], where[0], registry)
     log.info("serving", front="admin", at=f"{where[0]}:{server.server_port}")
 
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -255,13 +255,13 @@
         parts: list[Configured] = [*fronts, *runner.links.values()]
         reload = Reload(path, config, watch, runner.post, parts, deadlines=deadlines, clock=clock)
         if agreeing:
-            reload.agreed, agreeing.take = agreeing.agreed, reload.take
+            reload.agreed, agreeing.on_config = agreeing.with_committed, reload.take
             group.start_soon(agreeing.run)
         closes: list[Callable[[], None]] = []
         if config.admin:
             from runloft.service.admin import admin_listener
 
-            closes.append(admin_listener(config.admin, core, agreeing.standing if agreeing else None))
+            closes.append(admin_listener(config.admin, core, agreeing.status if agreeing else None))
         group.start_soon(_heed, received, reload, stopped)
         await stopped.wait()
         await wind_down(fronts, listeners, runner)
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -20,44 +20,25 @@
     encode_stage,
     encode_verdict,
 )
-from runloft.agreement.content import (
-    Content,
-    Effective,
-    between,
-    content_from,
-    content_of,
-    effective,
-    refusals,
-)
-from runloft.agreement.member import (
-    HEARTBEATS_PER_LEASE,
+from runloft.agreement.content import Content, content_from_json, content_of_file, intermediate
+from runloft.agreement.effective import Effective, effective, refusals
+from runloft.agreement.effects import (
     AddOwnEntries,
     ApplyConfig,
     Bootstrap,
     CloseEpoch,
+    CommitGeneration,
+    DropStage,
     Exchange,
     OpenEpoch,
     PersistSnapshot,
-    RepairStore,
-    Replica,
-)
-from runloft.agreement.records import (
-    NOTHING,
-    CommittedGeneration,
-    Lease,
-    RecordError,
-    Stage,
-    StoreView,
-    Verdict,
-)
-from runloft.agreement.rollout import (
-    CommitGeneration,
-    DropStage,
-    NoSafePathError,
     PutStage,
-    Rollout,
-    RolloutPhase,
+    RepairStore,
 )
+from runloft.agreement.errors import NoSafePathError, RecordError
+from runloft.agreement.records import NO_RANK, CommittedGeneration, Lease, Stage, StoreView, Verdict
+from runloft.agreement.replica import HEARTBEATS_PER_LEASE, Replica
+from runloft.agreement.rollout import Rollout, RolloutPhase
 from runloft.config.operator import check_file
 
 LEASE, FENCE, TICK, BEARS = 400, 600, 20, 10
@@ -81,7 +62,7 @@
             return [wanted]
         steps = [wanted]
         if sum(max(reserves(c).get(v, 0) for c in (old, wanted)) for v in ("v1", "v2")) > BEARS:
-            steps = [between(old, wanted), wanted]
+            steps = [intermediate(old, wanted), wanted]
         return steps
 
     return plan
@@ -101,20 +82,24 @@
 
     def view(self):
         """What the tool is told."""
-        return replace(self.told(), names=self.names, leases=dict(self.leases), verdicts=dict(self.verdicts))
+        return replace(
+            self.told(), sidecars=self.names, leases=dict(self.leases), verdicts=dict(self.verdicts)
+        )
 
     def told(self):
         """What a sidecar is told: of no other one."""
         stage = self.stage[0] if self.stage and self.stage[1] > self.clock else None
-        return StoreView(self.clock, self.committed, stage, epoch=self.epoch, settled=self.settled)
+        return StoreView(
+            self.clock, self.committed, stage, epoch=self.epoch, previous_epoch_closed=self.settled
+        )
 
     @property
     def rank(self):
-        return self.committed.rank if self.committed else NOTHING
+        return self.committed.rank if self.committed else NO_RANK
 
     @property
     def name(self):
-        return self.committed.name if self.committed else (0, "")
+        return self.committed.version if self.committed else (0, "")
 
     def apply(self, effect):
         view = self.view()
@@ -124,8 +109,8 @@
                 self.names |= {lease.name}
                 if verdict:
                     self.verdicts[lease.name] = verdict
-            case OpenEpoch(epoch, expects):
-                if self.epoch == expects:
+            case OpenEpoch(epoch, expected):
+                if self.epoch == expected:
                     self.epoch, self.settled = epoch, False
             case CloseEpoch(epoch):
                 self.settled = self.settled or self.epoch == epoch
@@ -134,22 +119,22 @@
                     self.committed = decode_committed(encode_committed(committed))
             case Bootstrap(committed):
                 self.committed = self.committed or committed
-            case AddOwnEntries(committed, expects):
-                self.committed = committed if self.rank == expects else self.committed
-            case PutStage(stage, expects):
-                if self.rank != expects or (view.stage and view.stage.token != stage.token):
+            case AddOwnEntries(committed, expected):
+                self.committed = committed if self.rank == expected else self.committed
+            case PutStage(stage, expected):
+                if self.rank != expected or (view.stage and view.stage.token != stage.token):
                     return False
                 self.stage = stage, self.clock + 2 * LEASE
-            case CommitGeneration(committed, expects, names, in_ns, left_out, fenced):
+            case CommitGeneration(committed, expected, names, in_ns, left_out, fenced):
                 staged = view.stage is not None and view.stage.token == committed.token
                 out = self.leases
-                moved = any(name not in out or out[name].hearing != was for name, was in left_out.items())
-                moved |= any(name not in out or out[name].mark != was for name, was in fenced.items())
-                if self.rank != expects or not staged or names != view.names or moved:
+                moved = any(name not in out or out[name].answered != was for name, was in left_out.items())
+                moved |= any(name not in out or out[name].sent != was for name, was in fenced.items())
+                if self.rank != expected or not staged or names != view.sidecars or moved:
                     return False
                 if self.epoch != committed.epoch:
                     return False
-                self.committed, self.stage = replace(committed, at_ns=self.clock + in_ns), None
+                self.committed, self.stage = replace(committed, effective_at_ns=self.clock + in_ns), None
                 self.names -= fenced.keys()
                 self.leases = {name: lease for name, lease in self.leases.items() if name not in fenced}
             case DropStage(token):
@@ -159,7 +144,7 @@
 
 
 class Sidecar:
-    """A member with its link and its copy."""
+    """A replica with its link and its copy."""
 
     def __init__(self, name, own, now):
         self.name, self.own, self.link, self.copy, self.births = name, own, "up", None, 0
@@ -168,10 +153,10 @@
     def start(self, now):
         self.births += 1
         incarnation = f"{self.name}{self.births}"
-        self.member = Replica(self.name, incarnation, self.own, LEASE, FENCE, lambda _: [], now)
+        self.replica = Replica(self.name, incarnation, self.own, LEASE, FENCE, lambda _: [], now)
         self.served, self.alive, self.reserves = self.own, True, False
         if self.copy:
-            self.heed(self.member.remember(self.copy, 1.0, now), None, now, None)
+            self.heed(self.replica.start_from_snapshot(self.copy, 1.0, now), None, now, None)
 
     def passes(self, chance):
         """Say whether the request arrives, and whether the reply does."""
@@ -190,7 +175,11 @@
                     arrives, replies = self.passes(chance)
                     if arrives:
                         store.apply(effect)
-                    got = self.member.seen(store.told(), now) if replies else self.member.lost(now)
+                    got = (
+                        self.replica.handle_view(store.told(), now)
+                        if replies
+                        else self.replica.handle_exchange_failure(now)
+                    )
                     self.heed(got, store, now, chance)
                 case RepairStore() | Bootstrap() | AddOwnEntries() | OpenEpoch() | CloseEpoch() if (
                     self.passes(chance)[0]
@@ -198,8 +187,8 @@
                     store.apply(effect)
 
     def turn(self, store, now, chance):
-        if self.alive and now >= self.member.next_at():
-            self.heed(self.member.due(now), store, now, chance)
+        if self.alive and now >= self.replica.next_due_at():
+            self.heed(self.replica.handle_timer(now), store, now, chance)
 
 
 class Tool:
@@ -209,11 +198,11 @@
         self.out, self.link = Rollout(token, token, ways(wanted), LEASE, FENCE, now), "up"
 
     def turn(self, store, now, chance):
-        if self.out.over:
+        if self.out.is_finished:
             return
         if chance.random() < (0.5 if self.link == "half" else 0):
             return
-        for effect in self.out.seen(store.view(), now):
+        for effect in self.out.handle_view(store.view(), now):
             if isinstance(effect, PutStage | CommitGeneration | DropStage | OpenEpoch | CloseEpoch):
                 done = store.apply(effect)
                 if chance.random() < (0.5 if self.link == "half" else 0):
@@ -255,14 +244,14 @@
     def check(self):
         alive = [s for s in self.sidecars if s.alive]
         for index, one in enumerate(alive):
-            rank = one.member.committed.rank if one.member.committed else NOTHING
+            rank = one.replica.committed.rank if one.replica.committed else NO_RANK
             key = one.name, one.births
-            assert rank >= self.ranks.get(key, NOTHING), "what is in force never goes back"
+            assert rank >= self.ranks.get(key, NO_RANK), "what is in force never goes back"
             self.ranks[key] = rank
             for other in alive[index + 1 :]:
                 pair = one.name, one.births, other.name, other.births
-                connected = one.member.connected(self.now) and other.member.connected(self.now)
-                agreed = one.member.served[0] and other.member.served[0]
+                connected = one.replica.is_connected(self.now) and other.replica.is_connected(self.now)
+                agreed = one.replica.version[0] and other.replica.version[0]
                 if not connected or not agreed or self.same(one.served, other.served):
                     self.apart.pop(pair, None)
                 else:
@@ -273,9 +262,9 @@
         assert sum(most.values()) <= BEARS, "more reserved than can be honoured"
         # What no roll-out brought is one: files' figures, which agree as far as they meet.
         for sidecar in alive:
-            if sidecar.member.committed and sidecar.member.committed.token:
-                self.rolled.add(sidecar.member.committed.name)
-        served = {s.member.served if s.member.served in self.rolled else None for s in under_lease}
+            if sidecar.replica.committed and sidecar.replica.committed.token:
+                self.rolled.add(sidecar.replica.committed.version)
+        served = {s.replica.version if s.replica.version in self.rolled else None for s in under_lease}
         assert len(served) <= 2, "more than two generations"
 
     @staticmethod
@@ -293,10 +282,10 @@
         for tool in self.tools:
             tool.link = "up"
         self.advance(40 * LEASE // TICK)
-        assert len({s.member.served for s in self.sidecars}) == 1
+        assert len({s.replica.version for s in self.sidecars}) == 1
         assert all(sidecar.reserves for sidecar in self.sidecars)
-        assert self.store.committed is not None and self.store.name == self.sidecars[0].member.served
-        assert all(tool.out.over for tool in self.tools)
+        assert self.store.committed is not None and self.store.name == self.sidecars[0].replica.version
+        assert all(tool.out.is_finished for tool in self.tools)
 
 
 CHOICES = [content(8, 2), content(2, 8), content(5, 5), content(10, 0, 3.0), content(0, 10)]
@@ -435,7 +424,7 @@
     tool = Tool(token, wanted, world.now)
     world.tools.append(tool)
     for _ in range(ticks):
-        if tool.out.over:
+        if tool.out.is_finished:
             break
         world.advance(1)
     return tool.out
@@ -454,7 +443,7 @@
         if not changes:
             tool = Tool("t", CHOICES[1], world.now)
             world.tools.append(tool)
-        changes.append(tuple(s.member.served[0] for s in world.sidecars))
+        changes.append(tuple(s.replica.version[0] for s in world.sidecars))
         world.advance(1)
     seen = sorted(set(changes))
     first = seen[0][0]
@@ -463,10 +452,10 @@
 
 def test_a_sidecar_that_refuses_stops_it_and_the_old_one_stays():
     world = settled_world()
-    world.sidecars[1].member.refuses = lambda _: ["volume v9 does not stand there"]
+    world.sidecars[1].replica.validate = lambda _: ["volume v9 does not stand there"]
     before = world.store.rank
     out = roll_out(world, CHOICES[2])
-    assert out.phase is RolloutPhase.STOPPED and "s1: volume v9" in out.why
+    assert out.phase is RolloutPhase.STOPPED and "s1: volume v9" in out.reason
     assert world.store.rank == before and world.store.stage is None
 
 
@@ -480,7 +469,7 @@
     for number, wanted in enumerate((CHOICES[2], CHOICES[3], CHOICES[2])):
         began = world.now
         out = roll_out(world, wanted, token=f"t{number}")  # World.check holds the rule at each instant
-        assert out.phase is RolloutPhase.DONE and out.left_out <= {"s0"}
+        assert out.phase is RolloutPhase.DONE and out.excluded <= {"s0"}
         assert {s.served.plans["p1"]["Parts"] for s in world.sidecars[1:]} == {wanted.plans["p1"]["Parts"]}
         if len(out.steps) == 1:
             assert world.now - began <= TEN_S
@@ -490,7 +479,7 @@
     if not one.alive:
         one.start(world.now)
     world.advance(LEASE // TICK)
-    assert one.reserves and one.member.served == world.store.name
+    assert one.reserves and one.replica.version == world.store.name
 
 
 def test_one_answer_heard_between_lost_ones_counts_though_its_record_says_nothing_of_it():
@@ -501,9 +490,12 @@
     world.advance((LEASE + TICK) // TICK)
     tool = Tool("t", CHOICES[1], world.now)  # in two steps
     world.tools.append(tool)
-    while tool.out.phase is not RolloutPhase.ASKING or world.now + 3 * TICK < tool.out.since + LEASE:
+    while (
+        tool.out.phase is not RolloutPhase.VALIDATING
+        or world.now + 3 * TICK < tool.out.phase_started_at + LEASE
+    ):
         world.advance(1)
-    one.link, one.member.next_heartbeat = "up", world.now
+    one.link, one.replica.next_heartbeat_at = "up", world.now
     one.turn(world.store, world.now, world.chance)
     one.link = "down"
     assert one.reserves
@@ -526,13 +518,13 @@
 
 def test_a_store_that_lost_the_generation_alone_renews_no_lease_until_it_has_it_again():
     world = settled_world()
-    one, store = world.sidecars[0].member, world.store
-    until = one.reserves_until
-    one.due(one.next_heartbeat)
-    one.seen(replace(store.told(), committed=None), world.now)
-    assert one.reserves_until == until
-    one.seen(store.told(), world.now)
-    assert one.reserves_until > until
+    one, store = world.sidecars[0].replica, world.store
+    until = one.lease_expires_at
+    one.handle_timer(one.next_heartbeat_at)
+    one.handle_view(replace(store.told(), committed=None), world.now)
+    assert one.lease_expires_at == until
+    one.handle_view(store.told(), world.now)
+    assert one.lease_expires_at > until
 
 
 def test_a_start_from_the_copy_reserves_nothing_until_the_store_is_heard():
@@ -541,7 +533,7 @@
     one.link = "down"
     one.start(world.now)
     world.advance(2 * LEASE // TICK)
-    assert one.member.committed is not None and not one.reserves
+    assert one.replica.committed is not None and not one.reserves
     one.link = "up"
     world.advance(LEASE // TICK)
     assert one.reserves
@@ -565,13 +557,13 @@
     tool = Tool("again", CHOICES[2], world.now)
     world.tools.append(tool)
     world.advance(FENCE // TICK - 1)
-    assert tool.out.phase is RolloutPhase.READING and not any(s.reserves for s in world.sidecars[1:])
+    assert tool.out.phase is RolloutPhase.PLANNING and not any(s.reserves for s in world.sidecars[1:])
     world.advance(6 * LEASE // TICK)
     assert tool.out.phase is RolloutPhase.DONE
     for one in world.sidecars:
         one.link = "up"
     world.advance(2 * LEASE // TICK)
-    assert {s.member.served for s in world.sidecars} == {world.store.name}
+    assert {s.replica.version for s in world.sidecars} == {world.store.name}
     assert world.store.committed.content == CHOICES[2]
 
 
@@ -579,24 +571,28 @@
     world = settled_world()
     world.store.names |= {"old"}
     out = roll_out(world, CHOICES[2])
-    assert out.phase is RolloutPhase.STOPPED and "no lease of this version" in out.why and "old" in out.why
+    assert (
+        out.phase is RolloutPhase.STOPPED and "no lease of this version" in out.reason and "old" in out.reason
+    )
 
 
 def test_an_answer_counts_for_the_start_that_gave_it():
     world = settled_world()
     tool = Tool("t", CHOICES[2], world.now)
     view = world.store.view()
-    (stage, _) = tool.out.seen(view, world.now)
+    (stage, _) = tool.out.handle_view(view, world.now)
     assert world.store.apply(stage)
     tool.out.handle_stage_result(True, world.now)
     world.advance(10)  # all have answered
     world.sidecars[2].start(world.now)
-    world.sidecars[2].member.refuses = lambda _: ["its file has changed"]
+    world.sidecars[2].replica.validate = lambda _: ["its file has changed"]
     world.sidecars[2].turn(world.store, world.now, world.chance)  # its lease is there, its answer is not
-    assert not any(isinstance(e, CommitGeneration) for e in tool.out.seen(world.store.view(), world.now))
+    assert not any(
+        isinstance(e, CommitGeneration) for e in tool.out.handle_view(world.store.view(), world.now)
+    )
     world.advance(10)
-    tool.out.seen(world.store.view(), world.now)
-    assert "its file has changed" in tool.out.why
+    tool.out.handle_view(world.store.view(), world.now)
+    assert "its file has changed" in tool.out.reason
 
 
 def test_of_two_roll_outs_at_once_one_is_told_of_the_other():
@@ -606,7 +602,7 @@
     world.advance(200)
     phases = sorted(tool.out.phase.value for tool in tools)
     assert phases == ["done", "stopped"]
-    assert "under way" in next(tool.out.why for tool in tools if tool.out.why)
+    assert "under way" in next(tool.out.reason for tool in tools if tool.out.reason)
 
 
 @pytest.mark.parametrize("steps", range(0, 60, 3))
@@ -618,12 +614,12 @@
     world.advance(steps)
     world.tools.clear()
     world.advance(5 * LEASE // TICK)
-    assert {s.member.served for s in world.sidecars} == {world.store.name}
+    assert {s.replica.version for s in world.sidecars} == {world.store.name}
     assert world.store.view().stage is None
     if world.store.rank != before:
         assert reserves(world.store.committed.content) in (
             reserves(CHOICES[2]),
-            reserves(between(CHOICES[0], CHOICES[2])),
+            reserves(intermediate(CHOICES[0], CHOICES[2])),
         )
     assert roll_out(world, CHOICES[2], 400, "again").phase is RolloutPhase.DONE
 
@@ -632,18 +628,18 @@
     world = settled_world()
     tool = Tool("t", CHOICES[3], world.now)
     world.tools.append(tool)
-    while tool.out.phase is not RolloutPhase.CHANGING:
+    while tool.out.phase is not RolloutPhase.APPLYING:
         world.advance(1)
     cut = world.sidecars[0]
     cut.link = "down"
-    if cut.member.change_at is not None:  # as if the last view had not come
+    if cut.replica.change_due_at is not None:  # as if the last view had not come
         cut.start(world.now)
-    old = cut.member.served
+    old = cut.replica.version
     world.advance(3 * LEASE // TICK)
-    assert cut.member.served[0] <= old[0] + 1 and world.sidecars[1].member.served[0] > old[0] - 1
+    assert cut.replica.version[0] <= old[0] + 1 and world.sidecars[1].replica.version[0] > old[0] - 1
     cut.link = "up"
     world.advance(LEASE // TICK)
-    assert len({s.member.served for s in world.sidecars}) == 1
+    assert len({s.replica.version for s in world.sidecars}) == 1
 
 
 def test_a_lost_reply_to_the_commit_is_found_out():
@@ -651,14 +647,14 @@
     tool = Tool("t", CHOICES[3], world.now)
     while tool.out.phase is not RolloutPhase.COMMITTING:
         world.advance(2)
-        for effect in tool.out.seen(world.store.view(), world.now):
+        for effect in tool.out.handle_view(world.store.view(), world.now):
             if isinstance(effect, PutStage | CommitGeneration):
                 done = world.store.apply(effect)
                 if isinstance(effect, PutStage):
                     tool.out.handle_stage_result(done, world.now)
     world.tools.append(tool)  # whether it was done has not been told to it
     world.advance(100)
-    assert tool.out.phase is RolloutPhase.DONE and world.store.name == world.sidecars[0].member.served
+    assert tool.out.phase is RolloutPhase.DONE and world.store.name == world.sidecars[0].replica.version
 
 
 @pytest.mark.parametrize("step", [-50 * LEASE, 50 * LEASE])
@@ -666,11 +662,11 @@
     world = settled_world()
     tool = Tool("t", CHOICES[3], world.now)
     world.tools.append(tool)
-    while tool.out.phase is not RolloutPhase.CHANGING:
+    while tool.out.phase is not RolloutPhase.APPLYING:
         world.advance(1)
     committed = world.now
     world.store.clock += step
-    while len({s.member.served for s in world.sidecars}) > 1 or world.sidecars[0].member.change_at:
+    while len({s.replica.version for s in world.sidecars}) > 1 or world.sidecars[0].replica.change_due_at:
         world.advance(1)
     assert world.now - committed <= 2 * LEASE + 2 * TICK
 
@@ -680,8 +676,8 @@
     one = world.sidecars[2]  # whose own file is at fault
     one.link = "down"
     one.start(world.now)
-    assert one.served.plans["p1"]["Parts"] == 1.0 and one.member.snapshot_age_s == 1.0
-    assert not one.member.connected(world.now)
+    assert one.served.plans["p1"]["Parts"] == 1.0 and one.replica.snapshot_age_s == 1.0
+    assert not one.replica.is_connected(world.now)
 
 
 def test_no_way_is_no_roll_out():
@@ -690,9 +686,9 @@
 
     out = Rollout("t", "me", plan, LEASE, FENCE, 0)
     assert (
-        out.seen(StoreView(1, epoch=1, settled=True), 0) == []
+        out.handle_view(StoreView(1, epoch=1, previous_epoch_closed=True), 0) == []
         and out.phase is RolloutPhase.STOPPED
-        and "bears 1" in out.why
+        and "bears 1" in out.reason
     )
 
 
@@ -701,9 +697,9 @@
 
 def test_a_file_goes_by_what_is_in_force_and_says_where_it_differs():
     raw = check_file(str(SIDECAR)).raw
-    mine = content_of(raw)
+    mine = content_of_file(raw)
     assert effective(raw, mine) == Effective(raw) and refusals(raw, mine) == []
-    other = content_from(json.loads(json.dumps(mine.as_json())))
+    other = content_from_json(json.loads(json.dumps(mine.as_json())))
     assert other.digest == mine.digest
     other.plans["standard"]["Parts"] = 4.0
     other.volumes["tracks"]["hosts"] = 3.0
@@ -713,7 +709,7 @@
         "plan standard: Parts is 2.0 here, 4.0 in force",
         "volume tracks: hosts is 2.0 here, 3.0 in force",
     ]
-    assert got.held_volumes == {"logs"} and got.held_plans == frozenset()
+    assert got.suspended_volumes == {"logs"} and got.suspended_plans == frozenset()
     assert got.raw["settings"]["ServiceLevels"][1]["Parts"] == 4.0
     assert got.raw["listen"] == raw["listen"] and raw["settings"]["ServiceLevels"][1]["Parts"] == 2.0
     assert refusals(raw, other) == ["volume logs is served here and does not stand there"]
--- a/tests/agreement/test_golden_sequences.py
+++ b/tests/agreement/test_golden_sequences.py
@@ -9,32 +9,30 @@
 import re
 
 from runloft.agreement.codec import encode_committed, encode_lease, encode_stage, encode_verdict
-from runloft.agreement.member import (
+from runloft.agreement.effects import (
     AddOwnEntries,
+    AgreementEvent,
     ApplyConfig,
     Bootstrap,
     CloseEpoch,
+    CommitGeneration,
+    DropStage,
     Exchange,
     LogEvent,
     OpenEpoch,
     PersistSnapshot,
-    RepairStore,
-    Replica,
-)
-from runloft.agreement.records import CommittedGeneration, Lease, Stage, StoreView, Verdict
-from runloft.agreement.rollout import (
-    CommitGeneration,
-    DropStage,
     PutStage,
+    RepairStore,
     ReportProgress,
-    Rollout,
-    RolloutPhase,
 )
+from runloft.agreement.records import CommittedGeneration, Lease, Stage, StoreView, Verdict
+from runloft.agreement.replica import Replica
+from runloft.agreement.rollout import Rollout, RolloutPhase
 from tests.agreement.test_agreement import CHOICES, FENCE, LEASE, TICK, Tool, World, content
 
 REPLICA_DIGEST = "ee9f62abca1f465d3b505cc9becb522ab11671d215038c369d2bd0cf1f275424"
 CLOSED_LOOP_DIGEST = "91c765a3dba03a74d9dffbf7f50c84812f5489da26b2fa54bbd22991a214ce7f"
-FIRST_EVENT = "from copy"
+FIRST_EVENT = AgreementEvent.STARTED_FROM_SNAPSHOT
 LINKS = ("up", "up", "down", "deaf", "half")
 CLOCK_STEPS = (-3 * LEASE + 7, -LEASE // 2, LEASE // 2, 3 * LEASE)
 
@@ -67,27 +65,27 @@
         case Bootstrap():
             return [3, stored(effect.committed)]
         case OpenEpoch():
-            return [4, effect.epoch, effect.expects]
+            return [4, effect.epoch, effect.expected]
         case CloseEpoch():
             return [5, effect.epoch]
         case ApplyConfig():
-            return [6, effect.content.as_json(), effect.generation, effect.reserves]
+            return [6, effect.content.as_json(), effect.generation, effect.holds_reserves]
         case PersistSnapshot():
             return [7, stored(effect.committed)]
         case LogEvent():
-            return [8, effect.event == FIRST_EVENT, effect.generation, re.findall(r"\d+", effect.detail)]
+            return [8, effect.event is FIRST_EVENT, effect.generation, re.findall(r"\d+", effect.detail)]
         case AddOwnEntries():
-            return [9, stored(effect.committed), list(effect.expects)]
+            return [9, stored(effect.committed), list(effect.expected)]
         case PutStage():
-            return [10, stored(effect.stage), list(effect.expects)]
+            return [10, stored(effect.stage), list(effect.expected)]
         case CommitGeneration():
             return [
                 11,
                 stored(effect.committed),
-                list(effect.expects),
-                sorted(effect.names),
-                effect.in_ns,
-                pairs(effect.left_out),
+                list(effect.expected),
+                sorted(effect.sidecars),
+                effect.delay_ns,
+                pairs(effect.excluded),
                 pairs(effect.fenced),
             ]
         case DropStage():
@@ -116,11 +114,11 @@
 
     def add_replica(self, replica, now):
         self.add(
-            replica.next_at() - now,
-            list(replica.served),
-            replica.reserves,
-            replica.connected(now),
-            replica.change_at,
+            replica.next_due_at() - now,
+            list(replica.version),
+            replica.holds_reserves,
+            replica.is_connected(now),
+            replica.change_due_at,
             stored(replica.committed),
             stored(replica.lease()),
         )
@@ -128,12 +126,12 @@
     def add_rollout(self, rollout):
         self.add(
             tuple(RolloutPhase).index(rollout.phase),
-            rollout.over,
-            rollout.why,
-            sorted(rollout.unheard),
-            sorted(rollout.left_out),
+            rollout.is_finished,
+            rollout.reason,
+            sorted(rollout.unconfirmed),
+            sorted(rollout.excluded),
             rollout.step,
-            stored(rollout.wanted),
+            stored(rollout.target),
         )
 
     def wrap(self, monkeypatch, owner, name, add_state):
@@ -179,7 +177,7 @@
     epoch, settled, generation, stage = 0, False, None, None
     if chance.random() < 0.4:
         generation = any_committed(chance, 0)
-        recording.add_effects(replica.remember(generation, chance.randrange(0, 90) / 4, now))
+        recording.add_effects(replica.start_from_snapshot(generation, chance.randrange(0, 90) / 4, now))
     for _ in range(250):
         match chance.randrange(24):
             case 0:
@@ -195,21 +193,21 @@
                 store_ahead += chance.choice(CLOCK_STEPS)
             case 6:
                 own = content(8, 2, more=chance.choice(((), ("x",), ("z",))))
-                replica.own_changed(own)
+                replica.set_file_content(own)
             case 7:
-                replica.settled(chance.randrange(3), chance.randrange(3))
-        now = max(now, chance.choice((now + chance.randrange(LEASE), replica.next_at())))
-        effects = replica.due(now)
+                replica.set_divergence(chance.randrange(3), chance.randrange(3))
+        now = max(now, chance.choice((now + chance.randrange(LEASE), replica.next_due_at())))
+        effects = replica.handle_timer(now)
         recording.add_effects(effects)
         for effect in effects:
             if not isinstance(effect, Exchange):
                 continue
             now += chance.randrange(TICK)
             if chance.random() < 0.2:
-                recording.add_effects(replica.lost(now))
+                recording.add_effects(replica.handle_exchange_failure(now))
                 continue
-            view = StoreView(now + store_ahead, generation, stage, epoch=epoch, settled=settled)
-            answers = replica.seen(view, now)
+            view = StoreView(now + store_ahead, generation, stage, epoch=epoch, previous_epoch_closed=settled)
+            answers = replica.handle_view(view, now)
             recording.add_effects(answers)
             for answer in answers:
                 match answer:
@@ -267,11 +265,11 @@
 
 def test_replicas_and_rollouts_over_one_store_do_what_they_did(monkeypatch):
     recording = Recording()
-    for name in ("due", "seen", "lost"):
+    for name in ("handle_timer", "handle_view", "handle_exchange_failure"):
         recording.wrap(
             monkeypatch, Replica, name, lambda replica, *rest: recording.add_replica(replica, rest[-1])
         )
-    for name in ("seen", "handle_stage_result", "handle_commit_result", "stopped"):
+    for name in ("handle_view", "handle_stage_result", "handle_commit_result", "abort"):
         recording.wrap(monkeypatch, Rollout, name, lambda rollout, *_: recording.add_rollout(rollout))
     for seed in range(30):
         closed_loop_sequence(seed, recording)
--- a/tests/agreement/test_local_copy.py
+++ b/tests/agreement/test_local_copy.py
@@ -6,17 +6,13 @@
 
 import pytest
 
-from runloft.agreement import local_snapshot as copies
+from runloft.agreement import local_snapshot, snapshot_format, snapshot_writer
 from runloft.agreement.content import Content
-from runloft.agreement.local_snapshot import (
-    BootTime,
-    LocalSnapshot,
-    Snapshot,
-    SnapshotError,
-    SnapshotWriter,
-    UnreadableSnapshotError,
-)
+from runloft.agreement.errors import SnapshotError, SnapshotReadError
+from runloft.agreement.local_snapshot import LocalSnapshot, Snapshot
 from runloft.agreement.records import CommittedGeneration
+from runloft.agreement.snapshot_format import BootTime
+from runloft.agreement.snapshot_writer import SnapshotWriter
 
 ONE = Content({}, {"p": {"Parts": 1.0}}, {}, {})
 
@@ -39,7 +35,7 @@
 def test_a_copy_that_was_cut_off_ends_no_process(tmp_path, part):
     """The embedded store mapped the file: a page that was not there was a SIGBUS, at each start."""
     copy = LocalSnapshot(str(tmp_path), "s0")
-    copy.keep(CommittedGeneration(3, ONE))
+    copy.write(CommittedGeneration(3, ONE))
 
     def read():
         os.truncate(copy.path, int(copy.path.stat().st_size * part))
@@ -70,62 +66,62 @@
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
 def test_a_write_that_fails_leaves_the_copy_before(tmp_path, monkeypatch, call, number):
     copy = LocalSnapshot(str(tmp_path), "s0")
-    copy.keep(CommittedGeneration(2, ONE))
+    copy.write(CommittedGeneration(2, ONE))
     failing(monkeypatch, call, 1, number)
     with pytest.raises(SnapshotError):
-        copy.keep(CommittedGeneration(3, ONE))
+        copy.write(CommittedGeneration(3, ONE))
     assert copy.read().committed.generation == 2
-    copy.keep(CommittedGeneration(3, ONE))
+    copy.write(CommittedGeneration(3, ONE))
     assert copy.read().committed.generation == 3
 
 
 @pytest.mark.parametrize("call", ["fsync", "replace"])
 def test_a_kill_at_any_moment_of_a_write_leaves_one_of_the_two(tmp_path, monkeypatch, call):
     copy = LocalSnapshot(str(tmp_path), "s0")
-    copy.keep(CommittedGeneration(2, ONE))
+    copy.write(CommittedGeneration(2, ONE))
 
     def killed():
         monkeypatch.setattr(os, call, lambda *_: os.kill(os.getpid(), 9))
-        copy.keep(CommittedGeneration(3, ONE))
+        copy.write(CommittedGeneration(3, ONE))
 
     assert in_child(killed) == -9
     assert copy.read().committed.generation == 2
-    copy.keep(CommittedGeneration(4, ONE))  # over what the killed one left
+    copy.write(CommittedGeneration(4, ONE))  # over what the killed one left
     assert copy.read().committed.generation == 4
 
 
 def test_a_failed_write_is_tried_again_and_only_the_newest_is_written(tmp_path, monkeypatch):
     """It was issued once a generation: a restart went by one that was two back."""
-    monkeypatch.setattr(copies, "RETRY_LEAST_S", 0.001)
+    monkeypatch.setattr(snapshot_writer, "MIN_RETRY_WAIT_S", 0.001)
     failures = failing(monkeypatch, "fsync", 4)
     writer = SnapshotWriter(LocalSnapshot(str(tmp_path), "s0"))
     for generation in (2, 3, 4):
-        writer.keep(CommittedGeneration(generation, ONE))
+        writer.submit(CommittedGeneration(generation, ONE))
     writer.stop(10)
-    if writer.is_behind:  # the end came between two tries
-        again = SnapshotWriter(writer.copy)
+    if writer.is_behind:  # the end came intermediate two tries
+        again = SnapshotWriter(writer.snapshot)
         monkeypatch.undo()
-        again.keep(CommittedGeneration(4, ONE))
+        again.submit(CommittedGeneration(4, ONE))
         again.stop(10)
-    assert writer.copy.read().committed.generation == 4
+    assert writer.snapshot.read().committed.generation == 4
     assert 1 <= len(failures) <= 4 and writer.failures == len(failures)
 
 
 def test_a_write_goes_on_until_the_disk_is_back(tmp_path, monkeypatch):
-    monkeypatch.setattr(copies, "RETRY_LEAST_S", 0.001)
+    monkeypatch.setattr(snapshot_writer, "MIN_RETRY_WAIT_S", 0.001)
     failures, written = failing(monkeypatch, "fsync", 5), threading.Event()
     writer = SnapshotWriter(LocalSnapshot(str(tmp_path), "s0"))
-    real = writer.copy.keep
+    real = writer.snapshot.write
 
     def keep(committed):
         real(committed)
         written.set()
 
-    monkeypatch.setattr(writer.copy, "keep", keep)
-    writer.keep(CommittedGeneration(2, ONE))
+    monkeypatch.setattr(writer.snapshot, "write", keep)
+    writer.submit(CommittedGeneration(2, ONE))
     assert written.wait(10) and len(failures) == 5
     writer.stop(10)
-    assert not writer.is_behind and writer.copy.read().committed.generation == 2
+    assert not writer.is_behind and writer.snapshot.read().committed.generation == 2
 
 
 def test_a_disk_that_hangs_holds_nobody_up(tmp_path, monkeypatch):
@@ -138,9 +134,9 @@
 
     monkeypatch.setattr(os, "fsync", hang)
     writer = SnapshotWriter(LocalSnapshot(str(tmp_path), "s0"))
-    writer.keep(CommittedGeneration(2, ONE))
+    writer.submit(CommittedGeneration(2, ONE))
     assert began.wait(10)
-    writer.keep(CommittedGeneration(3, ONE))
+    writer.submit(CommittedGeneration(3, ONE))
     writer.stop(0.01)
     assert writer.is_behind
     held.set()
@@ -150,7 +146,7 @@
 def test_a_copys_age_is_real_time_whatever_the_wall_clock_does(tmp_path):
     wall, boot = [10**18], [BootTime("one", 5 * SECOND)]
     copy = LocalSnapshot(str(tmp_path), "s0", lambda: wall[0], lambda: boot[0])
-    copy.keep(CommittedGeneration(3, ONE))
+    copy.write(CommittedGeneration(3, ONE))
     wall[0] += 3600 * SECOND
     boot[0] = BootTime("one", 95 * SECOND)
     assert copy.read() == Snapshot(CommittedGeneration(3, ONE), 90.0)
@@ -160,8 +156,8 @@
 
 def test_a_directory_that_can_not_be_read_at_first_is_read_soon(tmp_path, monkeypatch):
     copy, left, slept = LocalSnapshot(str(tmp_path), "s0"), [2], []
-    copy.keep(CommittedGeneration(3, ONE))
-    real = copies.Path.read_bytes
+    copy.write(CommittedGeneration(3, ONE))
+    real = local_snapshot.Path.read_bytes
 
     def read_bytes(path):
         if left[0]:
@@ -169,23 +165,23 @@
             raise OSError(errno.EIO, "for a moment")
         return real(path)
 
-    monkeypatch.setattr(copies.Path, "read_bytes", read_bytes)
+    monkeypatch.setattr(local_snapshot.Path, "read_bytes", read_bytes)
     assert copy.read_with_retries(slept.append).committed.generation == 3 and len(slept) == 2
     left[0] = 100
-    with pytest.raises(UnreadableSnapshotError):
+    with pytest.raises(SnapshotReadError):
         copy.read_with_retries(slept.append)
 
 
 @pytest.mark.parametrize("harm", ["", "newest", "all"])
 def test_the_copy_of_the_version_before_is_read(tmp_path, harm):
-    """Its pages hold several copies; the newest whole one counts, and a file of its own follows."""
+    """Its pages hold several local_snapshot; the newest whole one counts, and a file of its own follows."""
     copy, pages = (
-        LocalSnapshot(str(tmp_path), "s0", boot=lambda: None),
+        LocalSnapshot(str(tmp_path), "s0", boot_time=lambda: None),
         [b"\0" * 16 + b"\xde\xc0\xef\xbe" + b"\0" * 99],
     )
     for generation in (2, 4, 3):
-        copy.keep(CommittedGeneration(generation, ONE))
-        page = copy.path.read_bytes().replace(copies.FORMAT, copies.MAPPED_FORMAT)
+        copy.write(CommittedGeneration(generation, ONE))
+        page = copy.path.read_bytes().replace(snapshot_format.FORMAT, snapshot_format.LMDB_FORMAT)
         if harm == "all" or (harm and generation == 4):
             page = page[:-9]
         pages.append(page + b"\0\xff" * 20)
@@ -195,5 +191,5 @@
             copy.read()
     else:
         assert copy.read().committed.generation == (3 if harm else 4)
-    copy.keep(CommittedGeneration(5, ONE))
+    copy.write(CommittedGeneration(5, ONE))
     assert copy.read().committed.generation == 5
--- a/tests/agreement/test_sharing.py
+++ b/tests/agreement/test_sharing.py
@@ -18,11 +18,20 @@
 
 from runloft.agreement.codec import encode_lease
 from runloft.agreement.content import Content
-from runloft.agreement.local_snapshot import LocalSnapshot, Snapshot, SnapshotError
-from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
-from runloft.agreement.records import NOTHING, CommittedGeneration, Lease, Stage, Verdict
-from runloft.agreement.rollout import CommitGeneration, PutStage
-from runloft.agreement.store import AgreementStore, StoreError
+from runloft.agreement.effects import (
+    AddOwnEntries,
+    Bootstrap,
+    CloseEpoch,
+    CommitGeneration,
+    Exchange,
+    OpenEpoch,
+    PutStage,
+    RepairStore,
+)
+from runloft.agreement.errors import SnapshotError, StoreError
+from runloft.agreement.local_snapshot import LocalSnapshot, Snapshot
+from runloft.agreement.records import NO_RANK, CommittedGeneration, Lease, Stage, Verdict
+from runloft.agreement.store import AgreementStore
 from runloft.lab.keyspace import Error, Keyspace, Session
 from runloft.lab.redis import RedisStandIn
 from tests.support.lab import running
@@ -34,7 +43,16 @@
 
 
 def lease(name="s0", incarnation="i", asked=0, heard=0):
-    return Lease(name, incarnation, 1, ONE.digest, ONE.digest, asked=asked, heard=heard, fence_ns=2 * LEASE)
+    return Lease(
+        name,
+        incarnation,
+        1,
+        ONE.digest,
+        ONE.digest,
+        exchanges_sent=asked,
+        exchanges_answered=heard,
+        fence_ns=2 * LEASE,
+    )
 
 
 def play(check):
@@ -58,42 +76,42 @@
         view = await store.exchange(Exchange(lease()))
         assert (
             view.committed is None
-            and not view.names
+            and not view.sidecars
             and not view.epoch
             and abs(view.now_ns - time.time_ns()) < 5e9
         )
-        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
-        await other.found(Bootstrap(CommittedGeneration(1, TWO)))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
+        await other.bootstrap(Bootstrap(CommittedGeneration(1, TWO)))
         first = (await other.exchange(Exchange(lease("s1")))).committed
         assert first.content == ONE
-        assert not await other.extend(AddOwnEntries(CommittedGeneration(2, TWO), NOTHING))
+        assert not await other.add_own_entries(AddOwnEntries(CommittedGeneration(2, TWO), NO_RANK))
         stage = Stage("t.0", 2, TWO, "me")
         assert await store.put_stage(PutStage(stage, first.rank))
         assert not await other.put_stage(PutStage(replace(stage, token="u.0"), first.rank))
         verdict = Verdict("s0", "i", "t.0", ())
         assert (await store.exchange(Exchange(lease(), verdict))).stage == stage
         seen = await other.view()
-        assert seen.verdicts == {"s0": verdict} and seen.leases.keys() == {"s0", "s1"} == seen.names
-        await store.begin(OpenEpoch(7, 0))
+        assert seen.verdicts == {"s0": verdict} and seen.leases.keys() == {"s0", "s1"} == seen.sidecars
+        await store.open_epoch(OpenEpoch(7, 0))
         put = CommitGeneration(
             CommittedGeneration(2, TWO, 0, ONE, "t.0", "me", 7), first.rank, frozenset(("s0", "s1")), LEASE
         )
-        assert not await other.commit_generation(replace(put, names=frozenset(("s0",))))
-        assert not await other.commit_generation(replace(put, committed=replace(put.committed, token="x.0")))
-        assert not await other.commit_generation(replace(put, committed=replace(put.committed, epoch=6)))
-        assert await other.commit_generation(put)
+        assert not await other.commit(replace(put, sidecars=frozenset(("s0",))))
+        assert not await other.commit(replace(put, committed=replace(put.committed, token="x.0")))
+        assert not await other.commit(replace(put, committed=replace(put.committed, epoch=6)))
+        assert await other.commit(put)
         view = await store.exchange(Exchange(lease()))
         assert view.committed.rank == put.committed.rank and view.stage is None
-        assert 0 < view.committed.at_ns - view.now_ns <= LEASE
-        assert not await store.commit_generation(put)
+        assert 0 < view.committed.effective_at_ns - view.now_ns <= LEASE
+        assert not await store.commit(put)
 
     play(check)
 
 
 def test_who_is_left_out_is_still_silent_at_the_commit_and_who_is_fenced_is_not_known_after_it():
     async def check(server, store, other):
-        await store.begin(OpenEpoch(7, 0))
-        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
+        await store.open_epoch(OpenEpoch(7, 0))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
         await store.exchange(Exchange(lease()))
         await other.exchange(Exchange(lease("s1", asked=5, heard=4)))
         rank = (0, 1, ONE.digest)
@@ -108,28 +126,28 @@
             {"s1": ("i", 5)},
         )
         await other.exchange(Exchange(lease("s1", asked=6, heard=5)))  # it hears again
-        assert not await store.commit_generation(replace(put, fenced={}))
-        assert not await store.commit_generation(replace(put, left_out={}))
+        assert not await store.commit(replace(put, fenced={}))
+        assert not await store.commit(replace(put, excluded={}))
         assert not await store.forget("s1", ("i", 5))
-        assert await store.commit_generation(replace(put, left_out={"s1": ("i", 5)}, fenced={"s1": ("i", 6)}))
-        assert (await store.view()).names == {"s0"} == (await store.view()).leases.keys()
+        assert await store.commit(replace(put, excluded={"s1": ("i", 5)}, fenced={"s1": ("i", 6)}))
+        assert (await store.view()).sidecars == {"s0"} == (await store.view()).leases.keys()
         await other.exchange(Exchange(lease("s1", asked=7, heard=5)))  # deaf, but it is there
-        assert await store.forget("s1", ("i", 7)) and (await store.view()).names == {"s0"}
+        assert await store.forget("s1", ("i", 7)) and (await store.view()).sidecars == {"s0"}
 
     play(check)
 
 
 def test_an_era_is_begun_once_settled_by_who_saw_it_and_raised_by_who_knows_a_later_one():
     async def check(server, store, other):
-        await store.begin(OpenEpoch(7, 0))
-        await other.begin(OpenEpoch(9, 0))
-        await other.settle(CloseEpoch(9))
+        await store.open_epoch(OpenEpoch(7, 0))
+        await other.open_epoch(OpenEpoch(9, 0))
+        await other.close_epoch(CloseEpoch(9))
         view = await store.exchange(Exchange(lease()))
-        assert (view.epoch, view.settled) == (7, False)
-        await other.settle(CloseEpoch(7))
-        assert (await store.view()).settled
-        await other.begin(OpenEpoch(12, 7))
-        assert ((await store.view()).epoch, (await store.view()).settled) == (12, False)
+        assert (view.epoch, view.previous_epoch_closed) == (7, False)
+        await other.close_epoch(CloseEpoch(7))
+        assert (await store.view()).previous_epoch_closed
+        await other.open_epoch(OpenEpoch(12, 7))
+        assert ((await store.view()).epoch, (await store.view()).previous_epoch_closed) == (12, False)
         server.keys.data[b"t:era"] = b"an era"  # no record of ours
         assert (await store.view()).epoch == 0
 
@@ -149,7 +167,13 @@
         server.keys.data[b"t:names"] |= {b"s1", b"s2", b"s3", b"s4", b"s5"}
         server.keys.data[b"t:verdicts"] = {b"s1": b"{", b"s2": b'{"format": 1}'}
         view = await store.view()
-        assert view.leases.keys() == {"s0"} and view.foreign() == {"s1", "s2", "s3", "s4", "s5"}
+        assert view.leases.keys() == {"s0"} and view.sidecars_without_lease() == {
+            "s1",
+            "s2",
+            "s3",
+            "s4",
+            "s5",
+        }
         assert view.verdicts == {}
         assert not await store.forget("s1", None) and await store.forget("s5", None)
 
@@ -181,24 +205,22 @@
 
 def test_who_was_asked_about_a_generation_does_not_read_it_again_once_it_is_in_force():
     async def check(server, store, other):
-        await store.begin(OpenEpoch(7, 0))
-        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
+        await store.open_epoch(OpenEpoch(7, 0))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
         await other.exchange(Exchange(lease()))  # it is never asked
         await store.exchange(Exchange(lease("s1")))
         rank = (0, 1, ONE.digest)
         assert await other.put_stage(PutStage(Stage("t.0", 2, TWO, "me", 7), rank))
         assert (await store.exchange(Exchange(lease("s1")))).stage.content == TWO
         committed = CommittedGeneration(2, TWO, 0, ONE, "t.0", "me", 7)
-        assert await other.commit_generation(
-            CommitGeneration(committed, rank, frozenset(("s0", "s1")), LEASE)
-        )
+        assert await other.commit(CommitGeneration(committed, rank, frozenset(("s0", "s1")), LEASE))
         read = []
         act = server.keys.act
         server.keys.act = lambda session, words: read.append(words[1:]) or act(session, words)
         asked = (await store.exchange(Exchange(lease("s1")))).committed
         assert [b"t:force"] not in read
         assert asked == (await other.exchange(Exchange(lease()))).committed and [b"t:force"] in read
-        assert asked.rank == committed.rank and asked.before == ONE and asked.at_ns > 0
+        assert asked.rank == committed.rank and asked.previous == ONE and asked.effective_at_ns > 0
         # Not where what was before is another one, or what came is not what was staged.
         for mark in (b"7 3 x t.1 0 y", b"7 2 %s t.0 5 y" % TWO.digest.encode(), b"7 2 x t.0 5 y", b"1 2"):
             server.keys.data[b"t:force:rank"] = mark
@@ -211,17 +233,17 @@
 
 def test_what_a_store_has_lost_is_put_back_but_never_over_a_higher_one():
     async def check(server, store, other):
-        await store.restore(RepairStore(CommittedGeneration(5, ONE)))
-        await other.restore(RepairStore(CommittedGeneration(4, TWO)))
+        await store.repair(RepairStore(CommittedGeneration(5, ONE)))
+        await other.repair(RepairStore(CommittedGeneration(4, TWO)))
         assert (await store.view()).committed.generation == 5
         server.keys.empty()
-        await other.restore(RepairStore(CommittedGeneration(4, TWO)))
-        await store.restore(RepairStore(CommittedGeneration(5, ONE)))
+        await other.repair(RepairStore(CommittedGeneration(4, TWO)))
+        await store.repair(RepairStore(CommittedGeneration(5, ONE)))
         assert (await store.view()).committed.generation == 5
-        await store.restore(
+        await store.repair(
             RepairStore(CommittedGeneration(2, TWO, epoch=1))
         )  # rolled out since the store was lost
-        await store.restore(RepairStore(CommittedGeneration(9, ONE)))
+        await store.repair(RepairStore(CommittedGeneration(9, ONE)))
         assert (await store.view()).committed.generation == 2
 
     play(check)
@@ -234,7 +256,7 @@
         assert (await store.view()).leases.keys() == {"s0"}
         await other.leave("s0", "new")
         view = await store.view()
-        assert not view.leases and not view.names
+        assert not view.leases and not view.sidecars
 
     play(check)
 
@@ -243,7 +265,7 @@
 def test_whatever_a_store_does_is_one_error_in_time(trouble):
     async def check(server, store, other):
         await store.exchange(Exchange(lease()))
-        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
         match trouble:
             case "silent":
                 server.failures.silent = True
@@ -273,7 +295,7 @@
 
 def test_two_that_write_at_once_lose_nothing():
     async def check(server, store, other):
-        await store.found(Bootstrap(CommittedGeneration(1, ONE)))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
 
         async def add(client, name):
             for _ in range(20):
@@ -281,7 +303,7 @@
                 if name in committed.content.volumes:
                     return
                 content = replace(committed.content, volumes={**committed.content.volumes, name: {}})
-                await client.extend(
+                await client.add_own_entries(
                     AddOwnEntries(CommittedGeneration(committed.generation + 1, content), committed.rank)
                 )
 
@@ -323,8 +345,8 @@
     copy = LocalSnapshot(str(tmp_path / "deep"), "s0", lambda: clock[0], lambda: None)
     assert copy.read() is None
     committed = CommittedGeneration(3, ONE, 7, TWO, "t.0", "me")
-    copy.keep(CommittedGeneration(2, TWO))
-    copy.keep(committed)
+    copy.write(CommittedGeneration(2, TWO))
+    copy.write(committed)
     clock[0] += 90 * 10**9
     assert copy.read() == Snapshot(committed, 90.0)
     clock[0] -= 10**12
@@ -334,7 +356,7 @@
 @pytest.mark.parametrize("harm", ["cut", "noise", "sum", "newer", "foreign", "empty"])
 def test_a_copy_that_can_not_be_trusted_is_told(tmp_path, harm):
     copy = LocalSnapshot(str(tmp_path), "s0")
-    copy.keep(CommittedGeneration(3, ONE))
+    copy.write(CommittedGeneration(3, ONE))
     data = copy.path.read_bytes()
     if harm == "cut":
         copy.path.write_bytes(data[:-9])
@@ -457,7 +479,7 @@
 
     # The store goes away: serving goes on, and a restart serves by the copy.
     pair.store.failures.silent = True
-    until(lambda: "cut off" in log.read_text())
+    until(lambda: "disconnected" in log.read_text())
     began = time.monotonic()
     assert ask(log) == b"-BUSY"  # answered at once, though the store says nothing
     assert time.monotonic() - began < 1.0
@@ -465,7 +487,7 @@
     assert pair.processes["reports"].wait(15) == 0
     log.write_text("")
     pair.start("reports")
-    until(lambda: "from copy" in log.read_text())
+    until(lambda: "started from local snapshot" in log.read_text())
     assert f"generation={before + 2}" in log.read_text()
     assert "Parts is 20.0 here, 2.0 in force" in log.read_text() and "s old" in log.read_text()
     pair.store.failures.silent = False
@@ -522,7 +544,7 @@
         [*command, str(pair.path / "files" / "ingest.toml")], capture_output=True, text=True, cwd=ROOT
     )
     states = {row["sidecar"]: row["state"] for row in json.loads(done.stdout)["sidecars"]}
-    assert states == {"ingest": "agrees", "old": "unknown"} and "passed over" in done.stderr
+    assert states == {"ingest": "agrees", "old": "unknown"} and "is ignored" in done.stderr
     shutil.copy(pair.fleet, pair.path / "files" / "fleet.toml")
     out = pair.tool("roll", "out", pair.path / "files", status=1)
     assert "known by no lease of this version, so it can't be left out: old" in out
@@ -537,7 +559,7 @@
     pair.edit("reports", "[objects.volumes.ships]", "[objects.volumes.boats]")
     pair.edit("reports", "00000000000000a3", "00000000000000b3")
     log = pair.start("reports")
-    until(lambda: "held" in log.read_text(), 20)
+    until(lambda: "suspended" in log.read_text(), 20)
     port = next(
         line.split("at=127.0.0.1:")[1].split()[0]
         for line in log.read_text().split("\n")
--- a/tests/agreement/test_stored_records.py
+++ b/tests/agreement/test_stored_records.py
@@ -21,10 +21,20 @@
     encode_stage,
     encode_verdict,
 )
-from runloft.agreement.local_snapshot import BootTime, LocalSnapshot
-from runloft.agreement.member import AddOwnEntries, Bootstrap, CloseEpoch, Exchange, OpenEpoch, RepairStore
+from runloft.agreement.effects import (
+    AddOwnEntries,
+    Bootstrap,
+    CloseEpoch,
+    CommitGeneration,
+    DropStage,
+    Exchange,
+    OpenEpoch,
+    PutStage,
+    RepairStore,
+)
+from runloft.agreement.local_snapshot import LocalSnapshot
 from runloft.agreement.records import CommittedGeneration, Lease, Stage, Verdict
-from runloft.agreement.rollout import CommitGeneration, DropStage, PutStage
+from runloft.agreement.snapshot_format import BootTime
 from runloft.agreement.store import AgreementStore
 from runloft.lab.redis import RedisStandIn
 from tests.support.lab import running
@@ -72,20 +82,24 @@
 def test_a_lease_is_read_field_by_field():
     lease = decode_lease(stored("lease.json"))
     assert (lease.name, lease.incarnation, lease.generation) == ("s0", "0f0e0d0c0b0a", 8)
-    assert (lease.digest, lease.own) == ("391bbfcd1c8a6618", "539addc558e09575")
-    assert (lease.differences, lease.held, lease.since_ns) == (3, 2, 1_764_684_000_123_456_000)
-    assert (lease.snapshot_age_s, lease.asked, lease.heard) == (12.25, 17, 15)
-    assert (lease.heard_ns, lease.fence_ns) == (1_764_684_009_000_000_000, 7_500_000_000)
-    assert lease.reserves is True
+    assert (lease.digest, lease.file_digest) == ("391bbfcd1c8a6618", "539addc558e09575")
+    assert (lease.differences, lease.suspended, lease.serving_since_ns) == (3, 2, 1_764_684_000_123_456_000)
+    assert (lease.snapshot_age_s, lease.exchanges_sent, lease.exchanges_answered) == (12.25, 17, 15)
+    assert (lease.answered_at_ns, lease.fence_ns) == (1_764_684_009_000_000_000, 7_500_000_000)
+    assert lease.holds_reserves is True
 
 
 def test_a_generation_is_read_field_by_field():
     committed = decode_committed(stored("generation-rolled-out.json"))
-    assert (committed.generation, committed.at_ns, committed.epoch) == (8, 1_764_684_000_123_456_000, EPOCH)
-    assert (committed.token, committed.by) == ("0123456789ab.1", "me@host")
+    assert (committed.generation, committed.effective_at_ns, committed.epoch) == (
+        8,
+        1_764_684_000_123_456_000,
+        EPOCH,
+    )
+    assert (committed.token, committed.committed_by) == ("0123456789ab.1", "me@host")
     assert committed.content.digest == "391bbfcd1c8a6618"
     assert committed.content.volumes["vé"]["shards"] == [0, 1, 7]
-    assert committed.before.digest == "539addc558e09575"
+    assert committed.previous.digest == "539addc558e09575"
 
 
 @pytest.mark.parametrize(
@@ -98,7 +112,7 @@
     kept = LocalSnapshot(str(tmp_path), name, lambda: UNIX_NS + 60_000_000_000, lambda: later).read()
     assert kept.age_s == age_s and written(kept.committed) == stored(generation)
     again = LocalSnapshot(str(tmp_path / "again"), name, lambda: UNIX_NS, lambda: boot)
-    again.keep(kept.committed)
+    again.write(kept.committed)
     assert again.path.read_bytes() == stored(f"{name}.copy")
     assert again.path.name == f"{name}.copy"
 
@@ -108,7 +122,7 @@
     copy = LocalSnapshot(str(tmp_path), "s0", lambda: UNIX_NS, lambda: BOOT)
     kept = copy.read()
     assert kept.age_s == 0.0 and written(kept.committed) == stored("generation-rolled-out.json")
-    copy.keep(kept.committed)
+    copy.write(kept.committed)
     assert copy.path.read_bytes() == stored("s0.copy")
 
 
@@ -122,31 +136,31 @@
     other = decode_lease(stored("lease-at-start.json"))
     stage = decode_stage(stored("stage.json"))
     await store.exchange(Exchange(lease))
-    await store.begin(OpenEpoch(EPOCH, 0))
-    await store.begin(OpenEpoch(EPOCH + 1, 0))
-    await store.settle(CloseEpoch(EPOCH))
-    await store.found(Bootstrap(first))
-    await store.found(Bootstrap(first))
-    added = CommittedGeneration(2, replace(first.content, classes={}), by="s1")
-    await store.extend(AddOwnEntries(added, first.rank))
-    await store.extend(AddOwnEntries(added, first.rank))
+    await store.open_epoch(OpenEpoch(EPOCH, 0))
+    await store.open_epoch(OpenEpoch(EPOCH + 1, 0))
+    await store.close_epoch(CloseEpoch(EPOCH))
+    await store.bootstrap(Bootstrap(first))
+    await store.bootstrap(Bootstrap(first))
+    added = CommittedGeneration(2, replace(first.content, classes={}), committed_by="s1")
+    await store.add_own_entries(AddOwnEntries(added, first.rank))
+    await store.add_own_entries(AddOwnEntries(added, first.rank))
     await store.put_stage(PutStage(stage, added.rank))
     await store.put_stage(PutStage(replace(stage, token="x.0"), added.rank))
     await store.exchange(Exchange(other, verdict))
     await store.exchange(Exchange(lease, decode_verdict(stored("verdict-refusing.json"))))
     names = frozenset(("s0", "s1"))
-    put = CommitGeneration(second, added.rank, names, LEASE_NS, {"s1": other.hearing}, {"s1": other.mark})
-    await store.commit_generation(replace(put, expects=first.rank))
-    await store.commit_generation(put)
+    put = CommitGeneration(second, added.rank, names, LEASE_NS, {"s1": other.answered}, {"s1": other.sent})
+    await store.commit(replace(put, expected=first.rank))
+    await store.commit(put)
     await store.view()
     await store.put_stage(PutStage(stage, second.rank))
     await store.drop_stage(DropStage("x.0"))
     await store.drop_stage(DropStage(stage.token))
-    await store.restore(RepairStore(first))
-    await store.restore(RepairStore(replace(second, generation=9)))
+    await store.repair(RepairStore(first))
+    await store.repair(RepairStore(replace(second, generation=9)))
     await store.exchange(Exchange(other))
     await store.forget("s1", ("a0b0", 7))
-    await store.forget("s1", other.mark)
+    await store.forget("s1", other.sent)
     await store.leave("s0", "other")
     await store.leave("s0", lease.incarnation)
     await store.view()
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from runloft.agreement.content import content_of
+from runloft.agreement.content import content_of_file
 from runloft.cli import main
 from runloft.lab.discovery import Instances
 from runloft.lab.keyspace import Keyspace
@@ -65,7 +65,7 @@
 
 
 def test_no_two_changes_bring_the_same_content():
-    own = content_of(raw_of("s", "127.0.0.1:1", "redis://127.0.0.1:1/0", "", 3000, volumes_of(3)))
+    own = content_of_file(raw_of("s", "127.0.0.1:1", "redis://127.0.0.1:1/0", "", 3000, volumes_of(3)))
     (one,), (two,), (first,) = changed(1, own)(own), changed(2, own)(own), changed(1, own)(None)
     assert len({own.digest, one.digest, two.digest}) == 3 and first == one
 
