--- a/runloft/agreement/ballot.py
+++ b/runloft/agreement/ballot.py
@@ -1,9 +1,30 @@
-"""Which sidecars have accepted a stage, which a commit goes on without, and whose answers are missing."""
+"""Which sidecars have accepted a stage, which a commit goes on without, and whose answers are missing.
 
+The rules by which a sidecar may be excluded are those of ``fencing``.
+"""
+
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from runloft.agreement.fencing import StalenessTracker
-from runloft.agreement.records import ExchangeCount, Lease
+from runloft.agreement.fencing import StalenessTracker, fence_expiry_ns
+from runloft.agreement.records import (
+    CommittedGeneration,
+    ExchangeCount,
+    Lease,
+    StoreView,
+    Verdict,
+    Version,
+    rank_of,
+)
+
+
+@dataclass
+class Ballot:
+    """The sidecars that a commit excludes, those that are fenced for certain, and the missing answers."""
+
+    excluded: dict[str, ExchangeCount] = field(default_factory=dict)  # with the exchanges answered
+    fenced: dict[str, ExchangeCount] = field(default_factory=dict)  # with the exchanges sent
+    missing: set[str] = field(default_factory=set)
 
 
 class SidecarTracker:
@@ -21,10 +42,58 @@
         self.silent_ns = self._sent.observe(lease.sent, now)
 
 
-@dataclass
-class Ballot:
-    """Which sidecars a commit goes on without, and whose answers are missing."""
+class SidecarObserver:
+    """Watches all sidecars and the committed generation over a rollout's views."""
 
-    excluded: dict[str, ExchangeCount] = field(default_factory=dict)
-    fenced: dict[str, ExchangeCount] = field(default_factory=dict)
-    missing: set[str] = field(default_factory=set)
+    def __init__(self, lease_ns: int, fence_ns: int) -> None:
+        self._lease_ns = lease_ns
+        self._fence_ns = fence_ns
+        self._sidecars: dict[str, SidecarTracker] = {}
+        self._committed = StalenessTracker()
+        self._committed_unchanged_ns = 0
+
+    def observe(self, view: StoreView, now: int) -> None:
+        """Take a view as seen at ``now``."""
+        committed_state = (rank_of(view.committed), view.epoch)
+        self._committed_unchanged_ns = self._committed.observe(committed_state, now)
+        for name, lease in view.leases.items():
+            self._sidecars.setdefault(name, SidecarTracker()).observe(lease, now)
+
+    def count(
+        self, view: StoreView, verdicts: Mapping[str, Verdict], base: CommittedGeneration | None
+    ) -> Ballot:
+        """Return the ballot on a stage over ``base``, given the verdicts on that stage."""
+        ballot = Ballot()
+        for name, lease in view.leases.items():
+            serves_base = base is not None and lease.version == base.version
+            is_fenced = self._sidecars[name].silent_ns >= self._fence_expiry_ns(lease)
+            is_excluded = self._may_be_excluded(lease, is_fenced or serves_base)
+            if is_excluded:
+                ballot.excluded[name] = lease.answered
+            if is_fenced:
+                ballot.fenced[name] = lease.sent
+            # A sidecar that restarted after its answer has to answer again.
+            has_answered = name in verdicts and verdicts[name].incarnation == lease.incarnation
+            has_accepted = has_answered and (base is None or serves_base)
+            if not is_excluded and not has_accepted:
+                ballot.missing.add(name)
+        return ballot
+
+    def late_sidecars(self, view: StoreView, version: Version) -> frozenset[str]:
+        """Return the sidecars that get answers and don't serve a version."""
+        return frozenset(
+            name
+            for name, lease in view.leases.items()
+            if lease.version != version and not self._is_unanswered(name)
+        )
+
+    def _is_unanswered(self, name: str) -> bool:
+        return self._sidecars[name].unanswered_ns >= self._lease_ns
+
+    def _may_be_excluded(self, lease: Lease, at_most_one_behind: bool) -> bool:
+        """Return whether the next generation may be committed without a sidecar's answer."""
+        earlier_leases_expired = self._committed_unchanged_ns >= self._fence_expiry_ns(lease)
+        return self._is_unanswered(lease.name) and (at_most_one_behind or earlier_leases_expired)
+
+    def _fence_expiry_ns(self, lease: Lease) -> int:
+        return fence_expiry_ns(max(self._fence_ns, lease.fence_ns))
--- a/runloft/agreement/local_snapshot.py
+++ b/runloft/agreement/local_snapshot.py
@@ -109,10 +109,10 @@
         records = decode_lmdb_pages(data)
         if not records:
             return None
-        own = [record for record in records if record.name == self.name]
-        if not own:
+        matching = [record for record in records if record.name == self.name]
+        if not matching:
             raise RecordError(f"no whole copy is left in it: it is {records[-1].name}'s")
-        return self._snapshot(max(own, key=lambda record: record.committed.rank))
+        return self._snapshot(max(matching, key=lambda record: record.committed.rank))
 
     def _snapshot(self, record: SnapshotRecord) -> Snapshot:
         if record.name != self.name:
--- a/runloft/agreement/replica.py
+++ b/runloft/agreement/replica.py
@@ -40,15 +40,14 @@
     AgreementEvent,
     ApplyConfig,
     Bootstrap,
-    CloseEpoch,
     Exchange,
     LogEvent,
-    OpenEpoch,
     PersistSnapshot,
     RepairStore,
     ReplicaEffect,
 )
-from runloft.agreement.fencing import StalenessTracker, fence_expiry_ns
+from runloft.agreement.epoch import TrustedEpoch
+from runloft.agreement.heartbeat import Heartbeat
 from runloft.agreement.records import (
     CommittedGeneration,
     Lease,
@@ -59,10 +58,6 @@
     rank_of,
 )
 
-HEARTBEATS_PER_LEASE = 4
-# A failed exchange is retried after a heartbeat divided by this; each further retry waits twice as long.
-FAST_RETRY_DIVISOR = 4
-MAX_BACKOFF_DOUBLINGS = 4
 MAX_REFUSALS = 8  # in a verdict
 MAX_LOGGED_REFUSALS = 3
 
@@ -88,10 +83,7 @@
         validate: Callable[[Content], list[str]],
         now: int,
     ) -> None:
-        """Take the sidecar's name and incarnation, its file's content, and the lease's times.
-
-        ``validate`` returns why this sidecar can't serve a content, an empty list if it can.
-        """
+        """``validate`` returns why this sidecar can't serve a content, an empty list if it can."""
         self.name = name
         self.incarnation = incarnation
         self.file_content = file_content
@@ -103,22 +95,16 @@
         self.content: Content | None = None  # what is served; None: the sidecar's own file
         self.change_due_at: int | None = None  # when ``committed`` takes effect
         self.lease_expires_at: int | None = None  # None: no lease
-        self.epoch = 0  # of the store whose answers renew the lease
+        self.epoch = TrustedEpoch(fence_ns)
+        self.heartbeat = Heartbeat(lease_ns, now)
         self.verdict: Verdict | None = None
-        self.answered_at: int | None = None  # own clock, of the last view
         self.store_empty_since: int | None = None
-        self.next_heartbeat_at = now
         self.differences = 0
         self.suspended = 0
         self.snapshot_age_s = -1.0
         self._serving_since_ns = 0  # store's time
         self._disconnected = False
-        self._sent_at = now
-        self._exchanges_sent = 0
-        self._exchanges_answered = 0
         self._store_time_ns = 0  # of the last view
-        self._failures = 0  # exchanges, since the last view
-        self._epoch_tracker = StalenessTracker()
 
     # Queries
 
@@ -136,11 +122,12 @@
 
     def is_connected(self, now: int) -> bool:
         """Return whether the store answered within the last lease."""
-        return self.answered_at is not None and now - self.answered_at <= self.lease_ns
+        answered_at = self.heartbeat.answered_at
+        return answered_at is not None and now - answered_at <= self.lease_ns
 
     def next_due_at(self) -> int:
         """Return the time at which ``handle_timer`` has something to do."""
-        times = (self.next_heartbeat_at, self.change_due_at, self.lease_expires_at)
+        times = (self.heartbeat.next_at, self.change_due_at, self.lease_expires_at)
         return min(time for time in times if time is not None)
 
     def lease(self) -> Lease:
@@ -155,8 +142,8 @@
             suspended=self.suspended,
             serving_since_ns=self._serving_since_ns,
             snapshot_age_s=self.snapshot_age_s,
-            exchanges_sent=self._exchanges_sent,
-            exchanges_answered=self._exchanges_answered,
+            exchanges_sent=self.heartbeat.sent_count,
+            exchanges_answered=self.heartbeat.answered_count,
             answered_at_ns=self._store_time_ns,
             fence_ns=self.fence_ns,
             holds_reserves=self.holds_reserves,
@@ -197,38 +184,31 @@
             self.lease_expires_at = None
             fenced = LogEvent(AgreementEvent.FENCED, self.version.generation, "nothing is reserved")
             effects = [*self._with_current_reserves(effects), fenced]
-        if not self._disconnected and self.answered_at is not None and not self.is_connected(now):
+        was_connected = not self._disconnected and self.heartbeat.answered_at is not None
+        if was_connected and not self.is_connected(now):
             self._disconnected = True
             detail = "the store did not answer for a lease"
             effects.append(LogEvent(AgreementEvent.DISCONNECTED, self.version.generation, detail))
-        if now >= self.next_heartbeat_at:
-            self.next_heartbeat_at = now + self._heartbeat_ns
-            self._sent_at = now
-            self._exchanges_sent += 1
+        if now >= self.heartbeat.next_at:
+            self.heartbeat.record_sent(now)
             effects.append(Exchange(self.lease(), self.verdict))
         return effects
 
     def handle_exchange_failure(self, now: int) -> list[ReplicaEffect]:
         """Schedule the retry of an exchange that failed, whether the store received it or not."""
-        # Backoff: a store that is back after an outage must not meet everybody's fast retries.
-        fast_retry_ns = self._heartbeat_ns // FAST_RETRY_DIVISOR
-        backoff_ns = fast_retry_ns << min(self._failures, MAX_BACKOFF_DOUBLINGS)
-        self._failures += 1
-        self.next_heartbeat_at = min(self.next_heartbeat_at, now + min(self._heartbeat_ns, backoff_ns))
+        self.heartbeat.record_failure(now)
         return []
 
     def handle_view(self, view: StoreView, now: int) -> list[ReplicaEffect]:
         """Take what the store holds, as the answer to the last exchange."""
         effects: list[ReplicaEffect] = []
-        if self._disconnected or self.answered_at is None:
+        if self._disconnected or self.heartbeat.answered_at is None:
             generation = view.committed.generation if view.committed else 0
             effects.append(LogEvent(AgreementEvent.CONNECTED, generation))
         self._disconnected = False
-        self.answered_at = now
         self._store_time_ns = view.now_ns
-        self._failures = 0
-        self._exchanges_answered += 1
-        effects += self._check_epoch(view, now)
+        self.heartbeat.record_answer(now)
+        effects += self.epoch.update(view, rank_of(self.committed).epoch, now)
         if view.committed is None:
             effects += self._handle_empty_store(now)
         else:
@@ -239,33 +219,16 @@
 
     # Transitions
 
-    @property
-    def _heartbeat_ns(self) -> int:
-        return self.lease_ns // HEARTBEATS_PER_LEASE
-
-    def _check_epoch(self, view: StoreView, now: int) -> list[ReplicaEffect]:
-        """Trust a new epoch only when the leases of the previous one have expired."""
-        highest_seen = rank_of(self.committed).epoch
-        if not view.epoch or view.epoch < highest_seen:
-            return [OpenEpoch(max(view.now_ns, highest_seen, self.epoch) + 1, view.epoch)]
-        observed_ns = self._epoch_tracker.observe(view.epoch, now)
-        if view.previous_epoch_closed:
-            self.epoch = view.epoch
-        elif observed_ns >= fence_expiry_ns(self.fence_ns):
-            self.epoch = view.epoch
-            return [CloseEpoch(view.epoch)]
-        return []
-
     def _renew_lease(self, view: StoreView, effects: list[ReplicaEffect]) -> list[ReplicaEffect]:
         """Extend the lease to a fence after the exchange was sent, if the view confirms the generation."""
         committed = self.committed
-        if committed is None or view.epoch != self.epoch or committed.epoch > view.epoch:
+        if committed is None or view.epoch != self.epoch.number or committed.epoch > view.epoch:
             return effects
         nothing_effective_yet = self.change_due_at is not None and committed.previous is None
         if rank_of(view.committed) != committed.rank or nothing_effective_yet:
             return effects
         was_fenced = self.lease_expires_at is None
-        self.lease_expires_at = self._sent_at + self.fence_ns
+        self.lease_expires_at = self.heartbeat.sent_at + self.fence_ns
         if not was_fenced:
             return effects
         acquired = LogEvent(AgreementEvent.LEASE_ACQUIRED, self.version.generation)
@@ -345,7 +308,7 @@
         self.change_due_at = None
         self.version = committed.version
         self._serving_since_ns = store_now or committed.effective_at_ns
-        self.next_heartbeat_at = min(self.next_heartbeat_at, now)  # the store is notified at once
+        self.heartbeat.send_by(now)  # the store is notified at once
         # Where no rollout has decided, this sidecar's volumes that nobody else has are served too.
         is_decided = bool(committed.token)
         self.content = committed.content if is_decided else completed(committed.content, self.file_content)
@@ -367,6 +330,6 @@
             outdated = f"generation {stage.generation} is staged, and {highest.generation} was in force here"
             refusals = [outdated, *refusals]
         self.verdict = Verdict(self.name, self.incarnation, stage.token, tuple(refusals[:MAX_REFUSALS]))
-        self.next_heartbeat_at = min(self.next_heartbeat_at, now)
+        self.heartbeat.send_by(now)
         event = AgreementEvent.STAGE_REJECTED if refusals else AgreementEvent.STAGE_ACCEPTED
         return [LogEvent(event, stage.generation, "; ".join(refusals[:MAX_LOGGED_REFUSALS]))]
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -32,7 +32,7 @@
 from collections.abc import Callable, Sequence
 from enum import Enum
 
-from runloft.agreement.ballot import Ballot, SidecarTracker
+from runloft.agreement.ballot import Ballot, SidecarObserver
 from runloft.agreement.content import Content
 from runloft.agreement.effects import (
     CloseEpoch,
@@ -47,7 +47,6 @@
 from runloft.agreement.fencing import StalenessTracker, fence_expiry_ns
 from runloft.agreement.records import (
     CommittedGeneration,
-    Lease,
     Stage,
     StoreView,
     Verdict,
@@ -97,9 +96,7 @@
         self.target: CommittedGeneration | None = None
         self.stage_renewed_at = now
         self._epoch_tracker = StalenessTracker()
-        self._committed_tracker = StalenessTracker()
-        self._committed_unchanged_ns = 0
-        self._sidecars: dict[str, SidecarTracker] = {}
+        self._observer = SidecarObserver(lease_ns, fence_ns)
 
     @property
     def is_finished(self) -> bool:
@@ -110,10 +107,7 @@
 
     def handle_view(self, view: StoreView, now: int) -> list[RolloutEffect]:
         """Take what the store holds; to be repeated until the rollout is finished."""
-        committed_state = (rank_of(view.committed), view.epoch)
-        self._committed_unchanged_ns = self._committed_tracker.observe(committed_state, now)
-        for name, lease in view.leases.items():
-            self._sidecars.setdefault(name, SidecarTracker()).observe(lease, now)
+        self._observer.observe(view, now)
         match self.phase:
             case RolloutPhase.PLANNING:
                 return self._plan_step(view, now)
@@ -185,8 +179,7 @@
     # Phase PLANNING
 
     def _plan_step(self, view: StoreView, now: int) -> list[RolloutEffect]:
-        previous_token = f"{self.token}.{self.step - 1}"
-        if self.step and (view.committed is None or view.committed.token != previous_token):
+        if self._is_overtaken(view):
             return self._stop("another generation came into force between two steps")
         self.base = view.committed
         base_epoch = rank_of(view.committed).epoch
@@ -194,15 +187,25 @@
             if self._is_timed_out(now):
                 return self._stop("no era")
             return [OpenEpoch(max(view.now_ns, base_epoch) + 1, view.epoch)]
-        epoch_observed_ns = self._epoch_tracker.observe(view.epoch, now)
-        if epoch_observed_ns < fence_expiry_ns(self.fence_ns) and not view.previous_epoch_closed:
-            return []  # a disconnected sidecar may hold a lease in the previous epoch
+        if self._may_have_old_leases(view, now):
+            return []
         if view.committed is not None and view.committed.effective_at_ns > view.now_ns:
             if self._is_timed_out(now):
                 return self._stop("the generation before has not come into force")
             return []  # it is pending: there must never be a third one at once
         return self._start_step(view, now)
 
+    def _is_overtaken(self, view: StoreView) -> bool:
+        """Return whether another generation was committed after the step before this one."""
+        if self.step == 0:
+            return False
+        return view.committed is None or view.committed.token != f"{self.token}.{self.step - 1}"
+
+    def _may_have_old_leases(self, view: StoreView, now: int) -> bool:
+        """Return whether a disconnected sidecar may hold a lease in the previous epoch."""
+        observed_ns = self._epoch_tracker.observe(view.epoch, now)
+        return observed_ns < fence_expiry_ns(self.fence_ns) and not view.previous_epoch_closed
+
     def _start_step(self, view: StoreView, now: int) -> list[RolloutEffect]:
         if self.step == 0:
             try:
@@ -234,7 +237,7 @@
         }
         if obstacle := self._obstacle(view, verdicts):
             return self._stop(obstacle)
-        ballot = self._count(view, verdicts)
+        ballot = self._observer.count(view, verdicts, self.base)
         if view.stage is None or ballot.missing:
             return self._await_verdicts(view, ballot, now)
         return self._commit(view, ballot, now)
@@ -257,39 +260,6 @@
             return f"known by no lease of this version, so it can't be left out: {names}"
         return ""
 
-    def _count(self, view: StoreView, verdicts: dict[str, Verdict]) -> Ballot:
-        ballot = Ballot()
-        for name, lease in view.leases.items():
-            is_fenced = self._is_fenced(lease)
-            is_excluded = self._may_be_excluded(lease, is_fenced)
-            if is_excluded:
-                ballot.excluded[name] = lease.answered
-            if is_fenced:
-                ballot.fenced[name] = lease.sent
-            # A sidecar that restarted after its answer has to answer again.
-            has_answered = name in verdicts and verdicts[name].incarnation == lease.incarnation
-            has_accepted = has_answered and (self.base is None or self._serves_base(lease))
-            if not is_excluded and not has_accepted:
-                ballot.missing.add(name)
-        return ballot
-
-    def _fence_expiry_ns(self, lease: Lease) -> int:
-        return fence_expiry_ns(max(self.fence_ns, lease.fence_ns))
-
-    def _is_fenced(self, lease: Lease) -> bool:
-        """Return whether a sidecar is fenced for certain."""
-        return self._sidecars[lease.name].silent_ns >= self._fence_expiry_ns(lease)
-
-    def _may_be_excluded(self, lease: Lease, is_fenced: bool) -> bool:
-        """Return whether the next generation may be committed without a sidecar's answer."""
-        if self._sidecars[lease.name].unanswered_ns < self.lease_ns:
-            return False
-        earlier_leases_expired = self._committed_unchanged_ns >= self._fence_expiry_ns(lease)
-        return is_fenced or self._serves_base(lease) or earlier_leases_expired
-
-    def _serves_base(self, lease: Lease) -> bool:
-        return self.base is not None and lease.version == self.base.version
-
     def _await_verdicts(self, view: StoreView, ballot: Ballot, now: int) -> list[RolloutEffect]:
         if self._is_timed_out(now):
             return self._stop(f"no answer from {', '.join(sorted(ballot.missing)) or 'the store'}")
@@ -345,11 +315,7 @@
         assert target is not None
         if view.committed is not None and view.committed.rank > target.rank:
             return self._finish_step(now)  # a later generation has been committed on top of it
-        late = frozenset(
-            name
-            for name, lease in view.leases.items()
-            if lease.version != target.version and self._sidecars[name].unanswered_ns < self.lease_ns
-        )
+        late = self._observer.late_sidecars(view, target.version)
         is_effective = view.committed is not None and view.now_ns >= view.committed.effective_at_ns
         if is_effective and not late:
             return self._finish_step(now)
--- a/runloft/agreement/store_protocol.py
+++ b/runloft/agreement/store_protocol.py
@@ -1,13 +1,12 @@
-"""How the agreement's records lie in Redis: keys, marks, the epoch, and replies read back.
+"""How the agreement's records lie in Redis: keys, tags, the epoch, and replies read back.
 
 Keys, all under the prefix: ``force`` (the committed generation), ``names`` (a set of the known sidecars),
 ``lease:NAME`` and ``era`` (no expiry), ``stage`` (expires unless renewed), ``verdicts`` (a hash, expires
-with its stage).  ``force:rank`` and ``stage:token`` are marks, written with the two large records, so that
+with its stage).  ``force:rank`` and ``stage:token`` are tags, written with the two large records, so that
 these are read when they have changed and not with every exchange.  Other keys are left alone.
 """
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
 from typing import Any, NamedTuple, TypeVar
 
 import structlog
@@ -18,8 +17,8 @@
 log = structlog.get_logger()
 STAGE_LEASES = 2  # a stage expires after so many leases, unless it is renewed
 VERDICT_LEASES = 2 * STAGE_LEASES
-MARK_WORDS = 6  # epoch, generation, digest, token, time it takes effect, digest of the previous content
-MARK_TIME_INDEX = 4
+TAG_WORDS = 6  # epoch, generation, digest, token, time it takes effect, digest of the previous content
+TAG_TIME_INDEX = 4
 EPOCH_CLOSED = b"settled"
 NS_PER_S = 1_000_000_000
 NS_PER_US = 1_000
@@ -31,9 +30,9 @@
 
     def __init__(self, prefix: str) -> None:
         self.committed = f"{prefix}:force"
-        self.committed_mark = f"{prefix}:force:rank"
+        self.committed_tag = f"{prefix}:force:rank"
         self.stage = f"{prefix}:stage"
-        self.stage_mark = f"{prefix}:stage:token"
+        self.stage_tag = f"{prefix}:stage:token"
         self.epoch = f"{prefix}:era"
         self.sidecars = f"{prefix}:names"
         self.verdicts = f"{prefix}:verdicts"
@@ -51,27 +50,19 @@
     text: bytes | None
 
 
-@dataclass(frozen=True, slots=True)
-class GenerationMark:
-    """The part of a mark that isn't known from the stage and the previous generation."""
-
-    text: bytes
-    effective_at_ns: int
-
-
-def encode_mark(committed: CommittedGeneration) -> bytes:
-    """Return the mark of a committed generation, which differs wherever the record does."""
+def encode_tag(committed: CommittedGeneration) -> bytes:
+    """Return the tag of a committed generation, which differs wherever the record does."""
     previous = committed.previous.digest if committed.previous else ""
     words = (*committed.rank, committed.token, committed.effective_at_ns, previous)
     return " ".join(map(str, words)).encode()
 
 
-def decode_mark(text: bytes) -> GenerationMark | None:
-    """Return what a mark says; None where it is no mark."""
-    words = text.split(b" ")
-    if len(words) != MARK_WORDS or not words[MARK_TIME_INDEX].isdigit():
+def effective_at_ns_of(tag: bytes) -> int | None:
+    """Return when the generation with a tag takes effect; None where it is no tag."""
+    words = tag.split(b" ")
+    if len(words) != TAG_WORDS or not words[TAG_TIME_INDEX].isdigit():
         return None
-    return GenerationMark(text, int(words[MARK_TIME_INDEX]))
+    return int(words[TAG_TIME_INDEX])
 
 
 def encode_epoch(epoch: EpochRecord) -> str:
--- a/runloft/agreement/store_reader.py
+++ b/runloft/agreement/store_reader.py
@@ -12,22 +12,22 @@
     NamedReply,
     StoreKeys,
     decode_epoch,
-    decode_mark,
     decode_names,
     decode_readable,
     decode_time,
-    encode_mark,
+    effective_at_ns_of,
+    encode_tag,
 )
 
-SMALL_RECORDS = 4  # that every view needs: the time, the epoch and the two marks
+SMALL_RECORDS = 4  # that every view needs: the time, the epoch and the two tags
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
 class Cached(Generic[T]):
-    """A large record with the mark under which it was read."""
+    """A large record with the tag under which it was read."""
 
-    mark: bytes
+    tag: bytes
     record: T
 
 
@@ -44,23 +44,23 @@
         """Queue the commands that read the ``SMALL_RECORDS``."""
         pipe.time()
         pipe.get(self._keys.epoch)
-        pipe.get(self._keys.committed_mark)
-        pipe.get(self._keys.stage_mark)
+        pipe.get(self._keys.committed_tag)
+        pipe.get(self._keys.stage_tag)
 
     async def view(self, replies: list[Any]) -> StoreView:
         """Return a sidecar's view from the replies to the commands of ``queue_small_records``."""
-        time_reply, epoch_text, committed_mark, stage_mark = replies
-        if committed_mark is not None:
-            self._assemble_committed(committed_mark)
+        time_reply, epoch_text, committed_tag, stage_tag = replies
+        if committed_tag is not None:
+            self._assemble_committed(committed_tag)
         self._committed = await self._read(
-            self._keys.committed, committed_mark, self._committed, decode_committed
+            self._keys.committed, committed_tag, self._committed, decode_committed
         )
-        self._stage = await self._read(self._keys.stage, stage_mark, self._stage, decode_stage)
+        self._stage = await self._read(self._keys.stage, stage_tag, self._stage, decode_stage)
         epoch = decode_epoch(epoch_text)
         return StoreView(
             decode_time(time_reply),
-            self._current(self._committed, committed_mark),
-            self._current(self._stage, stage_mark),
+            self._current(self._committed, committed_tag),
+            self._current(self._stage, stage_tag),
             epoch=epoch.number,
             previous_epoch_closed=epoch.previous_closed,
         )
@@ -87,39 +87,39 @@
         return decode_readable(replies, decode_lease)
 
     async def _read(
-        self, key: str, mark: bytes | None, cached: Cached[T] | None, decode: Callable[[bytes], T]
+        self, key: str, tag: bytes | None, cached: Cached[T] | None, decode: Callable[[bytes], T]
     ) -> Cached[T] | None:
-        """Return a large record, read again if its mark has changed; else what was cached."""
-        if mark is None or (cached is not None and cached.mark == mark):
+        """Return a large record, read again if its tag has changed; else what was cached."""
+        if tag is None or (cached is not None and cached.tag == tag):
             return cached
         text = await self._redis.get(key)
         if text is None:
             return cached  # it expired between the two reads
         # In a thread: the content of a large fleet takes some milliseconds to decode.
-        return Cached(mark, await anyio.to_thread.run_sync(decode, text))
+        return Cached(tag, await anyio.to_thread.run_sync(decode, text))
 
     @staticmethod
-    def _current(cached: Cached[T] | None, mark: bytes | None) -> T | None:
-        return cached.record if cached is not None and cached.mark == mark else None
+    def _current(cached: Cached[T] | None, tag: bytes | None) -> T | None:
+        return cached.record if cached is not None and cached.tag == tag else None
 
-    def _assemble_committed(self, mark: bytes) -> None:
+    def _assemble_committed(self, tag: bytes) -> None:
         """Build the committed generation from its stage and the one before, if both were read.
 
         A change is then read once by each sidecar that was asked about it, and not again when committed.
         """
         last = self._committed
         stage = self._stage
-        parsed = decode_mark(mark)
-        if last is None or last.mark == mark or stage is None or parsed is None:
+        effective_at_ns = effective_at_ns_of(tag)
+        if last is None or last.tag == tag or stage is None or effective_at_ns is None:
             return
         assembled = CommittedGeneration(
             stage.record.generation,
             stage.record.content,
-            parsed.effective_at_ns,
+            effective_at_ns,
             last.record.content,
             stage.record.token,
             stage.record.staged_by,
             stage.record.epoch,
         )
-        if mark == encode_mark(assembled):
-            self._committed = Cached(mark, assembled)
+        if tag == encode_tag(assembled):
+            self._committed = Cached(tag, assembled)
--- a/runloft/agreement/store_transactions.py
+++ b/runloft/agreement/store_transactions.py
@@ -32,7 +32,7 @@
     decode_readable,
     decode_time,
     encode_epoch,
-    encode_mark,
+    encode_tag,
 )
 from runloft.agreement.store_reader import StoreReader
 
@@ -98,7 +98,7 @@
             return False
         pipe.multi()
         pipe.set(self._keys.stage, encode_stage(effect.stage), px=self._stage_ms)
-        pipe.set(self._keys.stage_mark, effect.stage.token, px=self._stage_ms)
+        pipe.set(self._keys.stage_tag, effect.stage.token, px=self._stage_ms)
         return True
 
     async def drop_stage(self, pipe: Any, effect: DropStage) -> bool:
@@ -165,10 +165,10 @@
 
     def _put_committed(self, pipe: Any, committed: CommittedGeneration) -> None:
         pipe.set(self._keys.committed, encode_committed(committed))
-        pipe.set(self._keys.committed_mark, encode_mark(committed))
+        pipe.set(self._keys.committed_tag, encode_tag(committed))
 
     def _remove_stage(self, pipe: Any) -> None:
-        pipe.delete(self._keys.stage, self._keys.stage_mark)
+        pipe.delete(self._keys.stage, self._keys.stage_tag)
 
     def _remove_sidecar(self, pipe: Any, sidecar: str) -> None:
         pipe.delete(self._keys.lease(sidecar))
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -36,8 +36,9 @@
     RepairStore,
 )
 from runloft.agreement.errors import NoSafePathError, RecordError
+from runloft.agreement.heartbeat import HEARTBEATS_PER_LEASE
 from runloft.agreement.records import NO_RANK, CommittedGeneration, Lease, Stage, StoreView, Verdict
-from runloft.agreement.replica import HEARTBEATS_PER_LEASE, Replica
+from runloft.agreement.replica import Replica
 from runloft.agreement.rollout import Rollout, RolloutPhase
 from runloft.config.operator import check_file
 
@@ -495,7 +496,7 @@
         or world.now + 3 * TICK < tool.out.phase_started_at + LEASE
     ):
         world.advance(1)
-    one.link, one.replica.next_heartbeat_at = "up", world.now
+    one.link, one.replica.heartbeat.next_at = "up", world.now
     one.turn(world.store, world.now, world.chance)
     one.link = "down"
     assert one.reserves
@@ -520,7 +521,7 @@
     world = settled_world()
     one, store = world.sidecars[0].replica, world.store
     until = one.lease_expires_at
-    one.handle_timer(one.next_heartbeat_at)
+    one.handle_timer(one.heartbeat.next_at)
     one.handle_view(replace(store.told(), committed=None), world.now)
     assert one.lease_expires_at == until
     one.handle_view(store.told(), world.now)
