--- a/runloft/agreement/ballot.py
+++ b/runloft/agreement/ballot.py
@@ -27,6 +27,32 @@
     missing: set[str] = field(default_factory=set)
 
 
+def stage_obstacle(view: StoreView, token: str, verdicts: Mapping[str, Verdict]) -> str:
+    """Return why the stage with a token can't be committed, an empty text if it can.
+
+    Another rollout's stage, a sidecar that refuses, and one whose lease can't be read are obstacles.
+    """
+    if view.stage is not None and view.stage.token != token:
+        return f"another roll-out is under way, by {view.stage.staged_by}"
+    refusals = [
+        f"{name}: {'; '.join(verdict.refusals)}"
+        for name, verdict in sorted(verdicts.items())
+        if verdict.refusals
+    ]
+    if refusals:
+        return f"refused by {' | '.join(refusals)}"
+    if unreadable := view.sidecars_without_lease():
+        names = ", ".join(sorted(unreadable))
+        return f"known by no lease of this version, so it can't be left out: {names}"
+    return ""
+
+
+def _has_answered(lease: Lease, verdicts: Mapping[str, Verdict]) -> bool:
+    """Return whether a sidecar has answered; one that restarted after its answer has to answer again."""
+    verdict = verdicts.get(lease.name)
+    return verdict is not None and verdict.incarnation == lease.incarnation
+
+
 class SidecarTracker:
     """Measures for how long a sidecar has got no answer, and for how long it has sent nothing."""
 
@@ -72,9 +98,7 @@
                 ballot.excluded[name] = lease.answered
             if is_fenced:
                 ballot.fenced[name] = lease.sent
-            # A sidecar that restarted after its answer has to answer again.
-            has_answered = name in verdicts and verdicts[name].incarnation == lease.incarnation
-            has_accepted = has_answered and (base is None or serves_base)
+            has_accepted = _has_answered(lease, verdicts) and (base is None or serves_base)
             if not is_excluded and not has_accepted:
                 ballot.missing.add(name)
         return ballot
@@ -90,10 +114,10 @@
     def _is_unanswered(self, name: str) -> bool:
         return self._sidecars[name].unanswered_ns >= self._lease_ns
 
-    def _may_be_excluded(self, lease: Lease, at_most_one_behind: bool) -> bool:
+    def _may_be_excluded(self, lease: Lease, would_be_one_behind: bool) -> bool:
         """Return whether the next generation may be committed without a sidecar's answer."""
         earlier_leases_expired = self._committed_unchanged_ns >= self._fence_expiry_ns(lease)
-        return self._is_unanswered(lease.name) and (at_most_one_behind or earlier_leases_expired)
+        return self._is_unanswered(lease.name) and (would_be_one_behind or earlier_leases_expired)
 
     def _fence_expiry_ns(self, lease: Lease) -> int:
         return fence_expiry_ns(max(self._fence_ns, lease.fence_ns))
--- a/runloft/agreement/replica.py
+++ b/runloft/agreement/replica.py
@@ -51,15 +51,11 @@
 from runloft.agreement.records import (
     CommittedGeneration,
     Lease,
-    Stage,
     StoreView,
-    Verdict,
     Version,
     rank_of,
 )
-
-MAX_REFUSALS = 8  # in a verdict
-MAX_LOGGED_REFUSALS = 3
+from runloft.agreement.voter import Voter
 
 
 class ReplicaState(Enum):
@@ -89,7 +85,7 @@
         self.file_content = file_content
         self.lease_ns = lease_ns
         self.fence_ns = fence_ns
-        self.validate = validate
+        self.voter = Voter(name, incarnation, validate)
         self.committed: CommittedGeneration | None = None  # the highest generation seen
         self.version = Version(0, file_content.digest)  # what is served
         self.content: Content | None = None  # what is served; None: the sidecar's own file
@@ -97,7 +93,6 @@
         self.lease_expires_at: int | None = None  # None: no lease
         self.epoch = TrustedEpoch(fence_ns)
         self.heartbeat = Heartbeat(lease_ns, now)
-        self.verdict: Verdict | None = None
         self.store_empty_since: int | None = None
         self.differences = 0
         self.suspended = 0
@@ -191,7 +186,7 @@
             effects.append(LogEvent(AgreementEvent.DISCONNECTED, self.version.generation, detail))
         if now >= self.heartbeat.next_at:
             self.heartbeat.record_sent(now)
-            effects.append(Exchange(self.lease(), self.verdict))
+            effects.append(Exchange(self.lease(), self.voter.verdict))
         return effects
 
     def handle_exchange_failure(self, now: int) -> list[ReplicaEffect]:
@@ -214,7 +209,10 @@
         else:
             effects += self._handle_committed(view.committed, view.now_ns, now)
         effects = self._renew_lease(view, effects)
-        effects += self._answer_stage(view.stage, now)
+        answer = self.voter.answer(view.stage, rank_of(self.committed))
+        if answer is not None:
+            self.heartbeat.send_by(now)
+            effects.append(answer)
         return effects
 
     # Transitions
@@ -316,20 +314,3 @@
             ApplyConfig(self.content, committed.generation, self.holds_reserves),
             LogEvent(AgreementEvent.GENERATION_APPLIED, committed.generation),
         ]
-
-    def _answer_stage(self, stage: Stage | None, now: int) -> list[ReplicaEffect]:
-        """Answer a stage once; the verdict goes with every exchange until another stage is there."""
-        if stage is None:
-            self.verdict = None
-            return []
-        if self.verdict is not None and self.verdict.token == stage.token:
-            return []
-        refusals = self.validate(stage.content)
-        highest = rank_of(self.committed)
-        if (stage.epoch, stage.generation) <= (highest.epoch, highest.generation):
-            outdated = f"generation {stage.generation} is staged, and {highest.generation} was in force here"
-            refusals = [outdated, *refusals]
-        self.verdict = Verdict(self.name, self.incarnation, stage.token, tuple(refusals[:MAX_REFUSALS]))
-        self.heartbeat.send_by(now)
-        event = AgreementEvent.STAGE_REJECTED if refusals else AgreementEvent.STAGE_ACCEPTED
-        return [LogEvent(event, stage.generation, "; ".join(refusals[:MAX_LOGGED_REFUSALS]))]
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -32,7 +32,7 @@
 from collections.abc import Callable, Sequence
 from enum import Enum
 
-from runloft.agreement.ballot import Ballot, SidecarObserver
+from runloft.agreement.ballot import Ballot, SidecarObserver, stage_obstacle
 from runloft.agreement.content import Content
 from runloft.agreement.effects import (
     CloseEpoch,
@@ -49,7 +49,6 @@
     CommittedGeneration,
     Stage,
     StoreView,
-    Verdict,
     rank_of,
 )
 
@@ -235,31 +234,15 @@
         verdicts = {
             name: verdict for name, verdict in view.verdicts.items() if verdict.token == self._stage_token
         }
-        if obstacle := self._obstacle(view, verdicts):
+        if rank_of(view.committed) != rank_of(self.base) or view.epoch != self.epoch:
+            return self._stop("another generation came into force, or the store has begun anew")
+        if obstacle := stage_obstacle(view, self._stage_token, verdicts):
             return self._stop(obstacle)
         ballot = self._observer.count(view, verdicts, self.base)
         if view.stage is None or ballot.missing:
             return self._await_verdicts(view, ballot, now)
         return self._commit(view, ballot, now)
 
-    def _obstacle(self, view: StoreView, verdicts: dict[str, Verdict]) -> str:
-        """Return why the rollout can't go on, an empty text if it can."""
-        if rank_of(view.committed) != rank_of(self.base) or view.epoch != self.epoch:
-            return "another generation came into force, or the store has begun anew"
-        if view.stage is not None and view.stage.token != self._stage_token:
-            return f"another roll-out is under way, by {view.stage.staged_by}"
-        refusals = [
-            f"{name}: {'; '.join(verdict.refusals)}"
-            for name, verdict in sorted(verdicts.items())
-            if verdict.refusals
-        ]
-        if refusals:
-            return f"refused by {' | '.join(refusals)}"
-        if unreadable := view.sidecars_without_lease():
-            names = ", ".join(sorted(unreadable))
-            return f"known by no lease of this version, so it can't be left out: {names}"
-        return ""
-
     def _await_verdicts(self, view: StoreView, ballot: Ballot, now: int) -> list[RolloutEffect]:
         if self._is_timed_out(now):
             return self._stop(f"no answer from {', '.join(sorted(ballot.missing)) or 'the store'}")
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -453,7 +453,7 @@
 
 def test_a_sidecar_that_refuses_stops_it_and_the_old_one_stays():
     world = settled_world()
-    world.sidecars[1].replica.validate = lambda _: ["volume v9 does not stand there"]
+    world.sidecars[1].replica.voter.validate = lambda _: ["volume v9 does not stand there"]
     before = world.store.rank
     out = roll_out(world, CHOICES[2])
     assert out.phase is RolloutPhase.STOPPED and "s1: volume v9" in out.reason
@@ -586,7 +586,7 @@
     tool.out.handle_stage_result(True, world.now)
     world.advance(10)  # all have answered
     world.sidecars[2].start(world.now)
-    world.sidecars[2].replica.validate = lambda _: ["its file has changed"]
+    world.sidecars[2].replica.voter.validate = lambda _: ["its file has changed"]
     world.sidecars[2].turn(world.store, world.now, world.chance)  # its lease is there, its answer is not
     assert not any(
         isinstance(e, CommitGeneration) for e in tool.out.handle_view(world.store.view(), world.now)
