--- a/runloft/errors.py
+++ b/runloft/errors.py
@@ -1,5 +1,5 @@
-"""The base of the package's errors."""
+"""The base of every exception that this package defines."""
 
 
 class RunloftError(Exception):
-    """Base of all errors that the package raises on purpose."""
+    """Base class of the package's exceptions; subclasses carry what went wrong."""
--- /dev/null
+++ b/runloft/lab/scale/rollout_tool.py
@@ -0,0 +1,59 @@
+"""The roll-out tool in a process of its own: each roll-out brings another content."""
+
+import time
+from collections.abc import Callable, Sequence
+
+import anyio
+
+from runloft.agreement.content import Content, content_of_file
+from runloft.agreement.rollout_driver import run_rollout
+from runloft.agreement.store import AgreementStore
+from runloft.lab.scale.child import Role
+from runloft.lab.scale.messages import Answer, Command, RollOut, RolloutReport
+
+KEY_PREFIX = "runloft"
+NS_PER_MS = 1_000_000
+TIMEOUTS_PER_LEASE = 4  # of the store's replies
+MS_PER_S = 1000
+
+
+def changed(number: int, own: Content) -> Callable[[Content | None], Sequence[Content]]:
+    """Return a plan of what was never committed before: with each number, all plans have other parts."""
+
+    def plan(committed: Content | None) -> Sequence[Content]:
+        base = committed or own
+        plans = {name: {**row, "Parts": 2.0 + number / 1024} for name, row in base.plans.items()}
+        return [Content(base.classes, plans, base.volumes, base.shared)]
+
+    return plan
+
+
+class RolloutToolRole(Role):
+    """The tool; its start-up is not part of what a roll-out takes."""
+
+    async def carry_out(self, command: Command) -> Answer:
+        """Carry out a command."""
+        if isinstance(command, RollOut):
+            return await self._roll_out(command)
+        return await super().carry_out(command)
+
+    async def _roll_out(self, command: RollOut) -> RolloutReport:
+        timeout_s = command.lease_ms / (TIMEOUTS_PER_LEASE * MS_PER_S)
+        store = AgreementStore(command.url, KEY_PREFIX, command.lease_ms * NS_PER_MS, timeout_s)
+        report = None
+        started_at = time.monotonic()
+        cpu_before_s = time.process_time()
+        try:
+            with anyio.move_on_after(command.timeout_s):
+                plan = changed(command.number, content_of_file(command.raw))
+                report = await run_rollout(store, plan)
+        finally:
+            await store.close()
+        return RolloutReport(
+            started_at=started_at,
+            ended_at=time.monotonic(),
+            cpu_s=time.process_time() - cpu_before_s,
+            done=report.done if report else False,
+            reason=report.reason if report else f"not over in {command.timeout_s:g} s",
+            left_out=len(report.excluded) if report else 0,
+        )
