--- a/tests/agreement/test_golden_sequences.py
+++ b/tests/agreement/test_golden_sequences.py
@@ -28,7 +28,15 @@
 from runloft.agreement.records import CommittedGeneration, Lease, Stage, StoreView, Verdict
 from runloft.agreement.replica import Replica
 from runloft.agreement.rollout import Rollout, RolloutPhase
-from tests.agreement.test_agreement import CHOICES, FENCE, LEASE, TICK, Tool, World, content
+from tests.support.agreement import (
+    CONTENTS,
+    FENCE,
+    LEASE,
+    TICK,
+    SimulatedFleet,
+    SimulatedOperator,
+    make_content,
+)
 
 REPLICA_DIGEST = "ee9f62abca1f465d3b505cc9becb522ab11671d215038c369d2bd0cf1f275424"
 CLOSED_LOOP_DIGEST = "91c765a3dba03a74d9dffbf7f50c84812f5489da26b2fa54bbd22991a214ce7f"
@@ -147,123 +155,148 @@
         monkeypatch.setattr(owner, name, call)
 
 
-def any_committed(chance, epoch):
-    token = chance.choice(("", "t.0", "t.1", "u.0"))
+def any_committed(rng, epoch):
+    token = rng.choice(("", "t.0", "t.1", "u.0"))
     return CommittedGeneration(
-        chance.randrange(1, 6),
-        chance.choice(CHOICES),
-        chance.choice((0, chance.randrange(900_000, 1_100_000))),
-        chance.choice((None, *CHOICES)),
+        rng.randrange(1, 6),
+        rng.choice(CONTENTS),
+        rng.choice((0, rng.randrange(900_000, 1_100_000))),
+        rng.choice((None, *CONTENTS)),
         token,
-        chance.choice(("", "me")),
+        rng.choice(("", "me")),
         epoch if token else 0,
     )
 
 
-def any_stage(chance, epoch):
-    token = chance.choice(("t.0", "t.1", "u.0"))
-    return Stage(token, chance.randrange(1, 7), chance.choice(CHOICES), "me", epoch)
-
-
-def replica_sequence(seed, recording):
-    """Feed a replica with views of any store, mostly of one that holds what it held before."""
-    chance = random.Random(seed)
-    own = content(8, 2, more=chance.choice(((), ("x",), ("x", "y"))))
-    now = chance.randrange(0, 1000)
-    replica = Replica(
-        "s0", f"i{seed}", own, LEASE, FENCE, lambda new: ["no"] * (len(new.plans["p1"]) % 3), now
-    )
-    store_ahead = 1_000_000
-    epoch, settled, generation, stage = 0, False, None, None
-    if chance.random() < 0.4:
-        generation = any_committed(chance, 0)
-        recording.add_effects(replica.start_from_snapshot(generation, chance.randrange(0, 90) / 4, now))
-    for _ in range(250):
-        match chance.randrange(24):
+def any_stage(rng, epoch):
+    token = rng.choice(("t.0", "t.1", "u.0"))
+    return Stage(token, rng.randrange(1, 7), rng.choice(CONTENTS), "me", epoch)
+
+
+class ReplicaSequence:
+    """Feeds a replica with views of any store, mostly of one that holds what it held before."""
+
+    def __init__(self, seed, recording):
+        self.rng = random.Random(seed)
+        self.recording = recording
+        file_content = make_content(8, 2, more=self.rng.choice(((), ("x",), ("x", "y"))))
+        self.now = self.rng.randrange(0, 1000)
+        self.replica = Replica("s0", f"i{seed}", file_content, LEASE, FENCE, lambda _: ["no", "no"], self.now)
+        self.store_ahead = 1_000_000
+        self.epoch = 0
+        self.previous_epoch_closed = False
+        self.committed = None
+        self.stage = None
+
+    def run(self):
+        if self.rng.random() < 0.4:
+            self.committed = any_committed(self.rng, 0)
+            age_s = self.rng.randrange(0, 90) / 4
+            effects = self.replica.start_from_snapshot(self.committed, age_s, self.now)
+            self.recording.add_effects(effects)
+        for _ in range(250):
+            self.change_something()
+            later = self.now + self.rng.randrange(LEASE)
+            self.now = max(self.now, self.rng.choice((later, self.replica.next_due_at())))
+            effects = self.replica.handle_timer(self.now)
+            self.recording.add_effects(effects)
+            for effect in effects:
+                if isinstance(effect, Exchange):
+                    self.answer()
+            self.recording.add_replica(self.replica, self.now)
+
+    def change_something(self):
+        rng = self.rng
+        match rng.randrange(24):
             case 0:
-                epoch = chance.choice((0, epoch, epoch + 1, now + store_ahead))
-                settled = False
+                self.epoch = rng.choice((0, self.epoch, self.epoch + 1, self.now + self.store_ahead))
+                self.previous_epoch_closed = False
             case 1 | 2:
-                settled = True
+                self.previous_epoch_closed = True
             case 3:
-                generation = chance.choice((None, any_committed(chance, chance.choice((0, epoch)))))
+                self.committed = rng.choice((None, any_committed(rng, rng.choice((0, self.epoch)))))
             case 4:
-                stage = chance.choice((None, any_stage(chance, epoch)))
+                self.stage = rng.choice((None, any_stage(rng, self.epoch)))
             case 5:
-                store_ahead += chance.choice(CLOCK_STEPS)
+                self.store_ahead += rng.choice(CLOCK_STEPS)
             case 6:
-                own = content(8, 2, more=chance.choice(((), ("x",), ("z",))))
-                replica.set_file_content(own)
+                file_content = make_content(8, 2, more=rng.choice(((), ("x",), ("z",))))
+                self.replica.set_file_content(file_content)
             case 7:
-                replica.set_divergence(chance.randrange(3), chance.randrange(3))
-        now = max(now, chance.choice((now + chance.randrange(LEASE), replica.next_due_at())))
-        effects = replica.handle_timer(now)
-        recording.add_effects(effects)
+                self.replica.set_divergence(rng.randrange(3), rng.randrange(3))
+
+    def answer(self):
+        self.now += self.rng.randrange(TICK)
+        if self.rng.random() < 0.2:
+            self.recording.add_effects(self.replica.handle_exchange_failure(self.now))
+            return
+        view = StoreView(
+            self.now + self.store_ahead,
+            self.committed,
+            self.stage,
+            epoch=self.epoch,
+            previous_epoch_closed=self.previous_epoch_closed,
+        )
+        effects = self.replica.handle_view(view, self.now)
+        self.recording.add_effects(effects)
         for effect in effects:
-            if not isinstance(effect, Exchange):
-                continue
-            now += chance.randrange(TICK)
-            if chance.random() < 0.2:
-                recording.add_effects(replica.handle_exchange_failure(now))
-                continue
-            view = StoreView(now + store_ahead, generation, stage, epoch=epoch, previous_epoch_closed=settled)
-            answers = replica.handle_view(view, now)
-            recording.add_effects(answers)
-            for answer in answers:
-                match answer:
-                    case OpenEpoch() if chance.random() < 0.7:
-                        epoch, settled = answer.epoch, False
-                    case CloseEpoch() if chance.random() < 0.7:
-                        settled = True
-                    case RepairStore() | Bootstrap() | AddOwnEntries() if chance.random() < 0.7:
-                        generation = answer.committed
-        recording.add_replica(replica, now)
+            self.write(effect)
+
+    def write(self, effect):
+        match effect:
+            case OpenEpoch() if self.rng.random() < 0.7:
+                self.epoch = effect.epoch
+                self.previous_epoch_closed = False
+            case CloseEpoch() if self.rng.random() < 0.7:
+                self.previous_epoch_closed = True
+            case RepairStore() | Bootstrap() | AddOwnEntries() if self.rng.random() < 0.7:
+                self.committed = effect.committed
 
 
 def closed_loop_sequence(seed, recording):
-    """Run three sidecars, a store and roll-outs, with faults, as one seeded sequence."""
-    chance = random.Random(seed)
-    world = World(seed=seed)
-    world.advance(4 * LEASE // TICK)
+    """Run three sidecars, a store and rollouts, with faults, as one seeded sequence."""
+    rng = random.Random(seed)
+    fleet = SimulatedFleet(seed=seed)
+    fleet.advance(4 * LEASE // TICK)
     for number in range(12):
-        sidecar = chance.choice(world.sidecars)
-        match chance.randrange(9):
+        sidecar = rng.choice(fleet.sidecars)
+        match rng.randrange(9):
             case 0 | 1:
-                sidecar.link = chance.choice(LINKS)
+                sidecar.link = rng.choice(LINKS)
             case 2:
-                for one in world.sidecars:
+                for one in fleet.sidecars:
                     one.link = "up"
             case 3:
                 sidecar.alive = False
-                world.advance(chance.randrange(40))
-                sidecar.copy = chance.choice((None, sidecar.copy))
-                sidecar.start(world.now)
-            case 4 if chance.random() < 0.3:
-                world.store.empty()
-            case 5 if chance.random() < 0.3:
-                world.store.clock += chance.choice(CLOCK_STEPS)
-            case 6 if chance.random() < 0.3:
-                world.tools.clear()
+                fleet.advance(rng.randrange(40))
+                sidecar.snapshot = rng.choice((None, sidecar.snapshot))
+                sidecar.start(fleet.now)
+            case 4 if rng.random() < 0.3:
+                fleet.store.empty()
+            case 5 if rng.random() < 0.3:
+                fleet.store.clock += rng.choice(CLOCK_STEPS)
+            case 6 if rng.random() < 0.3:
+                fleet.operators.clear()
             case _:
-                tool = Tool(f"t{number}", chance.choice(CHOICES), world.now)
-                tool.link = chance.choice(("up", "up", "half"))
-                world.tools.append(tool)
-        world.advance(chance.randrange(80))
-    world.settle()
-    store = world.store
+                operator = SimulatedOperator(f"t{number}", rng.choice(CONTENTS), fleet.now)
+                operator.link = rng.choice(("up", "up", "half"))
+                fleet.operators.append(operator)
+        fleet.advance(rng.randrange(80))
+    fleet.recover()
+    store = fleet.store
     recording.add(stored(store.committed), [stored(store.leases[name]) for name in sorted(store.leases)])
     recording.add([stored(store.verdicts[name]) for name in sorted(store.verdicts)], store.epoch)
 
 
-def test_a_replica_fed_with_seeded_events_does_what_it_did():
+def test_a_replica_gives_the_recorded_outcomes_for_seeded_events():
     recording = Recording()
     for seed in range(40):
-        replica_sequence(seed, recording)
+        ReplicaSequence(seed, recording).run()
     assert recording.kinds == set(range(1, 10))
     assert recording.hash.hexdigest() == REPLICA_DIGEST
 
 
-def test_replicas_and_rollouts_over_one_store_do_what_they_did(monkeypatch):
+def test_replicas_and_rollouts_over_one_store_give_the_recorded_outcomes(monkeypatch):
     recording = Recording()
     for name in ("handle_timer", "handle_view", "handle_exchange_failure"):
         recording.wrap(
--- /dev/null
+++ b/tests/agreement/test_store.py
@@ -0,0 +1,268 @@
+"""The store client against the Redis stand-in."""
+
+import time
+from dataclasses import replace
+
+import anyio
+import pytest
+
+from runloft.agreement.effects import (
+    AddOwnEntries,
+    Bootstrap,
+    CloseEpoch,
+    CommitGeneration,
+    Exchange,
+    OpenEpoch,
+    PutStage,
+    RepairStore,
+)
+from runloft.agreement.errors import StoreError
+from runloft.agreement.records import NO_RANK, CommittedGeneration, Stage, Verdict
+from tests.support.stores import LEASE_NS, ONE, TWO, make_lease, run_against_stores
+
+
+def test_a_generation_is_bootstrapped_once_then_staged_answered_and_committed():
+    async def check(server, store, other):
+        view = await store.exchange(Exchange(make_lease()))
+        assert (
+            view.committed is None
+            and not view.sidecars
+            and not view.epoch
+            and abs(view.now_ns - time.time_ns()) < 5e9
+        )
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
+        await other.bootstrap(Bootstrap(CommittedGeneration(1, TWO)))
+        first = (await other.exchange(Exchange(make_lease("s1")))).committed
+        assert first.content == ONE
+        assert not await other.add_own_entries(AddOwnEntries(CommittedGeneration(2, TWO), NO_RANK))
+        stage = Stage("t.0", 2, TWO, "me")
+        assert await store.put_stage(PutStage(stage, first.rank))
+        assert not await other.put_stage(PutStage(replace(stage, token="u.0"), first.rank))
+        verdict = Verdict("s0", "i", "t.0", ())
+        assert (await store.exchange(Exchange(make_lease(), verdict))).stage == stage
+        seen = await other.view()
+        assert seen.verdicts == {"s0": verdict} and seen.leases.keys() == {"s0", "s1"} == seen.sidecars
+        await store.open_epoch(OpenEpoch(7, 0))
+        put = CommitGeneration(
+            CommittedGeneration(2, TWO, 0, ONE, "t.0", "me", 7), first.rank, frozenset(("s0", "s1")), LEASE_NS
+        )
+        assert not await other.commit(replace(put, sidecars=frozenset(("s0",))))
+        assert not await other.commit(replace(put, committed=replace(put.committed, token="x.0")))
+        assert not await other.commit(replace(put, committed=replace(put.committed, epoch=6)))
+        assert await other.commit(put)
+        view = await store.exchange(Exchange(make_lease()))
+        assert view.committed.rank == put.committed.rank and view.stage is None
+        assert 0 < view.committed.effective_at_ns - view.now_ns <= LEASE_NS
+        assert not await store.commit(put)
+
+    run_against_stores(check)
+
+
+def test_a_commit_fails_if_an_excluded_sidecar_is_active_and_removes_fenced_ones():
+    async def check(server, store, other):
+        await store.open_epoch(OpenEpoch(7, 0))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
+        await store.exchange(Exchange(make_lease()))
+        await other.exchange(Exchange(make_lease("s1", asked=5, heard=4)))
+        rank = (0, 1, ONE.digest)
+        assert await store.put_stage(PutStage(Stage("t.0", 2, TWO), rank))
+        names = frozenset(("s0", "s1"))
+        put = CommitGeneration(
+            CommittedGeneration(2, TWO, token="t.0", epoch=7),
+            rank,
+            names,
+            LEASE_NS,
+            {"s1": ("i", 4)},
+            {"s1": ("i", 5)},
+        )
+        await other.exchange(Exchange(make_lease("s1", asked=6, heard=5)))  # it gets answers again
+        assert not await store.commit(replace(put, fenced={}))
+        assert not await store.commit(replace(put, excluded={}))
+        assert not await store.forget("s1", ("i", 5))
+        assert await store.commit(replace(put, excluded={"s1": ("i", 5)}, fenced={"s1": ("i", 6)}))
+        assert (await store.view()).sidecars == {"s0"} == (await store.view()).leases.keys()
+        await other.exchange(
+            Exchange(make_lease("s1", asked=7, heard=5))
+        )  # without answers, but it is running
+        assert await store.forget("s1", ("i", 7)) and (await store.view()).sidecars == {"s0"}
+
+    run_against_stores(check)
+
+
+def test_an_epoch_is_opened_once_closed_only_while_current_and_raised_by_a_later_one():
+    async def check(server, store, other):
+        await store.open_epoch(OpenEpoch(7, 0))
+        await other.open_epoch(OpenEpoch(9, 0))
+        await other.close_epoch(CloseEpoch(9))
+        view = await store.exchange(Exchange(make_lease()))
+        assert (view.epoch, view.previous_epoch_closed) == (7, False)
+        await other.close_epoch(CloseEpoch(7))
+        assert (await store.view()).previous_epoch_closed
+        await other.open_epoch(OpenEpoch(12, 7))
+        assert ((await store.view()).epoch, (await store.view()).previous_epoch_closed) == (12, False)
+        server.keys.data[b"t:era"] = b"an era"  # no record of an epoch
+        assert (await store.view()).epoch == 0
+
+    run_against_stores(check)
+
+
+def test_unreadable_records_are_ignored_but_their_sidecars_stay_known():
+    async def check(server, store, other):
+        await store.exchange(Exchange(make_lease()))
+        for name, text in {
+            "s1": b'{"format": 1}',
+            "s2": b"\xff",
+            "s3": b"[]",
+            "s4": b'{"format": 2}',
+        }.items():
+            server.keys.data[b"t:lease:" + name.encode()] = text
+        server.keys.data[b"t:names"] |= {b"s1", b"s2", b"s3", b"s4", b"s5"}
+        server.keys.data[b"t:verdicts"] = {b"s1": b"{", b"s2": b'{"format": 1}'}
+        view = await store.view()
+        assert view.leases.keys() == {"s0"} and view.sidecars_without_lease() == {
+            "s1",
+            "s2",
+            "s3",
+            "s4",
+            "s5",
+        }
+        assert view.verdicts == {}
+        assert not await store.forget("s1", None) and await store.forget("s5", None)
+
+    run_against_stores(check)
+
+
+def test_an_exchange_costs_the_same_for_any_number_of_sidecars():
+    """Counted at the store."""
+
+    async def check(server, store, other):
+        async def counted():
+            before = server.keys.count, server.traffic.received, server.traffic.sent
+            await store.exchange(Exchange(make_lease()))
+            return (
+                server.keys.count - before[0],
+                server.traffic.received - before[1],
+                server.traffic.sent - before[2],
+            )
+
+        server.keys.unix_ns = lambda: 1_700_000_000_123_456_789  # whose text is always as long
+        await store.exchange(Exchange(make_lease()))  # its connection is there
+        alone = await counted()
+        for number in range(200):
+            await other.exchange(Exchange(make_lease(f"other-{number:030}")))
+        assert await counted() == alone and alone[0] == 6 and sum(alone[1:]) < 1000
+
+    run_against_stores(check)
+
+
+def test_a_committed_generation_is_not_read_again_after_its_stage_was_read():
+    async def check(server, store, other):
+        await store.open_epoch(OpenEpoch(7, 0))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
+        await other.exchange(Exchange(make_lease()))  # it never reads the stage
+        await store.exchange(Exchange(make_lease("s1")))
+        rank = (0, 1, ONE.digest)
+        assert await other.put_stage(PutStage(Stage("t.0", 2, TWO, "me", 7), rank))
+        assert (await store.exchange(Exchange(make_lease("s1")))).stage.content == TWO
+        committed = CommittedGeneration(2, TWO, 0, ONE, "t.0", "me", 7)
+        assert await other.commit(CommitGeneration(committed, rank, frozenset(("s0", "s1")), LEASE_NS))
+        read = []
+        act = server.keys.act
+        server.keys.act = lambda session, words: read.append(words[1:]) or act(session, words)
+        asked = (await store.exchange(Exchange(make_lease("s1")))).committed
+        assert [b"t:force"] not in read
+        assert asked == (await other.exchange(Exchange(make_lease()))).committed and [b"t:force"] in read
+        assert asked.rank == committed.rank and asked.previous == ONE and asked.effective_at_ns > 0
+        # It is read again if another generation preceded it, or another one was staged.
+        for tag in (b"7 3 x t.1 0 y", b"7 2 %s t.0 5 y" % TWO.digest.encode(), b"7 2 x t.0 5 y", b"1 2"):
+            server.keys.data[b"t:force:rank"] = tag
+            read.clear()
+            await store.exchange(Exchange(make_lease("s1")))
+            assert [b"t:force"] in read
+
+    run_against_stores(check)
+
+
+def test_repair_restores_a_lost_generation_but_never_replaces_a_higher_one():
+    async def check(server, store, other):
+        await store.repair(RepairStore(CommittedGeneration(5, ONE)))
+        await other.repair(RepairStore(CommittedGeneration(4, TWO)))
+        assert (await store.view()).committed.generation == 5
+        server.keys.empty()
+        await other.repair(RepairStore(CommittedGeneration(4, TWO)))
+        await store.repair(RepairStore(CommittedGeneration(5, ONE)))
+        assert (await store.view()).committed.generation == 5
+        await store.repair(
+            RepairStore(CommittedGeneration(2, TWO, epoch=1))
+        )  # rolled out since the store was lost
+        await store.repair(RepairStore(CommittedGeneration(9, ONE)))
+        assert (await store.view()).committed.generation == 2
+
+    run_against_stores(check)
+
+
+def test_only_the_same_incarnation_of_a_sidecar_can_leave():
+    async def check(server, store, other):
+        await store.exchange(Exchange(make_lease(incarnation="new")))
+        await other.leave("s0", "old")
+        assert (await store.view()).leases.keys() == {"s0"}
+        await other.leave("s0", "new")
+        view = await store.view()
+        assert not view.leases and not view.sidecars
+
+    run_against_stores(check)
+
+
+@pytest.mark.parametrize("fault", ["silent", "slow", "refusing", "reset", "types", "foreign", "cut"])
+def test_every_store_fault_raises_store_error_within_the_timeout(fault):
+    async def check(server, store, other):
+        await store.exchange(Exchange(make_lease()))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
+        match fault:
+            case "silent":
+                server.failures.silent = True
+            case "slow":
+                server.failures.delay_s = 5.0
+            case "refusing":
+                server.failures.refusing = True
+                server.portal.call(server.reset)
+            case "reset":
+                server.failures.lost = 1.0
+            case "types":
+                server.keys.empty()
+                server.keys.data[b"t:force:rank"] = {b"a": b"b"}
+            case "foreign":
+                server.keys.data[b"t:force"] = b'{"format": 9}'
+                server.keys.data[b"t:force:rank"] = b"9"
+            case "cut":
+                server.keys.data[b"t:force"] = server.keys.data[b"t:force"][:-5]
+                server.keys.data[b"t:force:rank"] = b"9"
+        started_at = time.monotonic()
+        with pytest.raises(StoreError):
+            await store.exchange(Exchange(make_lease()))
+        assert time.monotonic() - started_at < 2.0
+
+    run_against_stores(check)
+
+
+def test_concurrent_writes_lose_no_update():
+    async def check(server, store, other):
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
+
+        async def add(client, name):
+            for _ in range(20):
+                committed = (await client.view()).committed
+                if name in committed.content.volumes:
+                    return
+                content = replace(committed.content, volumes={**committed.content.volumes, name: {}})
+                await client.add_own_entries(
+                    AddOwnEntries(CommittedGeneration(committed.generation + 1, content), committed.rank)
+                )
+
+        async with anyio.create_task_group() as group:
+            for number in range(6):
+                group.start_soon(add, (store, other)[number % 2], f"v{number}")
+        committed = (await store.view()).committed
+        assert set(committed.content.volumes) == {f"v{n}" for n in range(6)} and committed.generation == 7
+
+    run_against_stores(check)
--- a/tests/agreement/test_stored_records.py
+++ b/tests/agreement/test_stored_records.py
@@ -106,24 +106,24 @@
     "name, boot, generation, age_s",
     [("s0", BOOT, "generation-rolled-out.json", 5.0), ("s1", None, "generation-first.json", 60.0)],
 )
-def test_a_local_copys_file_is_written_back_byte_for_byte(tmp_path, name, boot, generation, age_s):
+def test_a_snapshot_file_is_written_back_byte_for_byte(tmp_path, name, boot, generation, age_s):
     shutil.copy(STORED / f"{name}.copy", tmp_path)
     later = BootTime(BOOT.boot, BOOT.since_ns + 5_000_000_000) if boot else None
-    kept = LocalSnapshot(str(tmp_path), name, lambda: UNIX_NS + 60_000_000_000, lambda: later).read()
-    assert kept.age_s == age_s and written(kept.committed) == stored(generation)
+    snapshot = LocalSnapshot(str(tmp_path), name, lambda: UNIX_NS + 60_000_000_000, lambda: later).read()
+    assert snapshot.age_s == age_s and written(snapshot.committed) == stored(generation)
     again = LocalSnapshot(str(tmp_path / "again"), name, lambda: UNIX_NS, lambda: boot)
-    again.write(kept.committed)
+    again.write(snapshot.committed)
     assert again.path.read_bytes() == stored(f"{name}.copy")
     assert again.path.name == f"{name}.copy"
 
 
-def test_the_lmdb_copy_of_the_version_before_is_read_and_replaced_by_a_file(tmp_path):
+def test_the_lmdb_snapshot_of_an_older_version_is_read_and_replaced(tmp_path):
     shutil.copy(STORED / "lmdb.copy", tmp_path / "s0.copy")
-    copy = LocalSnapshot(str(tmp_path), "s0", lambda: UNIX_NS, lambda: BOOT)
-    kept = copy.read()
-    assert kept.age_s == 0.0 and written(kept.committed) == stored("generation-rolled-out.json")
-    copy.write(kept.committed)
-    assert copy.path.read_bytes() == stored("s0.copy")
+    file = LocalSnapshot(str(tmp_path), "s0", lambda: UNIX_NS, lambda: BOOT)
+    snapshot = file.read()
+    assert snapshot.age_s == 0.0 and written(snapshot.committed) == stored("generation-rolled-out.json")
+    file.write(snapshot.committed)
+    assert file.path.read_bytes() == stored("s0.copy")
 
 
 async def every_command(store):
@@ -166,7 +166,7 @@
     await store.view()
 
 
-def test_the_commands_to_the_store_and_what_it_holds_then_are_what_they_were():
+def test_each_operation_sends_the_recorded_commands_to_the_store():
     commands = []
     with running(RedisStandIn()) as (server,):
         server.keys.unix_ns = lambda: UNIX_NS
--- /dev/null
+++ b/tests/support/stores.py
@@ -0,0 +1,42 @@
+"""Clients of the agreement's store against the Redis stand-in, and records to write with them."""
+
+import anyio
+
+from runloft.agreement.content import Content
+from runloft.agreement.records import Lease
+from runloft.agreement.store import AgreementStore
+from runloft.lab.redis import RedisStandIn
+from tests.support.lab import running
+
+LEASE_NS = 400_000_000
+ONE = Content({}, {"p": {"Parts": 1.0}}, {}, {})
+TWO = Content({}, {"p": {"Parts": 2.0}}, {}, {})
+
+
+def make_lease(name="s0", incarnation="i", asked=0, heard=0):
+    return Lease(
+        name,
+        incarnation,
+        1,
+        ONE.digest,
+        ONE.digest,
+        exchanges_sent=asked,
+        exchanges_answered=heard,
+        fence_ns=2 * LEASE_NS,
+    )
+
+
+def run_against_stores(check):
+    """Run a check with the stand-in and two clients of it."""
+    with running(RedisStandIn()) as (server,):
+
+        async def main():
+            clients = [AgreementStore(f"redis://{server.address}/0", "t", LEASE_NS, 0.3) for _ in range(2)]
+            try:
+                with anyio.fail_after(20):
+                    await check(server, *clients)
+            finally:
+                for store in clients:
+                    await store.close()
+
+        anyio.run(main)
