--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -24,13 +24,13 @@
 
 
 class HollowRunner(Runner):
-    """The event loop, which also notes when an awaited node stands in the table."""
+    """The event loop, which also records when an awaited node stands in the table."""
 
     awaited_uid = ""
     node_seen_at = 0.0  # of the monotonic clock; 0: not yet
 
     def await_node(self, uid: str) -> None:
-        """Note from now on when this node comes into the table."""
+        """Record from now on when this node comes into the table."""
         self.awaited_uid = uid
         self.node_seen_at = 0.0
 
@@ -42,7 +42,7 @@
 
     def has(self, uid: str) -> bool:
         """Return whether a node is in the table and may be sent to."""
-        number = self.core.node_numbers.get(uid)
+        number = self.core.node_ids.get(uid)
         node = self.core.nodes.get(number) if number is not None else None
         return node is not None and node.state is NodeState.READY
 
@@ -86,8 +86,8 @@
         status = self.agreement.status
         return status.connected and status.holds_reserves
 
-    def note_generation(self) -> None:
-        """Note a generation that is new to it, once it holds the reserves."""
+    def record_generation(self) -> None:
+        """Record a generation that is new to it, once it holds the reserves."""
         generation = self.generation
         if self.agreement and not self.agreement.status.holds_reserves:
             return
@@ -105,7 +105,7 @@
             config = self._start_agreement(config, clock)
         timers = TimerQueue()
         core = Core(config.settings, config.seed, clock(), timers, config.bounds)
-        core.held = config.held
+        core.suspended = config.held
         self.runner = runner = HollowRunner(core, timers, clock)
         is_polled = config.settings.list_is_polled
         watch = Watch(config.discovery, 0, config.zones, runner.post, timers, clock, asked=is_polled)
@@ -127,7 +127,7 @@
         return self.agreement.start()
 
     def _apply_config(self, config: Config) -> None:
-        self.note_generation()
+        self.record_generation()
         if self.reload:
             self.reload.take(config)
 
