--- a/tests/agreement/test_sidecars.py
+++ b/tests/agreement/test_sidecars.py
@@ -148,7 +148,8 @@
 
 
 def test_metrics_load_no_client_of_the_store():
-    code = "import sys, runloft.service.admin; sys.exit(bool(sys.modules.keys() & {'redis', 'lmdb'}))"
+    modules = "sys, runloft.service.admin, runloft.service.metrics"
+    code = f"import {modules}; sys.exit(bool(sys.modules.keys() & {{'redis', 'lmdb'}}))"
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT).returncode == 0
 
 
--- a/tests/core/test_timers.py
+++ b/tests/core/test_timers.py
@@ -11,7 +11,8 @@
     ListKind,
     Timer,
 )
-from runloft.service.runner import Clock, Runner
+from runloft.service.clock import MonotonicClock
+from runloft.service.runner import Runner
 from tests.support.core_harness import CoreHarness
 from tests.support.driver import MS, settings
 
@@ -19,7 +20,7 @@
 def test_timer_added_while_the_runner_waits_fires_in_time():
     async def run():
         deadlines, fired = TimerQueue(), anyio.Event()
-        clock = Clock()
+        clock = MonotonicClock()
         runner = Runner(Core(settings(), 1, clock(), deadlines), deadlines, clock)
         async with anyio.create_task_group() as group:
             group.start_soon(runner.run)
