--- a/runloft/agreement/records.py
+++ b/runloft/agreement/records.py
@@ -1,229 +1,162 @@
-"""What lies in the store: what is in force, what is staged, who serves by what; and reading it back."""
+"""The agreement's records: what is committed, what is staged, who serves which generation.
+
+These are types alone; ``codec`` reads and writes them.
+"""
 
-import json
 from dataclasses import dataclass, field
-from typing import Any
+from typing import NamedTuple
+
+from runloft.agreement.content import Content
+
+
+class Rank(NamedTuple):
+    """The order of generations: of two that claim to be committed, the higher one is."""
+
+    epoch: int
+    generation: int
+    digest: str
+
+
+class Version(NamedTuple):
+    """The generation that a sidecar serves, and the digest of its content."""
+
+    generation: int
+    digest: str
 
-from runloft.agreement.content import Content, ContentError, content_from
 
-FORMAT = 1
-LEASE_FORMAT = 2  # 1 had no fence and ran out by the store's clock: whoever writes it can't be left out
-Rank = tuple[int, int, str]
-Mark = tuple[str, int]
-NOTHING: Rank = (0, 0, "")  # the rank of no generation at all
+class ExchangeCount(NamedTuple):
+    """How many exchanges one incarnation of a sidecar has counted."""
+
+    incarnation: str
+    number: int
 
 
-class RecordError(ValueError):
-    """What was read is no record of this kind: another version's, another program's, or cut off."""
+NO_RANK = Rank(0, 0, "")  # of no generation at all
 
 
 @dataclass(frozen=True, slots=True)
-class Force:
-    """A generation in force from ``at_ns`` of the store's time on; until then, the one before it."""
+class CommittedGeneration:
+    """A generation that takes effect at ``effective_at_ns`` of the store's time; until then, ``previous``."""
 
     generation: int
     content: Content
-    at_ns: int = 0
-    before: Content | None = None
-    token: str = ""  # of the roll-out that brought it; empty: a sidecar's own, the first
-    by: str = ""
-    era: int = 0  # of the store in which a roll-out brought it; 0: no roll-out did
+    effective_at_ns: int = 0
+    previous: Content | None = None
+    token: str = ""  # of the rollout that committed it; empty: a sidecar's bootstrap
+    committed_by: str = ""
+    epoch: int = 0  # of the store in which a rollout committed it; 0: no rollout did
 
     @property
     def rank(self) -> Rank:
-        """Order generations: of two that claim to be in force the higher one is."""
-        return self.era, self.generation, self.content.digest
+        """Return its place in the order of generations."""
+        return Rank(self.epoch, self.generation, self.content.digest)
 
     @property
-    def name(self) -> tuple[int, str]:
-        """Give what a lease says of it."""
-        return self.generation, self.content.digest
-
-    def dump(self) -> str:
-        """Give its text."""
-        return _dump(
-            generation=self.generation,
-            content=self.content.as_json(),
-            at_ns=self.at_ns,
-            before=self.before.as_json() if self.before else None,
-            token=self.token,
-            by=self.by,
-            era=self.era,
-        )
+    def version(self) -> Version:
+        """Return what the lease of a sidecar that serves it says."""
+        return Version(self.generation, self.content.digest)
 
 
-def rank_of(force: Force | None) -> Rank:
-    """Give the rank of what is in force, or of nothing."""
-    return force.rank if force is not None else NOTHING
+def rank_of(committed: CommittedGeneration | None) -> Rank:
+    """Return the rank of a committed generation, ``NO_RANK`` for None."""
+    return committed.rank if committed is not None else NO_RANK
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """A generation that is asked about."""
+    """A generation that a rollout proposes; each sidecar answers it with a verdict."""
 
     token: str
     generation: int
     content: Content
-    by: str = ""
-    era: int = 0
-
-    def dump(self) -> str:
-        """Give its text."""
-        content = self.content.as_json()
-        return _dump(token=self.token, generation=self.generation, content=content, by=self.by, era=self.era)
+    staged_by: str = ""
+    epoch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """What a sidecar serves by; it stays in the store until the sidecar leaves or has been fenced.
+    """What a sidecar serves; it stays in the store until the sidecar leaves or has been fenced.
 
-    ``hearing`` changes with every exchange that the sidecar heard an answer to, ``mark`` with every one that
-    it asked.  Who watches them by a clock of his own knows how long the sidecar has heard nothing, and how
-    long it has said nothing, whatever the store's clock does.
+    ``answered`` changes with every exchange whose answer the sidecar got, ``sent`` with every one that it
+    sent.  An observer that watches them by its own clock knows for how long the sidecar has got no answer,
+    and for how long it has sent nothing, whatever the store's clock does.
     """
 
     name: str
     incarnation: str
     generation: int
     digest: str
-    own: str  # digest of what its own file says
+    file_digest: str  # of the content of its own file
     differences: int = 0
-    held: int = 0
-    since_ns: int = 0  # store's time from which it has served by this
-    copy_age_s: float = -1.0  # of the local copy that it started from; below 0: it did not
-    asked: int = 0  # exchanges, since its start
-    heard: int = 0  # exchanges that were answered, since its start
-    heard_ns: int = 0  # store's time of the last of them: for those who read, nothing is decided by it
-    fence_ns: int = 0  # it reserves nothing once it has heard no answer for so long
-    reserves: bool = False  # it holds the reserves of what it serves by
+    suspended: int = 0
+    serving_since_ns: int = 0  # store's time from which it has served this generation
+    snapshot_age_s: float = -1.0  # of the local snapshot that it started from; below 0: none
+    exchanges_sent: int = 0  # since its start
+    exchanges_answered: int = 0  # since its start
+    answered_at_ns: int = 0  # store's time of the last answer; for display, nothing is decided by it
+    fence_ns: int = 0  # it reserves nothing once it has got no answer for so long
+    holds_reserves: bool = False
 
     @property
-    def hearing(self) -> Mark:
-        """Give what changes while it hears."""
-        return self.incarnation, self.heard
+    def answered(self) -> ExchangeCount:
+        """Return the exchanges that were answered, which changes while the sidecar gets answers."""
+        return ExchangeCount(self.incarnation, self.exchanges_answered)
 
     @property
-    def mark(self) -> Mark:
-        """Give what changes while it asks, heard or not."""
-        return self.incarnation, self.asked
+    def sent(self) -> ExchangeCount:
+        """Return the exchanges that were sent, which changes while the sidecar runs, answered or not."""
+        return ExchangeCount(self.incarnation, self.exchanges_sent)
 
     @property
-    def serves(self) -> tuple[int, str]:
-        """Give what it serves by: generation, digest."""
-        return self.generation, self.digest
-
-    def dump(self) -> str:
-        """Give its text."""
-        return _dump(LEASE_FORMAT, **{name: getattr(self, name) for name in self.__slots__})
+    def version(self) -> Version:
+        """Return the version that the sidecar serves."""
+        return Version(self.generation, self.digest)
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """A sidecar's answer to a stage."""
+    """A sidecar's answer to a stage; without refusals it accepts."""
 
     name: str
     incarnation: str
     token: str
     refusals: tuple[str, ...] = ()
 
-    def dump(self) -> str:
-        """Give its text."""
-        return _dump(
-            name=self.name, incarnation=self.incarnation, token=self.token, refusals=list(self.refusals)
-        )
+
+@dataclass(frozen=True, slots=True)
+class EpochRecord:
+    """The store's epoch: its number grows whenever the store has lost its data; 0: none is open.
+
+    ``previous_closed``: whoever held a lease in the previous epoch has been fenced since.
+    """
+
+    number: int = 0
+    previous_closed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """What one exchange with the store showed, at one instant of its time."""
+class StoreView:
+    """What one exchange with the store showed, at one instant of its time.
+
+    ``sidecars``, ``leases`` and ``verdicts`` are read for a rollout alone, not for a sidecar.
+    """
 
     now_ns: int
-    force: Force | None = None
+    committed: CommittedGeneration | None = None
     stage: Stage | None = None
-    names: frozenset[str] = frozenset()  # every sidecar known; told to the tool alone, as the next two
+    sidecars: frozenset[str] = frozenset()  # the names of all known ones
     leases: dict[str, Lease] = field(default_factory=dict)
     verdicts: dict[str, Verdict] = field(default_factory=dict)
-    era: int = 0  # of the store: it differs once the store has lost what it held; 0: nobody has begun one
-    settled: bool = False  # whoever was cut off when the era began has been fenced since
+    epoch: int = 0
+    previous_epoch_closed: bool = False
 
-    def foreign(self) -> set[str]:
-        """Give those that are known by no lease of this format: of a version before, or spoilt."""
-        return set(self.names - self.leases.keys())
+    def sidecars_without_lease(self) -> set[str]:
+        """Return the known sidecars without a lease of this format: of another version, or corrupt."""
+        return set(self.sidecars - self.leases.keys())
 
-    def behind(self) -> set[str]:
-        """Give those that serve by something else than what is in force."""
-        if self.force is None:
+    def lagging_sidecars(self) -> set[str]:
+        """Return the sidecars that serve something else than the committed generation."""
+        if self.committed is None:
             return set()
-        name = self.force.name
-        return {sidecar for sidecar, lease in self.leases.items() if lease.serves != name}
-
-
-def _dump(number: int = FORMAT, /, **values: Any) -> str:
-    return json.dumps({"format": number, **values}, sort_keys=True, separators=(",", ":"))
-
-
-def _load(text: str | bytes, number: int = FORMAT) -> dict[str, Any]:
-    try:
-        raw = json.loads(text)
-    except (ValueError, RecursionError) as error:
-        raise RecordError(f"no record: {error}") from None
-    if not isinstance(raw, dict) or raw.get("format") != number:
-        raise RecordError("a record of another format")
-    return raw
-
-
-def force_from(text: str | bytes) -> Force:
-    """Read what is in force."""
-    raw = _load(text)
-    try:
-        before = raw["before"]
-        return Force(
-            int(raw["generation"]),
-            content_from(raw["content"]),
-            int(raw["at_ns"]),
-            content_from(before) if before is not None else None,
-            str(raw["token"]),
-            str(raw["by"]),
-            int(raw.get("era", 0)),
-        )
-    except (KeyError, TypeError, ValueError, ContentError) as error:
-        raise RecordError(f"not what is in force: {error!r}") from None
-
-
-def stage_from(text: str | bytes) -> Stage:
-    """Read a stage."""
-    raw = _load(text)
-    try:
-        return Stage(
-            str(raw["token"]),
-            int(raw["generation"]),
-            content_from(raw["content"]),
-            str(raw["by"]),
-            int(raw.get("era", 0)),
-        )
-    except (KeyError, TypeError, ValueError, ContentError) as error:
-        raise RecordError(f"no stage: {error!r}") from None
-
-
-def lease_from(text: str | bytes) -> Lease:
-    """Read a lease."""
-    raw = _load(text, LEASE_FORMAT)
-    try:
-        return Lease(
-            str(raw["name"]), str(raw["incarnation"]), int(raw["generation"]), str(raw["digest"]),
-            str(raw["own"]), int(raw["differences"]), int(raw["held"]), int(raw["since_ns"]),
-            float(raw["copy_age_s"]), int(raw["asked"]), int(raw["heard"]), int(raw["heard_ns"]),
-            int(raw["fence_ns"]), bool(raw["reserves"]),
-        )  # fmt: skip
-    except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(f"no lease: {error!r}") from None
-
-
-def verdict_from(text: str | bytes) -> Verdict:
-    """Read a verdict."""
-    raw = _load(text)
-    try:
-        refusals = tuple(str(one) for one in raw["refusals"])
-        return Verdict(str(raw["name"]), str(raw["incarnation"]), str(raw["token"]), refusals)
-    except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(f"no verdict: {error!r}") from None
+        version = self.committed.version
+        return {name for name, lease in self.leases.items() if lease.version != version}
--- a/runloft/lab/fleet_rollout.py
+++ b/runloft/lab/fleet_rollout.py
@@ -1,14 +1,13 @@
 """Commit a scenario's fleet, as ``config roll out`` does."""
 
-from typing import Any
-
 import anyio
 
-from runloft.agreement.commands import roll_out
 from runloft.agreement.content import Content
-from runloft.agreement.planning import wanted, ways
-from runloft.agreement.records import View
-from runloft.agreement.store import AgreementStore, StoreError
+from runloft.agreement.errors import StoreError
+from runloft.agreement.planning import content_of_fleet, rollout_plan
+from runloft.agreement.records import StoreView
+from runloft.agreement.rollout_driver import run_rollout
+from runloft.agreement.store import AgreementStore
 from runloft.config.generating import Generator
 from runloft.config.records import raw_of
 from runloft.lab.errors import LaboratoryError
@@ -32,20 +31,19 @@
     lease_s = lease_ns / NS_PER_S
     store = AgreementStore(f"redis://{store_address}/0", KEY_PREFIX, lease_ns, lease_s / REPLIES_PER_LEASE)
     content = _content(scenario, sidecars)
-    report: dict[str, Any] = {}
     try:
         with anyio.fail_after(TIMEOUT_S):
             # Prevents a race with the sidecars' own start: the contents that they bring along may change
             # what is committed until each of them serves by it.
             while not _has_converged(await store.view(), sidecars):
                 await anyio.sleep(lease_s / POLLS_PER_LEASE)
-        await roll_out(store, ways(scenario.fleet, content), as_json=True, report=report, quiet=True)
+        report = await run_rollout(store, rollout_plan(scenario.fleet, content))
     except StoreError as error:
         raise RolloutError(f"the roll-out stopped: {error}") from error
     finally:
         await store.close()
-    if not report["done"]:
-        raise RolloutError(f"the roll-out stopped: {report['why']}")
+    if not report.done:
+        raise RolloutError(f"the roll-out stopped: {report.reason}")
 
 
 def _content(scenario: Scenario, sidecars: int) -> Content:
@@ -56,10 +54,10 @@
         record = generator.record(index)
         assert record is not None
         documents.append(raw_of(record))
-    return wanted(scenario.fleet, documents)
+    return content_of_fleet(scenario.fleet, documents)
 
 
-def _has_converged(view: View, sidecars: int) -> bool:
+def _has_converged(view: StoreView, sidecars: int) -> bool:
     """Return whether all have joined and serve by what is committed."""
-    reserving = sum(lease.reserves for lease in view.leases.values())
-    return view.force is not None and reserving >= sidecars and not view.behind()
+    reserving = sum(lease.holds_reserves for lease in view.leases.values())
+    return view.committed is not None and reserving >= sidecars and not view.lagging_sidecars()
--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -14,9 +14,9 @@
 import anyio
 import anyio.abc
 
-from runloft.agreement.client import Agreeing
-from runloft.agreement.commands import roll_out
+from runloft.agreement.client import AgreementClient
 from runloft.agreement.content import Content
+from runloft.agreement.rollout_driver import run_rollout
 from runloft.agreement.store import AgreementStore
 from runloft.config.commands import table
 from runloft.config.settings import AgreementSettings, Config, config_from_json
@@ -79,18 +79,18 @@
         with tempfile.TemporaryDirectory(prefix="runloft-lab-") as folder:
             async with anyio.create_task_group() as group:
                 await group.start(self.server.run)
-                members = [self._start_member(f"s{number}", folder, group) for number in range(self.sidecars)]
+                clients = [self._start_client(f"s{number}", folder, group) for number in range(self.sidecars)]
                 lease_ns = int(self.lease_ms * NS_PER_MS)
                 store = AgreementStore(self._url, KEY_PREFIX, lease_ns, self.lease_s / REPLIES_PER_LEASE)
-                await self._wait_joined(members)
+                await self._wait_joined(clients)
                 self.server.failures.lost = self.loss
                 self.changed_at.clear()
                 started_at = time.monotonic()
                 done = await self._roll_out(store)
                 seconds = time.monotonic() - started_at
                 times = sorted(self.changed_at.values())
-                for member in members:
-                    await member.stop()
+                for client in clients:
+                    await client.stop()
                 await store.close()
                 group.cancel_scope.cancel()
         spread_s = times[-1] - times[0] if times else 0.0
@@ -100,15 +100,15 @@
     def _url(self) -> str:
         return f"redis://{self.server.address}/0"
 
-    def _start_member(self, name: str, folder: str, group: anyio.abc.TaskGroup) -> Agreeing:
+    def _start_client(self, name: str, folder: str, group: anyio.abc.TaskGroup) -> AgreementClient:
         config = minimal_config(name, folder, self._url, self.lease_ms)
         settings = config.agreement
         assert isinstance(settings, AgreementSettings)
-        member = Agreeing(settings, config, time.monotonic_ns)
-        member.start()
-        member.take = self._recording(name)
-        group.start_soon(member.run)
-        return member
+        client = AgreementClient(settings, config, time.monotonic_ns)
+        client.start()
+        client.on_config = self._recording(name)
+        group.start_soon(client.run)
+        return client
 
     def _recording(self, name: str) -> Callable[[Config], None]:
         def record(_: Config) -> None:
@@ -116,9 +116,9 @@
 
         return record
 
-    async def _wait_joined(self, members: Sequence[Agreeing]) -> None:
+    async def _wait_joined(self, clients: Sequence[AgreementClient]) -> None:
         with anyio.fail_after(TIMEOUT_S):
-            while any(member.standing.generation == 0 for member in members):
+            while any(client.status.generation == 0 for client in clients):
                 await anyio.sleep(self.lease_s / POLLS_PER_LEASE)
             await anyio.sleep(self.lease_s * LEASES_TO_EXPIRE)
 
@@ -126,9 +126,8 @@
         """Roll out until it is done; one that a lost reply has stopped is repeated, as by an operator."""
         started_at = time.monotonic()
         for _ in range(MAX_ATTEMPTS):
-            report: dict[str, object] = {}
-            await roll_out(store, _with_changed_parts, as_json=True, report=report, quiet=True)
-            if report["done"]:
+            report = await run_rollout(store, _with_changed_parts)
+            if report.done:
                 return True
             if time.monotonic() - started_at > TIMEOUT_S:
                 return False
--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -10,7 +10,7 @@
 import anyio
 import anyio.abc
 
-from runloft.agreement.client import Agreeing
+from runloft.agreement.client import AgreementClient
 from runloft.config.settings import Config
 from runloft.core.model import NodeListUpdate
 from runloft.core.reducer import Core
@@ -66,7 +66,7 @@
 
     document: ConfigDocument
     runner: HollowRunner | None = None
-    agreement: Agreeing | None = None
+    agreement: AgreementClient | None = None
     reload: Reload | None = None
     group: anyio.abc.TaskGroup | None = None
     changes: list[GenerationChange] = field(default_factory=list)
@@ -77,21 +77,20 @@
         if self.agreement is None:
             return 0
         # One that started with its local snapshot reports no generation until something changes.
-        served_generation, _ = self.agreement.member.served
-        return self.agreement.standing.generation or served_generation
+        return self.agreement.status.generation or self.agreement.replica.version.generation
 
     @property
     def is_connected(self) -> bool:
         """Whether it hears the store and holds what it serves by, its reserves too."""
         if self.agreement is None:
             return False
-        standing = self.agreement.standing
-        return standing.connected and standing.reserves
+        status = self.agreement.status
+        return status.connected and status.holds_reserves
 
     def record_generation(self) -> None:
         """Record a generation that is new to it, once it holds the reserves."""
         generation = self.generation
-        if self.agreement and not self.agreement.standing.reserves:
+        if self.agreement and not self.agreement.status.holds_reserves:
             return
         if generation and (not self.changes or self.changes[-1].generation != generation):
             self.changes.append(GenerationChange(generation, time.monotonic()))
@@ -124,8 +123,8 @@
     def _start_agreement(self, config: Config, clock: MonotonicClock) -> Config:
         """Return what is served by with the local snapshot."""
         assert config.agreement
-        self.agreement = Agreeing(config.agreement, config, clock)
-        self.agreement.take = self._apply_config
+        self.agreement = AgreementClient(config.agreement, config, clock)
+        self.agreement.on_config = self._apply_config
         return self.agreement.start()
 
     def _apply_config(self, config: Config) -> None:
--- a/runloft/lab/scale/rollout_tool.py
+++ b/runloft/lab/scale/rollout_tool.py
@@ -2,12 +2,11 @@
 
 import time
 from collections.abc import Callable, Sequence
-from typing import Any
 
 import anyio
 
-from runloft.agreement.commands import roll_out
-from runloft.agreement.content import Content, content_of
+from runloft.agreement.content import Content, content_of_file
+from runloft.agreement.rollout_driver import run_rollout
 from runloft.agreement.store import AgreementStore
 from runloft.lab.scale.child import Role
 from runloft.lab.scale.messages import Answer, Command, RollOut, RolloutReport
@@ -41,20 +40,20 @@
     async def _roll_out(self, command: RollOut) -> RolloutReport:
         timeout_s = command.lease_ms / (TIMEOUTS_PER_LEASE * MS_PER_S)
         store = AgreementStore(command.url, KEY_PREFIX, command.lease_ms * NS_PER_MS, timeout_s)
-        report: dict[str, Any] = {"done": False, "why": f"not over in {command.timeout_s:g} s"}
+        report = None
         started_at = time.monotonic()
         cpu_before_s = time.process_time()
         try:
             with anyio.move_on_after(command.timeout_s):
-                plan = changed(command.number, content_of(command.raw))
-                await roll_out(store, plan, True, report, True)
+                plan = changed(command.number, content_of_file(command.raw))
+                report = await run_rollout(store, plan)
         finally:
             await store.close()
         return RolloutReport(
             started_at=started_at,
             ended_at=time.monotonic(),
             cpu_s=time.process_time() - cpu_before_s,
-            done=report["done"],
-            reason=str(report["why"]),
-            left_out=len(report.get("left_out", ())),
+            done=report.done if report else False,
+            reason=report.reason if report else f"not over in {command.timeout_s:g} s",
+            left_out=len(report.excluded) if report else 0,
         )
--- a/runloft/service/metrics.py
+++ b/runloft/service/metrics.py
@@ -16,7 +16,7 @@
 from runloft.core.reducer import Core
 
 if TYPE_CHECKING:  # it brings the store's client along, which metrics need not
-    from runloft.agreement.client import Standing
+    from runloft.agreement.status import AgreementStatus
 
 MAX_ACCOUNTS_SHOWN = 20  # volumes with accounts among the metrics
 NS_PER_S = 1e9
@@ -38,9 +38,9 @@
 class MetricsCollector:
     """Collects all metrics of one scheduler."""
 
-    def __init__(self, core: Core, standing: "Standing | None") -> None:
+    def __init__(self, core: Core, status: "AgreementStatus | None") -> None:
         self.core = core
-        self.standing = standing
+        self.status = status
 
     def collect(self) -> Iterator[Metric]:
         """Yield all metrics."""
@@ -50,8 +50,8 @@
         yield from _reason_metrics()
         if isinstance(self.core.observer, Ledger):
             yield from _account_metrics(self.core.observer)
-        if self.standing is not None:
-            yield from _agreement_metrics(self.standing)
+        if self.status is not None:
+            yield from _agreement_metrics(self.status)
 
 
 def _gauge(name: str, documentation: str, value: float) -> Metric:
@@ -66,49 +66,49 @@
     return counter
 
 
-def _agreement_metrics(standing: "Standing") -> Iterator[Metric]:
+def _agreement_metrics(status: "AgreementStatus") -> Iterator[Metric]:
     """Yield the state of the agreement with the other sidecars."""
     yield _gauge(
         "runloft_agreement_generation",
         "Generation that this sidecar serves by.",
-        float(standing.generation),
+        float(status.generation),
     )
     yield _gauge(
         "runloft_agreement_connected",
         "1: the store was heard within a lease.",
-        float(standing.connected),
+        float(status.connected),
     )
     yield _gauge(
         "runloft_agreement_reserves",
         "1: reserves are held, under a lease.",
-        float(standing.reserves),
+        float(status.holds_reserves),
     )
     yield _gauge(
         "runloft_agreement_copy_age_seconds",
         "Of the copy it started from; -1: none.",
-        float(standing.copy_age_s),
+        float(status.snapshot_age_s),
     )
-    yield _counter("runloft_agreement_exchanges", "Exchanges with the store.", standing.exchanges)
-    yield _counter("runloft_agreement_failures", "Exchanges that failed.", standing.failures)
-    yield _counter("runloft_agreement_copy_failures", "Failed writes of the copy.", standing.copy_failures)
-    yield _differences(standing)
-    yield _suspended(standing)
+    yield _counter("runloft_agreement_exchanges", "Exchanges with the store.", status.exchanges)
+    yield _counter("runloft_agreement_failures", "Exchanges that failed.", status.failures)
+    yield _counter("runloft_agreement_copy_failures", "Failed writes of the copy.", status.snapshot_failures)
+    yield _differences(status)
+    yield _suspended(status)
 
 
-def _differences(standing: "Standing") -> Metric:
+def _differences(status: "AgreementStatus") -> Metric:
     gauge = GaugeMetricFamily(
         "runloft_agreement_difference",
         "1 for each figure of this sidecar's file that is not what is in force.",
         labels=["what", "name", "key"],
     )
-    for what, name, key in standing.differences:
-        gauge.add_metric([what, name, key], 1)
+    for difference in status.differences:
+        gauge.add_metric([difference.kind, difference.name, difference.key], 1)
     return gauge
 
 
-def _suspended(standing: "Standing") -> Metric:
+def _suspended(status: "AgreementStatus") -> Metric:
     gauge = GaugeMetricFamily("runloft_held", "1 for each volume or plan that is held.", labels=["name"])
-    for name in standing.held:
+    for name in status.suspended:
         gauge.add_metric([name], 1)
     return gauge
 
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -38,7 +38,7 @@
 from runloft.upstream.resp_connection import RespConnection
 
 if TYPE_CHECKING:
-    from runloft.agreement.client import Agreeing
+    from runloft.agreement.client import AgreementClient
     from runloft.placement.store import PlacementStore
     from runloft.service.admin import AdminServer
 
@@ -80,14 +80,14 @@
     log.info("stopped", name=config.name)
 
 
-def new_agreement(config: Config, clock: Callable[[], int]) -> "Agreeing":
+def new_agreement(config: Config, clock: Callable[[], int]) -> "AgreementClient":
     """Return the client of the agreement among sidecars; raise StartupError where it can't be made."""
     assert config.agreement
     # Imported here, like the object listener: only an operator's file needs it.
     with packages_required_by("agreement"):
-        from runloft.agreement.client import Agreeing
+        from runloft.agreement.client import AgreementClient
     with value_checked_by_use("agreement.store"):
-        return Agreeing(config.agreement, config, clock)
+        return AgreementClient(config.agreement, config, clock)
 
 
 def new_core(config: Config, clock: Callable[[], int], timers: TimerQueue) -> Core:
@@ -118,7 +118,7 @@
     Whatever `run` opens it closes when it is stopped; a start that fails ends the process instead.
     """
 
-    def __init__(self, config: Config, runner: Runner, agreement: "Agreeing | None") -> None:
+    def __init__(self, config: Config, runner: Runner, agreement: "AgreementClient | None") -> None:
         self.config = config
         self.runner = runner
         self.agreement = agreement
@@ -266,8 +266,8 @@
             config_path, self.config, watch, runner.post, components, timers=runner.timers, clock=runner.clock
         )
         if self.agreement:
-            reload.apply_agreement = self.agreement.agreed
-            self.agreement.take = reload.apply
+            reload.apply_agreement = self.agreement.with_committed
+            self.agreement.on_config = reload.apply
         return reload
 
     def _open_admin(self, address: ListenAddress) -> None:
@@ -275,5 +275,5 @@
         with packages_required_by("admin"):
             from runloft.service.admin import AdminServer
             from runloft.service.metrics import MetricsCollector
-        standing = self.agreement.standing if self.agreement else None
-        self.admin = AdminServer.open(address, MetricsCollector(self.runner.core, standing))
+        status = self.agreement.status if self.agreement else None
+        self.admin = AdminServer.open(address, MetricsCollector(self.runner.core, status))
