--- a/tests/config/test_configs.py
+++ b/tests/config/test_configs.py
@@ -19,27 +19,14 @@
 from runloft.listeners import resp
 from runloft.listeners.accepting import AcceptingFront
 from runloft.upstream import links
+from tests.support.config_cases import read_cases
 
 HERE = Path(__file__).parent / "files"
-EDIT = re.compile(r"(\d+)([=+-]) ?(.*)")
 
 
 def cases(name):
-    """Read a file of cases: base, name, edits, faults."""
-    for block in (HERE / name).read_text().split("\n\n"):
-        head, *rest = block.strip("\n").split("\n")
-        _, base, title = head.split(" ", 2)
-        wants = sorted(line[2:] for line in rest if line.startswith("! "))
-        yield pytest.param(base, [line for line in rest if line[0] != "!"], wants, id=f"{base}-{title}")
-
-
-def changed(base, edits):
-    lines = (HERE / f"{base}.toml").read_text().split("\n")
-    for edit in sorted(edits, key=lambda text: -int(EDIT.match(text)[1])):
-        number, what, text = EDIT.match(edit).groups()
-        at, new = int(number), text.replace("\\n", "\n").split("\n")
-        lines[at - (what != "+") : at] = [] if what == "-" else new
-    return "\n".join(lines)
+    for case in read_cases(name):
+        yield pytest.param(case, id=f"{case.base}-{case.title}")
 
 
 def told(base, path):
@@ -49,20 +36,20 @@
     return sorted(f"{f.line} {marks[f.severity]}{f.code} {f.key}" for f in faults)
 
 
-@pytest.mark.parametrize(("base", "edits", "wants"), list(cases("broken.txt")))
-def test_a_broken_file_gives_each_of_its_faults(base, edits, wants, tmp_path):
-    assert wants
-    path = tmp_path / f"{base}.toml"
-    path.write_text(changed(base, edits))
-    assert told(base, path) == wants
+@pytest.mark.parametrize("case", list(cases("broken.txt")))
+def test_a_broken_file_gives_each_of_its_faults(case, tmp_path):
+    assert case.faults
+    path = tmp_path / f"{case.base}.toml"
+    path.write_text(case.text)
+    assert told(case.base, path) == list(case.faults)
 
 
-@pytest.mark.parametrize(("base", "edits", "wants"), list(cases("good.txt")))
-def test_a_good_file_gives_none(base, edits, wants, tmp_path):
-    path = tmp_path / f"{base}.toml"
-    path.write_text(changed(base, edits))
-    assert told(base, path) == []
-    if base == "sidecar":
+@pytest.mark.parametrize("case", list(cases("good.txt")))
+def test_a_good_file_gives_none(case, tmp_path):
+    path = tmp_path / f"{case.base}.toml"
+    path.write_text(case.text)
+    assert told(case.base, path) == []
+    if case.base == "sidecar":
         load_config(str(path))
 
 
