--- /dev/null
+++ b/tests/accounts/test_unchanged_totals.py
@@ -0,0 +1,65 @@
+"""A random sequence of request steps fed to the ledger, against the totals that version 9c33a60 kept."""
+
+import hashlib
+import json
+import random
+
+from runloft.accounts.ledger import Ledger
+from runloft.decisions.contract import Ending
+from tests.support.driver import settings
+
+EXPECTED = "8ad36c56d86b38a5af01c6aefb99ab2a98ac36a29a8ce828c0e75070441c9341"
+ENDINGS = (Ending.OK, Ending.ERROR, Ending.MOOT)
+
+
+def rendered(totals):
+    """Return the totals by value, without the names of classes and fields."""
+    return [
+        [
+            volume,
+            one.requests,
+            one.served,
+            one.late,
+            one.whole_ns,
+            sorted((part.value, amount) for part, amount in one.parts.items()),
+            list(one.waited_for.amounts.items()),
+            one.still_ns,
+            one.idle_ns,
+        ]
+        for volume, one in totals.items()
+    ]
+
+
+def test_totals_of_a_random_sequence_are_those_of_the_version_before():
+    generator = random.Random(36)
+    ledger = Ledger(settings(), most_volumes=12)
+    now, seen = 0, []
+    for step in range(20_000):
+        now += generator.choice((0, 1, 1000, 7_000_000, 400_000_000))
+        request = generator.randrange(max(1, step // 6 - 20), step // 6 + 2)
+        attempt = generator.randrange(max(1, step // 6 - 20), step // 6 + 2)
+        node = generator.randrange(6)
+        match generator.randrange(9):
+            case 0 | 1:
+                volume = int(generator.paretovariate(0.7)) % 40
+                ledger.taken(request, now, volume, 0, 0, generator.choice((0.0, 1.0, 3.5)))
+            case 2:
+                why = generator.choice(("cold", "drain", "no node", "bound"))
+                ledger.held(request, now, generator.choice((node, None)), why)
+            case 3 | 4:
+                ledger.sent(request, attempt, now, node)
+            case 5:
+                ledger.written(attempt, now)
+            case 6:
+                ledger.returned(attempt, now, generator.choice(ENDINGS))
+            case 7:
+                ledger.reading(attempt, now)
+            case _:
+                ledger.over(request, now, generator.random() < 0.8)
+        if generator.random() < 0.001:
+            ledger.forget(node)
+        if generator.random() < 0.002:
+            seen.append(rendered(ledger.take()))
+    seen.append(rendered(ledger.take()))
+    assert sum(len(one) for one in seen) > 100
+    assert hashlib.sha256(json.dumps(seen).encode()).hexdigest() == EXPECTED
