--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -29,8 +29,9 @@
     Tell,
 )
 from runloft.agreement.store import AgreementStore, StoreError
-from runloft.config.commands import checked_fleet, misused, table, tell
-from runloft.config.faults import serious
+from runloft.config.faults import blocking_faults
+from runloft.config.fleet_check import check_fleet_file
+from runloft.config.output import print_faults, print_table, usage_error
 from runloft.config.settings import FENCE_LEASES, AgreementSettings, agreement_of
 
 HASTE = 10  # after a lost reply it looks so many times sooner
@@ -49,7 +50,7 @@
                 return _with_store(options, lambda store, _: _status(store, options.json))
         return _with_store(options, lambda store, fence_ns: _forget(store, options.name, fence_ns))
     except ModuleNotFoundError as error:
-        return misused(f"{error.name} is missing: pip install -r requirements-tools.txt")
+        return usage_error(f"{error.name} is missing: pip install -r requirements-tools.txt")
 
 
 def _settings(options: argparse.Namespace, raws: Sequence[dict[str, Any]] = ()) -> AgreementSettings | None:
@@ -59,9 +60,9 @@
             {"store": options.store, "directory": "", "prefix": options.prefix, "lease_ms": options.lease_ms}
         )
     if not raws and getattr(options, "config", None):
-        from runloft.config.operator import check_file
+        from runloft.config.operator_file import check_file
 
-        raws = [check_file(options.config).raw]
+        raws = [check_file(options.config).document]
     for raw in raws:
         if named := raw.get("agreement"):
             return agreement_of(named)
@@ -75,7 +76,7 @@
 ) -> int:
     settings = settings or _settings(options)
     if settings is None:
-        return misused("no store is named: give --store URL, or --config FILE with an [agreement]")
+        return usage_error("no store is named: give --store URL, or --config FILE with an [agreement]")
     found = settings
 
     async def main() -> int:
@@ -93,22 +94,23 @@
 
 def _out(options: argparse.Namespace) -> int:
     from runloft.agreement.planning import wanted, ways
-    from runloft.config.comparing import compared
-    from runloft.config.operator import check_file
+    from runloft.config.comparison import compare_files
+    from runloft.config.operator_file import check_file
 
     directory = Path(options.directory)
     fleet_file = options.fleet or str(directory / "fleet.toml")
     paths = sorted(path for path in directory.glob("*.toml") if path.name != "fleet.toml")
     if not paths:
-        return misused(f"{directory} holds no operator's file")
-    fleet, faults = checked_fleet(fleet_file, options.nodes)
+        return usage_error(f"{directory} holds no operator's file")
+    checked_fleet = check_fleet_file(fleet_file, options.nodes)
+    fleet = checked_fleet.fleet
     checked = [check_file(str(path)) for path in paths]
-    faults = faults + [fault for one in checked for fault in one.faults]
-    faults += compared(checked, fleet if fleet and not serious(fleet.faults) else None)
-    tell(faults)
-    if serious(faults):
+    faults = checked_fleet.faults + [fault for one in checked for fault in one.faults]
+    faults += compare_files(checked, fleet if fleet and not blocking_faults(fleet.faults) else None)
+    print_faults(faults)
+    if fleet is None or blocking_faults(faults):
         return 1
-    raws = [one.raw for one in checked]
+    raws = [one.document for one in checked]
     settings = _settings(options, raws)
     content = wanted(fleet, raws)
     plan = ways(fleet, content)
@@ -120,9 +122,11 @@
 def _back(options: argparse.Namespace) -> int:
     from runloft.agreement.planning import ways
 
-    fleet, faults = checked_fleet(options.fleet, None)
-    if fleet is None or (bad := [f for f in serious(faults) if f.code != "reserve-not-borne"]):
-        tell(bad if fleet else faults)
+    checked_fleet = check_fleet_file(options.fleet, None)
+    fleet = checked_fleet.fleet
+    faults = checked_fleet.faults
+    if fleet is None or (bad := [f for f in blocking_faults(faults) if f.code != "reserve-not-borne"]):
+        print_faults(bad if fleet else faults)
         return 1
 
     async def act(store: AgreementStore, fence_ns: int) -> int:
@@ -234,7 +238,7 @@
         print(f"generation {force.generation} ({force.content.digest}) is in force{when}{by}")
     if view.stage:
         print(f"generation {view.stage.generation} is staged by {view.stage.by}")
-    table("Sidecars", ("sidecar", "state", "generation", "since", "differs", "held"), rows)
+    print_table("Sidecars", ("sidecar", "state", "generation", "since", "differs", "held"), rows)
     return 0
 
 
--- a/runloft/agreement/content.py
+++ b/runloft/agreement/content.py
@@ -13,9 +13,10 @@
 from functools import cached_property
 from typing import Any
 
-from runloft.config.faults import Fault, serious
-from runloft.config.operator import SHARED, read_operator
-from runloft.config.records import Reader
+from runloft.config.faults import Fault, blocking_faults
+from runloft.config.operator_file import read_operator
+from runloft.config.reader import Reader
+from runloft.config.settings_records import SHARED_KEYS
 
 FORMAT = 1
 VOLUME = ("id", "plan", "hosts")
@@ -75,7 +76,7 @@
         volumes={name: {key: row[key] for key in VOLUME if key in row} for name, row in volumes.items()},
         shared={
             table: {key: settings.get(table, {})[key] for key in keys if key in settings.get(table, {})}
-            for table, keys in SHARED.items()
+            for table, keys in SHARED_KEYS.items()
         },
     )
 
@@ -191,7 +192,7 @@
     got = effective(raw, content)
     for name in sorted(got.held_volumes):
         out.append(f"volume {name} is served here and does not stand there")
-    return out + [str(fault) for fault in serious(faults_of(got.raw))]
+    return out + [str(fault) for fault in blocking_faults(faults_of(got.raw))]
 
 
 def faults_of(raw: Row) -> list[Fault]:
--- a/runloft/agreement/planning.py
+++ b/runloft/agreement/planning.py
@@ -5,11 +5,11 @@
 
 from runloft.agreement.content import Content, between, content_of, joined
 from runloft.agreement.rollout import CanNotError
-from runloft.config.faults import Fault, serious
+from runloft.config.faults import Fault, blocking_faults
+from runloft.config.feasibility import check_feasibility
 from runloft.config.fleet import Fleet, Volume
-from runloft.config.honouring import honourable
-from runloft.config.operator import PlanRecord
 from runloft.config.records import settings_of
+from runloft.config.settings_records import PlanRecord
 
 KEYS = {one.key: name for name, one in settings_of(PlanRecord).items()}
 
@@ -47,7 +47,7 @@
 
     def short(one: Content, other: Content) -> list[Fault]:
         some = Fleet(fleet.file, fleet.record, fleet.reader, fleet.nodes, volumes_of(one))
-        return serious(honourable(some, volumes_of(other)))
+        return blocking_faults(check_feasibility(some, volumes_of(other)))
 
     def plan(old: Content | None) -> Sequence[Content]:
         if faults := short(new, Content()):
--- a/runloft/cli.py
+++ b/runloft/cli.py
@@ -14,7 +14,8 @@
 
 from runloft import __version__
 from runloft.config.faults import ConfigError
-from runloft.config.settings import Config, UnreadableConfigError, load_config
+from runloft.config.loading import UnreadableConfigError, load_config
+from runloft.config.settings import Config
 from runloft.core.trace import trace
 from runloft.service.runner import serve
 
@@ -36,7 +37,7 @@
     config = commands.add_parser("config", help="write, check, explain or compare configurations")
     actions = config.add_subparsers(dest="action", required=True)
     commands_of_config.add_parsers(actions)
-    commands_of_config.add_rolling_parsers(actions)
+    commands_of_config.add_rollout_parsers(actions)
     lab = commands.add_parser("lab", help="play scenarios on loopback, with stand-ins alone")
     actions = lab.add_subparsers(dest="action", required=True)
     play = actions.add_parser("run", help="run a scenario and print what each volume got")
--- /dev/null
+++ b/runloft/config/agreement_checks.py
@@ -0,0 +1,55 @@
+"""Checks that the lease leaves time for a change, and for exchanges with the store."""
+
+from collections.abc import Iterator
+
+from runloft.config.faults import Path, Severity, Violation
+from runloft.config.operator_records import AgreementRecord, OperatorRecord
+from runloft.config.settings import FENCE_DRIFT_DIVISOR, FENCE_LEASES
+
+MAX_CHANGE_MS = 10_000.0  # within which a change is to be in force everywhere
+# What a change waits for while a sidecar is silent (docs/design/agreement.md): until the fence has passed
+# for certain; then a lease until the moment of the change, and one poll of the tool.
+FENCE_WITH_DRIFT = 1 + 1 / FENCE_DRIFT_DIVISOR
+LEASES_AFTER_FENCE = 1 + 1 / 10
+EXCHANGES_PER_LEASE = 4  # an exchange with the store may take the lease divided by this
+NS_PER_MS = 1e6
+
+LEASE_PATH: Path = ("agreement", "lease_ms")
+
+
+def check_agreement(record: OperatorRecord) -> Iterator[Violation]:
+    """Yield what is wrong with the lease and the fence of a record that has an agreement."""
+    agreement = record.agreement
+    if agreement is None or agreement.lease_ms is None:
+        return
+    yield from _check_fence(agreement)
+    yield from _check_exchanges(record, agreement.lease_ms)
+
+
+def _check_fence(agreement: AgreementRecord) -> Iterator[Violation]:
+    lease_ms = agreement.lease_ms
+    fence_ms = agreement.fence_ms or FENCE_LEASES * lease_ms
+    if fence_ms < lease_ms:
+        reason = f"it would be fenced while its lease of {lease_ms:g} ms still allows it to be silent"
+        yield Violation(("agreement", "fence_ms"), "fence-below-lease", reason, f"at least {lease_ms:g}")
+    change_ms = fence_ms * FENCE_WITH_DRIFT + lease_ms * LEASES_AFTER_FENCE
+    if change_ms > MAX_CHANGE_MS:
+        reason = f"with a sidecar silent a change may take {change_ms:g} ms, its fence of {fence_ms:g} first"
+        max_lease_ms = int(MAX_CHANGE_MS / (FENCE_LEASES * FENCE_WITH_DRIFT + LEASES_AFTER_FENCE))
+        remedy = (
+            f"a lease up to {max_lease_ms} and its own fence, or a shorter fence: "
+            f"{MAX_CHANGE_MS:g} ms at most"
+        )
+        yield Violation(LEASE_PATH, "lease-too-long", reason, remedy, Severity.WARNING)
+
+
+def _check_exchanges(record: OperatorRecord, lease_ms: float) -> Iterator[Violation]:
+    permits = record.settings.permits if record.settings else None
+    connect_ns = permits.connect_timeout if permits else None
+    if connect_ns is not None and lease_ms * NS_PER_MS < EXCHANGES_PER_LEASE * connect_ns:
+        exchange_ms = lease_ms / EXCHANGES_PER_LEASE
+        connect_ms = connect_ns / NS_PER_MS
+        reason = f"an exchange may take {exchange_ms:g} ms, and connecting alone {connect_ms:g}"
+        least_ms = EXCHANGES_PER_LEASE * connect_ns / NS_PER_MS
+        remedy = f"at least {least_ms:g}, or a lower Limits.ConnectTimeout"
+        yield Violation(LEASE_PATH, "lease-too-short", reason, remedy, Severity.WARNING)
--- /dev/null
+++ b/runloft/config/comparison.py
@@ -0,0 +1,117 @@
+"""Comparison of several sidecars' files: where they disagree about one volume, plan, class or figure.
+
+Of files that disagree, the one against most others is reported; the fleet, where it is known, is right
+against any number of files.
+"""
+
+from collections import defaultdict
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+
+from runloft.config.claims import Claim, Topic, statements_of_fleet, statements_of_operator
+from runloft.config.faults import Fault, Severity
+from runloft.config.fleet import Fleet
+from runloft.config.kinds import quote_value
+from runloft.config.machine_checks import check_node_connections
+from runloft.config.operator_file import CheckedFile
+from runloft.config.operator_records import OperatorRecord
+from runloft.config.volume_comparison import compare_volumes
+
+
+def compare_files(files: Iterable[CheckedFile], fleet: Fleet | None = None) -> list[Fault]:
+    """Return the disagreements of files with each other and with the fleet, where it is given."""
+    checked = list(files)
+    if len(checked) < 2 and fleet is None:
+        return []
+    readable = [file for file in checked if file.record is not None]
+    faults = list(_compare_names(readable, fleet))
+    for topic, claims in _claims_by_topic(readable, fleet).items():
+        faults += _disagreements(topic, claims)
+    faults += compare_volumes(readable, fleet)
+    faults += _node_connection_faults(readable, fleet.live_nodes if fleet is not None else 0)
+    return sorted(faults, key=lambda fault: (fault.file, fault.line, fault.key, fault.code))
+
+
+def _claims_by_topic(files: Sequence[CheckedFile], fleet: Fleet | None) -> Mapping[Topic, list[Claim]]:
+    """Return all claims by topic; what is at fault by itself claims no value that others should share."""
+    claims: dict[Topic, list[Claim]] = defaultdict(list)
+    for file in files:
+        for statement in statements_of_operator(_record(file)):
+            claims[statement.topic].append(Claim(file, statement.path, statement.value))
+    if fleet is not None:
+        for statement in statements_of_fleet(fleet):
+            if statement.topic in claims:
+                claims[statement.topic].append(Claim(fleet, statement.path, statement.value))
+    at_fault = {(fault.file, fault.key) for file in files for fault in file.faults}
+    return {
+        topic: [claim for claim in some if (claim.source.file, ".".join(claim.path)) not in at_fault]
+        for topic, some in claims.items()
+    }
+
+
+def _record(file: CheckedFile) -> OperatorRecord:
+    assert file.record is not None  # only readable files are compared
+    return file.record
+
+
+def _disagreements(topic: Topic, claims: Sequence[Claim]) -> Iterator[Fault]:
+    """Yield a fault for each claim against the fleet, or against most files."""
+    by_value: dict[str, list[Claim]] = defaultdict(list)
+    for claim in claims:
+        by_value[repr(claim.value)].append(claim)
+    if len(by_value) < 2:
+        return
+    # The fleet first, then the largest group; of equals the one that was named first.
+    right = max(by_value.values(), key=lambda group: (_of_fleet(group) is not None, len(group)))
+    first = _of_fleet(right) or right[0]
+    more = f" and {len(right) - 1} more" if len(right) > 1 else ""
+    subject = f'{topic[0]} "{topic[1]}"' if len(topic) > 2 and topic[0] != "figure" else topic[0]
+    key = topic[-1] if len(topic) > 1 else "GroupSize"
+    # The longest fence that a lease announces is respected; another one comes into force file by file.
+    severity = Severity.WARNING if topic[0] == "agreement" else Severity.FAULT
+    remedy = f"the same in all, such as {quote_value(first.value)}"
+    for claim in claims:
+        if claim not in right:
+            reason = (
+                f"{subject} has {key} {quote_value(claim.value)} here, "
+                f"{quote_value(first.value)} at {first.place}{more}"
+            )
+            yield claim.fault(f"{topic[0]}-disagrees", reason, remedy, severity)
+
+
+def _of_fleet(claims: Iterable[Claim]) -> Claim | None:
+    return next((claim for claim in claims if isinstance(claim.source, Fleet)), None)
+
+
+def _compare_names(files: Sequence[CheckedFile], fleet: Fleet | None) -> Iterator[Fault]:
+    """Check that each file is one sidecar's, and one of the fleet's."""
+    names: dict[str, Claim] = {}
+    slots: dict[int, Claim] = {}
+    for file in files:
+        record = _record(file)
+        if record.name is not None:
+            claim = Claim(file, ("name",), record.name)
+            yield from _compare_name(claim, names.get(record.name), fleet)
+            names.setdefault(record.name, claim)
+        slot = record.settings.host_number if record.settings is not None else None
+        if slot is not None:
+            claim = Claim(file, ("settings", "SlotNo"), slot)
+            if slot in slots:
+                reason = f"slot {slot} is taken by another sidecar, at {slots[slot].place}"
+                yield claim.fault("slot-taken", reason, "a slot of its own")
+            slots.setdefault(slot, claim)
+
+
+def _compare_name(claim: Claim, other: Claim | None, fleet: Fleet | None) -> Iterator[Fault]:
+    if other is not None:
+        reason = f'"{claim.value}" is the name of another sidecar, at {other.place}'
+        yield claim.fault("sidecar-twice", reason, "a name of its own")
+    elif fleet and claim.value not in [application.name for application in fleet.record.applications]:
+        reason = f'the fleet has no application "{claim.value}"'
+        yield claim.fault("sidecar-not-in-fleet", reason, "a name of the fleet's")
+
+
+def _node_connection_faults(files: Sequence[CheckedFile], nodes: int) -> Iterator[Fault]:
+    for file in files:
+        for violation in check_node_connections(_record(file), nodes):
+            claim = Claim(file, violation.path, None)
+            yield claim.fault(violation.code, violation.reason, violation.remedy, violation.severity)
--- /dev/null
+++ b/runloft/config/explain_command.py
@@ -0,0 +1,25 @@
+"""The action ``runloft config explain``: what a key takes."""
+
+import argparse
+
+from runloft.config.explanation import explain, find_keys, known_keys
+from runloft.config.faults import nearest_word
+from runloft.config.output import print_error
+
+LABEL_WIDTH = 11
+
+
+def run(options: argparse.Namespace) -> int:
+    """Explain a key, or all keys that end with the given pieces; return the exit status."""
+    keys = find_keys(options.key)
+    if not keys:
+        last_pieces = {path.split(".")[-1] for path in known_keys()}
+        suggestion = nearest_word(options.key.split(".")[-1], last_pieces)
+        print_error(f'there is no key "{options.key}"; did you mean {suggestion}?')
+        return 1
+    for number, key in enumerate(keys):
+        if number:
+            print()
+        for line in explain(key):
+            print(f"{line.label:<{LABEL_WIDTH}}{line.text}")
+    return 0
--- /dev/null
+++ b/runloft/config/explanation.py
@@ -0,0 +1,94 @@
+"""What a key means: its type, unit, bounds and default, as the records declare them."""
+
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass
+
+from runloft.config.fleet_records import FleetRecord
+from runloft.config.operator_records import OperatorRecord
+from runloft.config.records import REQUIRED, Constraint, Named, Record, Rows, Setting, Table, settings_of
+
+FLEET_PREFIX = "fleet."
+
+
+@dataclass(frozen=True, slots=True)
+class Key:
+    """A key of a file, dotted; rows and names stand as ``*``; with the record that declares it."""
+
+    path: str
+    setting: Setting
+    record: type[Record]
+
+
+@dataclass(frozen=True, slots=True)
+class ExplanationLine:
+    """One line of an explanation: what it is about, and the text."""
+
+    label: str
+    text: str
+
+
+def keys_of(record: type[Record], prefix: str = "") -> Iterator[Key]:
+    """Yield every key of a record and of the records below it."""
+    for setting in settings_of(record).values():
+        path = f"{prefix}{setting.key}"
+        yield Key(path, setting, record)
+        kind = setting.kind
+        if isinstance(kind, Table | Rows | Named) and kind.record is not Record:
+            star = "" if isinstance(kind, Table) else "*."
+            yield from keys_of(kind.record, f"{path}.{star}")
+
+
+def known_keys() -> dict[str, Key]:
+    """Return every key of both files by its path; a key of the fleet's begins with ``fleet.``."""
+    keys = [*keys_of(OperatorRecord), *keys_of(FleetRecord, FLEET_PREFIX)]
+    return {key.path: key for key in keys}
+
+
+def find_keys(word: str) -> list[Key]:
+    """Find keys by their whole path or by their last pieces; numbers and names match ``*``."""
+    wanted = word.split(".")
+    found = [key for key in known_keys().values() if _ends_with(key.path.split("."), wanted)]
+    exact = [key for key in found if key.path == word]
+    return exact or found
+
+
+def _ends_with(pieces: Sequence[str], wanted: Sequence[str]) -> bool:
+    tail = pieces[-len(wanted) :]
+    if len(tail) != len(wanted):
+        return False
+    return all(piece in (word, "*") for piece, word in zip(tail, wanted, strict=True))
+
+
+def explain(key: Key) -> list[ExplanationLine]:
+    """Return what there is to say about a key."""
+    setting = key.setting
+    lines = [ExplanationLine("key", key.path), ExplanationLine("takes", setting.kind.expected)]
+    if setting.description:
+        lines.append(ExplanationLine("is", setting.description))
+    if not isinstance(setting.default, Record):
+        lines.append(ExplanationLine("default", _default_text(setting)))
+    if not setting.used:
+        lines.append(ExplanationLine("note", "known, and passed over: the program doesn't go by it"))
+    for constraint in _constraints_on(key):
+        remedy = _with_keys(constraint.remedy, key.record)
+        lines.append(ExplanationLine("constraint", f"{constraint.code}: right is {remedy}"))
+    return lines
+
+
+def _default_text(setting: Setting) -> str:
+    if setting.default is REQUIRED:
+        return "none: it must be given"
+    return "absent" if setting.default is None else str(setting.default)
+
+
+def _constraints_on(key: Key) -> list[Constraint]:
+    """Return the constraints that a key takes part in."""
+    field = next(name for name, other in settings_of(key.record).items() if other is key.setting)
+    return [constraint for constraint in key.record.CONSTRAINTS if field in constraint.fields]
+
+
+def _with_keys(text: str, record: type[Record]) -> str:
+    """Put keys in place of the fields whose values a fault would show."""
+    for field, setting in settings_of(record).items():
+        text = text.replace("{" + field + "}", setting.key).replace("{" + field + ":g}", setting.key)
+    return text
--- /dev/null
+++ b/runloft/config/fleet_checks.py
@@ -0,0 +1,153 @@
+"""Checks of a fleet that lie between its tables."""
+
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+
+from runloft.config.faults import Path, nearest_word
+from runloft.config.fleet import Fleet, Node, Volume
+from runloft.config.fleet_records import RESTATABLE_PLAN_KEYS, FleetRecord, FleetVolumeRecord
+from runloft.config.layers import Layer, unify
+from runloft.config.records import document_of
+from runloft.config.settings_records import PlanRecord
+
+MAX_SHARDS_LISTED = 8
+SHARE_TOLERANCE = 1e-9  # of rounding, in a sum that may be 1
+
+
+def check_fleet(fleet: Fleet, listed: list[Node] | None) -> None:
+    """Check a fleet and fill in its nodes and volumes; ``listed`` nodes stand in for its own."""
+    _check_names(fleet)
+    _fill_nodes(fleet, listed)
+    _check_shares(fleet)
+    _fill_volumes(fleet)
+
+
+def _check_names(fleet: Fleet) -> None:
+    """Check that each name, and each node's uid, stands once in its table."""
+    for table, names in _names_by_table(fleet.record).items():
+        rows: dict[str, int] = {}
+        for index, name in enumerate(names):
+            if name is not None and name in rows:
+                path = (table, str(index), _name_key(table))
+                code = "node-twice" if table == "nodes" else "name-twice"
+                fleet.reader.fault(path, code, f'"{name}" stands in row {rows[name]} too', "each once")
+            rows.setdefault(name, index)
+
+
+def _names_by_table(record: FleetRecord) -> Mapping[str, Sequence[str]]:
+    return {
+        "nodes": [node.uid for node in record.nodes or ()],
+        "classes": [row.name for row in record.classes or ()],
+        "plans": [plan.name for plan in record.plans or ()],
+        "volumes": [volume.name for volume in record.volumes or ()],
+        "applications": [application.name for application in record.applications or ()],
+    }
+
+
+def _name_key(table: str) -> str:
+    if table == "nodes":
+        return "uid"
+    return "Name" if table in ("classes", "plans") else "name"
+
+
+def _fill_nodes(fleet: Fleet, listed: list[Node] | None) -> None:
+    machines = fleet.record.machines or {}
+    own = [
+        Node(node.uid, node.kind, node.shard, node.state, node.zone)
+        for node in fleet.record.nodes or ()
+        if node.shard is not None
+    ]
+    for index, node in enumerate(own):
+        if node.kind is not None and node.kind not in machines:
+            reason = f'there is no machine kind "{node.kind}"'
+            remedy = nearest_word(node.kind, machines)
+            fleet.reader.fault(("nodes", str(index), "kind"), "unknown-kind", reason, remedy)
+    fleet.nodes = own if listed is None else listed
+    if not fleet.nodes and not any(fault.code in ("unreadable", "missing") for fault in fleet.faults):
+        fleet.reader.fault(("nodes",), "too-few", "no node is named", "nodes here, or --nodes FILE")
+
+
+def _check_shares(fleet: Fleet) -> None:
+    """Check that the classes' shares of all requests add up to 1 at most."""
+    classes = fleet.record.classes
+    if not classes:
+        return
+    total = sum(row.share for row in classes)
+    if total > 1.0 + SHARE_TOLERANCE:
+        reason = f"the classes' shares add up to {total:g}"
+        fleet.reader.fault(("classes", "0", "share"), "shares-above-1", reason, "1 in all")
+
+
+def _fill_volumes(fleet: Fleet) -> None:
+    references = _References.of_fleet(fleet)
+    owners: dict[int, str] = {}
+    for index, volume in enumerate(fleet.record.volumes or ()):
+        path: Path = ("volumes", str(index))
+        plan = references.plans.get(volume.plan)
+        _check_references(fleet, volume, path, references)
+        if volume.id is not None:
+            number = int(volume.id, 16)
+            if number in owners:
+                reason = f'id {volume.id} is that of "{owners[number]}" already'
+                fleet.reader.fault((*path, "id"), "id-twice", reason, "an id of its own")
+            owners.setdefault(number, volume.name)
+        if plan is None:
+            continue
+        _check_restated(fleet, volume, path, plan)
+        if volume.shards and volume.sidecars and volume.id:
+            shards = tuple(volume.shards)
+            sidecars = tuple(volume.sidecars)
+            fleet.volumes.append(Volume(volume.name, int(volume.id, 16), plan, shards, sidecars))
+
+
+@dataclass(frozen=True, slots=True)
+class _References:
+    """What a volume may refer to."""
+
+    plans: Mapping[str, PlanRecord]
+    sidecars: Sequence[str]
+    shards: frozenset[int] | None  # None where no node is known
+
+    @staticmethod
+    def of_fleet(fleet: Fleet) -> "_References":
+        """Return the plans, sidecars and shards that a fleet has."""
+        shards = frozenset(node.shard for node in fleet.nodes if node.state != "terminated")
+        return _References(
+            plans={plan.name: plan for plan in fleet.record.plans or () if plan.name},
+            sidecars=[one.name for one in fleet.record.applications or () if one.name],
+            shards=shards if fleet.nodes else None,
+        )
+
+
+def _check_references(fleet: Fleet, volume: FleetVolumeRecord, path: Path, known: _References) -> None:
+    """Check that a volume's plan, sidecars and shards exist."""
+    fault = fleet.reader.fault
+    if volume.plan is not None and known.plans and volume.plan not in known.plans:
+        reason = f'there is no plan "{volume.plan}"'
+        fault((*path, "plan"), "unknown-plan", reason, nearest_word(volume.plan, known.plans))
+    for place, sidecar in enumerate(volume.sidecars or ()):
+        if sidecar not in known.sidecars:
+            reason = f'there is no application "{sidecar}"'
+            remedy = nearest_word(sidecar, known.sidecars)
+            fault((*path, "sidecars", str(place)), "unknown-sidecar", reason, remedy)
+    if known.shards is None:
+        return
+    for place, shard in enumerate(volume.shards or ()):
+        if shard not in known.shards:
+            reason = f"no node holds shard {shard}"
+            listed = sorted(known.shards)[:MAX_SHARDS_LISTED]
+            remedy = f"one of {', '.join(map(str, listed))}"
+            fault((*path, "shards", str(place)), "unknown-shard", reason, remedy)
+
+
+def _check_restated(fleet: Fleet, volume: FleetVolumeRecord, path: Path, plan: PlanRecord) -> None:
+    """Check that a volume restates its plan's figures only with the same values."""
+    restated = {key: value for key, value in document_of(volume).items() if key in RESTATABLE_PLAN_KEYS}
+    if not restated:
+        return
+    row = next(index for index, other in enumerate(fleet.record.plans) if other is plan)
+    layers = (
+        Layer(f'plan "{plan.name}"', document_of(plan), ("plans", str(row))),
+        Layer(f'volume "{volume.name}"', restated, path),
+    )
+    unify(layers, fleet.reader)
--- /dev/null
+++ b/runloft/config/generated_checks.py
@@ -0,0 +1,86 @@
+"""Checks of the files that a fleet generates; their faults are reported at the fleet's own keys."""
+
+from collections.abc import Iterator, Mapping
+from dataclasses import replace
+from typing import Any
+
+from runloft.config.faults import Fault, Path, Violation
+from runloft.config.fleet import Fleet
+from runloft.config.generator import Generator
+from runloft.config.operator_checks import check_record
+from runloft.config.operator_records import OperatorRecord
+from runloft.config.reader import Reader
+from runloft.config.records import Document
+
+
+def check_generated_files(fleet: Fleet) -> None:
+    """Generate every application's file and add its faults to the fleet's."""
+    generator = Generator(fleet)
+    seen: set[tuple[Path, str]] = set()
+    for index, application in enumerate(fleet.record.applications):
+        layers = Reader(fleet.file, fleet.reader.text)
+        document = generator.document(index, layers)
+        # Layers disagree at a place of the fleet's own; the values are then no longer one file's.
+        fleet.reader.faults += [fault for fault in layers.faults if fault not in fleet.reader.faults]
+        if layers.faults:
+            continue
+        for violation in _violations(fleet, document):
+            path = _fleet_path(fleet, index, violation.path)
+            if (path, violation.code) not in seen:
+                seen.add((path, violation.code))
+                reason = f"{violation.reason} (in the file of {application.name})"
+                fleet.reader.add([replace(violation, path=path, reason=reason)])
+
+
+def _violations(fleet: Fleet, document: Document) -> Iterator[Violation]:
+    """Yield a file's violations; those between tables only where the tables are without fault."""
+    reader = Reader(fleet.file)
+    record = reader.record(OperatorRecord, document)
+    if reader.faults:
+        yield from map(_violation_of, reader.faults)
+    elif record is not None:
+        yield from check_record(record, fleet.live_nodes)
+
+
+def _violation_of(fault: Fault) -> Violation:
+    path = tuple(fault.key.split("."))
+    return Violation(path, fault.code, fault.reason, fault.remedy, fault.severity)
+
+
+def _fleet_path(fleet: Fleet, index: int, path: Path) -> Path:
+    """Return the key of the fleet that a key of an application's file comes from."""
+    match path:
+        case ("settings", "Classes", *rest):
+            return ("classes", *rest)
+        case ("settings", "ServiceLevels", *rest):
+            return ("plans", *rest)
+        case ("settings", "Extra", "ClassWrites", *_):
+            return ("classes",)
+        case ("settings" | "limits", *_):
+            return _layer_path(fleet, index, path)
+        case ("objects", "volumes", name, *rest):
+            return _volume_path(fleet, index, name, tuple(rest))
+        case ("objects", key, *rest) if key != "listen":
+            return ("service", key, *rest)
+        case ("agreement", *_):
+            return path
+        case ("objects", *_):
+            return ("applications", str(index), "objects_listen")
+        case ("admin", *_):
+            return ("applications", str(index), "admin_listen")
+    return ("applications", str(index), path[0])
+
+
+def _layer_path(fleet: Fleet, index: int, path: Path) -> Path:
+    """Return the application's own key if its layer has it, else the fleet's."""
+    value: Any = getattr(fleet.record.applications[index], path[0])
+    for key in path[1:]:
+        value = value.get(key) if isinstance(value, Mapping) else None
+    return ("applications", str(index), *path) if value is not None else path
+
+
+def _volume_path(fleet: Fleet, index: int, name: str, rest: Path) -> Path:
+    names = [volume.name for volume in fleet.record.volumes]
+    if name not in names:
+        return ("applications", str(index))
+    return ("volumes", str(names.index(name)), *rest)
--- /dev/null
+++ b/runloft/config/loading.py
@@ -0,0 +1,61 @@
+"""Loading of a configuration file: the platform's JSON, or an operator's TOML."""
+
+import errno
+import json
+from dataclasses import replace
+from pathlib import Path
+
+from runloft.config.faults import ConfigError, blocking_faults
+from runloft.config.settings import Config, config_from_json
+
+# Errors of reading that say nothing about the file: another attempt may succeed.
+TRANSIENT_ERRORS = frozenset(
+    (errno.EAGAIN, errno.EINTR, errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ESTALE)
+)
+
+
+class UnreadableConfigError(ConfigError):
+    """A file that could not be read just now, which says nothing about its content."""
+
+
+def read_file(path: str) -> bytes:
+    """Return a file's bytes."""
+    return Path(path).read_bytes()
+
+
+def load_config(path: str) -> Config:
+    """Read and check the platform's JSON or an operator's TOML, which may hold no unknown keys.
+
+    Raise UnreadableConfigError if reading failed in a way that may pass, ConfigError if the
+    configuration is at fault.
+    """
+    data: bytes | None
+    try:
+        data = read_file(path)
+    except OSError as error:
+        if error.errno in TRANSIENT_ERRORS:
+            raise UnreadableConfigError([f"{path}: {error}"]) from error
+        data = None
+    return _load_toml(path, data) if path.endswith(".toml") else _load_json(path, data)
+
+
+def _load_toml(path: str, data: bytes | None) -> Config:
+    """Load an operator's file; None stands for a file that is read again for the reason."""
+    # Loaded here: the platform's JSON needs neither the records' memory nor their start-up time.
+    from runloft.config.operator_file import check_file, check_text
+
+    checked = check_file(path) if data is None else check_text(path, data)
+    if faults := blocking_faults(checked.faults):
+        raise ConfigError(faults)
+    return replace(config_from_json(checked.document), raw=checked.document)
+
+
+def _load_json(path: str, data: bytes | None) -> Config:
+    try:
+        raw = json.loads((read_file(path) if data is None else data).decode())
+    except (OSError, ValueError) as error:
+        raise ConfigError([f"{path}: {error}"]) from error
+    try:
+        return config_from_json(raw)
+    except ConfigError as error:
+        raise ConfigError([f"{path}: {fault}" for fault in error.faults]) from error
--- /dev/null
+++ b/runloft/config/node_list.py
@@ -0,0 +1,79 @@
+"""Reading of a node list in discovery's form, which may stand in for the fleet's own nodes."""
+
+import json
+from collections.abc import Iterable, Iterator, Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from runloft.config.faults import Fault, Severity, nearest_word
+from runloft.config.fleet import Node
+from runloft.config.fleet_records import NODE_STATES, MachineRecord
+from runloft.config.kinds import quote_value
+from runloft.config.reader import Reader
+
+LIST_FORM = "a list in discovery's form"
+
+
+@dataclass(frozen=True, slots=True)
+class NodeList:
+    """The nodes of a file that could be read, and the file's faults."""
+
+    nodes: list[Node]
+    faults: list[Fault]
+
+
+def read_node_list(path: str, machines: Mapping[str, MachineRecord]) -> NodeList:
+    """Read nodes from a JSON file; an entry's ``model`` names the machine kind."""
+    reader = Reader(path)
+    try:
+        with open(path, encoding="utf-8") as file:
+            document = json.load(file)
+    except (OSError, ValueError, RecursionError) as error:
+        reader.fault((), "unreadable", str(error), LIST_FORM)
+        return NodeList([], reader.faults)
+    targets = document.get("targets") if isinstance(document, dict) else None
+    if not isinstance(targets, list):
+        reader.fault(("targets",), "missing", "there is no list of nodes", LIST_FORM)
+        return NodeList([], reader.faults)
+    if document.get("all") is not True:
+        reason = "this is a list of changes, not of all nodes"
+        reader.fault(("all",), "nodes-in-part", reason, '"all": true', Severity.WARNING)
+    nodes = list(_read_targets(reader, targets))
+    reader.faults += _check_nodes(path, nodes, machines)
+    return NodeList(nodes, reader.faults)
+
+
+def _read_targets(reader: Reader, targets: Iterable[Any]) -> Iterator[Node]:
+    for index, entry in enumerate(targets):
+        path = ("targets", str(index))
+        try:
+            state = entry.get("state", "")
+            node = Node(
+                uid=str(entry["uid"]),
+                kind=str(entry.get("model", "")),
+                shard=int(entry["pod_group"]),
+                state=state,
+                zone=str(entry.get("az", "")),
+            )
+        except (AttributeError, KeyError, TypeError, ValueError) as error:
+            reason = f"{quote_value(entry)} can't be read: {error!r}"
+            reader.fault(path, "bad-node", reason, "uid, model, pod_group")
+            continue
+        if state in NODE_STATES:
+            yield node
+        else:
+            reason = f"{quote_value(state)} is no state"
+            reader.fault((*path, "state"), "not-a-choice", reason, ", ".join(NODE_STATES))
+
+
+def _check_nodes(path: str, nodes: Iterable[Node], machines: Mapping[str, MachineRecord]) -> Iterator[Fault]:
+    rows: dict[str, int] = {}
+    for index, node in enumerate(nodes):
+        key = f"targets.{index}"
+        if node.uid in rows:
+            reason = f'"{node.uid}" stands in row {rows[node.uid]} too'
+            yield Fault(path, 0, f"{key}.uid", "node-twice", reason, "each node once")
+        rows.setdefault(node.uid, index)
+        if node.kind not in machines:
+            reason = f'there is no machine kind "{node.kind}"'
+            yield Fault(path, 0, f"{key}.model", "unknown-kind", reason, nearest_word(node.kind, machines))
--- /dev/null
+++ b/runloft/config/object_checks.py
@@ -0,0 +1,73 @@
+"""Checks of the object API: its operations' classes, its volumes, and the size of a body."""
+
+from collections.abc import Iterator, Sequence
+
+from runloft.config.faults import Path, Severity, Violation, nearest_word
+from runloft.config.machine_checks import MIN_REQUEST_MEMORY_MB
+from runloft.config.operator_records import ObjectsRecord, VolumeRecord
+from runloft.config.settings import OPERATIONS
+from runloft.config.settings_records import SettingsRecord
+
+WRITE_OPERATIONS = ("put", "part")
+BODY_MEMORY_DIVISOR = 8  # a body is held whole, to be sent again: it may take this part of the memory
+
+
+def check_objects(
+    settings: SettingsRecord, objects: ObjectsRecord, request_memory_mb: float
+) -> Iterator[Violation]:
+    """Yield what is wrong with the object API beside the settings."""
+    yield from _check_operations(settings, objects)
+    yield from _check_volumes(settings, objects)
+    yield from _check_max_body(objects, request_memory_mb)
+
+
+def _check_operations(settings: SettingsRecord, objects: ObjectsRecord) -> Iterator[Violation]:
+    if objects.classes is None:
+        return
+    classes = [row.name for row in settings.classes or () if row.name]
+    flags = settings.extra.writes_by_class if settings.extra else None
+    writes = dict(zip(classes, flags or [], strict=False))
+    for operation in OPERATIONS:
+        name = getattr(objects.classes, operation, None)
+        path = ("objects", "classes", operation)
+        if name is not None and classes and name not in classes:
+            reason = f'there is no class "{name}"'
+            yield Violation(path, "unknown-class", reason, nearest_word(name, classes))
+        elif operation in WRITE_OPERATIONS and name in writes and not writes[name]:
+            reason = f'"{name}" is a class that reads'
+            yield Violation(path, "class-does-not-write", reason, "a class that writes", Severity.WARNING)
+
+
+def _check_volumes(settings: SettingsRecord, objects: ObjectsRecord) -> Iterator[Violation]:
+    plans = [row.name for row in settings.plans or () if row.name]
+    owners: dict[int, str] = {}
+    for name, volume in (objects.volumes or {}).items():
+        path: Path = ("objects", "volumes", name)
+        yield from _check_volume(path, volume, plans, settings.hosts)
+        if volume.id is not None:
+            number = int(volume.id, 16)
+            if number in owners:
+                reason = f'id {volume.id} is that of "{owners[number]}" already'
+                yield Violation((*path, "id"), "id-twice", reason, "an id of its own")
+            owners.setdefault(number, name)
+
+
+def _check_volume(
+    path: Path, volume: VolumeRecord, plans: Sequence[str], hosts: int | None
+) -> Iterator[Violation]:
+    if volume.plan is not None and plans and volume.plan not in plans:
+        reason = f'there is no plan "{volume.plan}"'
+        yield Violation((*path, "plan"), "unknown-plan", reason, nearest_word(volume.plan, plans))
+    if volume.hosts is not None and hosts is not None and volume.hosts > hosts:
+        reason = f"it works through {volume.hosts:g} sidecars, and there are {hosts}"
+        yield Violation((*path, "hosts"), "hosts-above-group", reason, f"at most {hosts}")
+
+
+def _check_max_body(objects: ObjectsRecord, request_memory_mb: float) -> Iterator[Violation]:
+    if request_memory_mb < MIN_REQUEST_MEMORY_MB or objects.max_body is None:
+        return
+    largest = int(request_memory_mb * (1 << 20) / BODY_MEMORY_DIVISOR)
+    if objects.max_body > largest:
+        path = ("objects", "max_body")
+        reason = f"a body of {objects.max_body} bytes is more than the {largest} that may be held"
+        yield Violation(path, "part-too-large", reason, f"at most {largest}, or more limits.memory_mb")
--- /dev/null
+++ b/runloft/config/operator_checks.py
@@ -0,0 +1,110 @@
+"""Checks of an operator's record that lie between its tables.
+
+A value that could not be read is None in the record; checks that need it pass over it.
+"""
+
+from collections.abc import Iterator
+
+from runloft.config.agreement_checks import check_agreement
+from runloft.config.faults import Path, Severity, Violation
+from runloft.config.machine_checks import (
+    check_clients,
+    check_descriptors,
+    check_memory,
+    check_node_connections,
+    request_memory_mb,
+)
+from runloft.config.object_checks import check_objects
+from runloft.config.operator_records import OperatorRecord
+from runloft.config.settings_records import ExtraRecord, PermissionsRecord, SettingsRecord
+
+ANY_ADDRESS = frozenset(("0.0.0.0", "[::]"))
+SECONDS_PER_MINUTE = 60
+
+
+def check_record(record: OperatorRecord, nodes: int = 0) -> Iterator[Violation]:
+    """Yield what is wrong between tables; ``nodes`` is how many there are to connect to, if known."""
+    yield from _check_listeners(record)
+    yield from check_node_connections(record, nodes)
+    yield from check_clients(record)
+    yield from check_agreement(record)
+    yield from check_memory(record)
+    yield from check_descriptors(record)
+    if record.settings is None:
+        return
+    yield from _check_names(record.settings)
+    yield from _check_classes(record.settings)
+    yield from _check_plans(record.settings)
+    if record.objects is not None:
+        yield from check_objects(record.settings, record.objects, request_memory_mb(record))
+
+
+def _check_listeners(record: OperatorRecord) -> Iterator[Violation]:
+    """Check that no two addresses of this machine are the same."""
+    addresses: dict[Path, str] = {("listen",): record.listen}
+    if record.objects is not None:
+        addresses["objects", "listen"] = record.objects.listen
+    if record.admin is not None:
+        addresses["admin", "listen"] = record.admin.listen
+    addresses["discovery",] = record.discovery
+    seen: dict[Path, str] = {}
+    for path, address in addresses.items():
+        if not address:
+            continue
+        for other_path, other in seen.items():
+            if _collide(address, other):
+                reason = f"{address} is taken by {'.'.join(other_path)} already"
+                yield Violation(path, "listeners-collide", reason, "a port of its own")
+                break
+        seen[path] = address
+
+
+def _collide(one: str, other: str) -> bool:
+    host, _, port = one.rpartition(":")
+    other_host, _, other_port = other.rpartition(":")
+    if port != other_port or port == "0":
+        return False
+    return host == other_host or not ANY_ADDRESS.isdisjoint((host, other_host))
+
+
+def _check_names(settings: SettingsRecord) -> Iterator[Violation]:
+    """Check that each class and each plan has a name of its own."""
+    names = {
+        "Classes": [row.name for row in settings.classes or ()],
+        "ServiceLevels": [row.name for row in settings.plans or ()],
+    }
+    for table, in_table in names.items():
+        for index, name in enumerate(in_table):
+            if name is not None and name in in_table[:index]:
+                path = ("settings", table, str(index), "Name")
+                reason = f'"{name}" names row {in_table.index(name)} already'
+                yield Violation(path, "name-twice", reason, "another name")
+
+
+def _check_classes(settings: SettingsRecord) -> Iterator[Violation]:
+    classes = settings.classes or []
+    writes = (settings.extra or ExtraRecord()).writes_by_class
+    if writes and len(writes) != len(classes):
+        path: Path = ("settings", "Extra", "ClassWrites")
+        reason = f"it speaks of {len(writes)} classes, and there are {len(classes)}"
+        yield Violation(path, "writes-length", reason, f"{len(classes)} values")
+    connect = (settings.permits or PermissionsRecord()).connect_timeout
+    for index, row in enumerate(classes):
+        if row.deadline is not None and connect is not None and connect >= row.deadline:
+            path = ("settings", "Classes", str(index), "HardLimit")
+            reason = f"connecting may take {connect} ns, all the time that {row.name} has"
+            yield Violation(path, "no-time-to-connect", reason, f"more than {connect}")
+
+
+def _check_plans(settings: SettingsRecord) -> Iterator[Violation]:
+    extra = settings.extra or ExtraRecord()
+    least_burst = 2 * (extra.max_units or 0) * (settings.hosts or 0)
+    least_reserve = (extra.mean_units or 0) / SECONDS_PER_MINUTE
+    for index, plan in enumerate(settings.plans or ()):
+        path = ("settings", "ServiceLevels", str(index))
+        if plan.limit and plan.limit_burst and plan.limit_burst < least_burst:
+            reason = f"{plan.limit_burst:g} units don't hold two of the largest requests for each sidecar"
+            yield Violation((*path, "LimitBurst"), "burst-too-small", reason, f"at least {least_burst:g}")
+        if plan.reserve and plan.reserve < least_reserve:
+            reason = f"{plan.reserve:g} units/s are less than one usual request a minute"
+            yield Violation((*path, "Guaranteed"), "reserve-tiny", reason, "units a second", Severity.WARNING)
--- /dev/null
+++ b/runloft/config/operator_file.py
@@ -0,0 +1,52 @@
+"""Reading of an operator's file as a whole, with every check."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from runloft.config.faults import Fault
+from runloft.config.operator_checks import check_record
+from runloft.config.operator_records import OperatorRecord
+from runloft.config.reader import Reader
+from runloft.config.records import Document, document_of
+from runloft.config.toml_file import TomlFile, parse_toml, read_toml
+
+
+@dataclass(frozen=True, slots=True)
+class CheckedFile:
+    """An operator's file that was read: its record, its values in the wire's units, its faults.
+
+    ``record`` is None, and ``document`` empty, where the file holds no table.
+    """
+
+    file: str
+    record: OperatorRecord | None
+    document: Document
+    faults: tuple[Fault, ...]
+    reader: Reader
+
+
+def check_file(path: str) -> CheckedFile:
+    """Read an operator's file and find every fault in it."""
+    return _check(path, read_toml(path))
+
+
+def check_text(path: str, data: bytes) -> CheckedFile:
+    """Find every fault in the bytes of an operator's file; ``path`` names it in faults."""
+    return _check(path, parse_toml(path, data))
+
+
+def read_operator(reader: Reader, document: Mapping[str, Any]) -> OperatorRecord | None:
+    """Read an operator's file from its values, with every check; None if it is no table."""
+    record = reader.record(OperatorRecord, document)
+    if record is not None:
+        reader.add(check_record(record))
+    return record
+
+
+def _check(path: str, toml: TomlFile) -> CheckedFile:
+    reader = toml.reader
+    record = read_operator(reader, toml.document) if toml.document is not None else None
+    document = document_of(record) if record is not None else {}
+    reader.faults.sort(key=lambda fault: (fault.line, fault.key, fault.code))
+    return CheckedFile(path, record, document, tuple(reader.faults), reader)
--- /dev/null
+++ b/runloft/config/operator_records.py
@@ -0,0 +1,117 @@
+"""The records of an operator's file: one sidecar's listeners, limits and settings."""
+
+import re
+
+import attrs
+
+from runloft.config import kinds
+from runloft.config.kinds import Address, HexNumber, Number, Text, count, milliseconds, size
+from runloft.config.records import Named, Record, Table, setting
+from runloft.config.settings_records import POSITIVE, SettingsRecord
+
+STORE_URL = Text(pattern=re.compile(r"redis://[^\s/]+:\d{1,5}(/\d+)?"), form="redis://host:port/0")
+FENCED_MODES = Text(pattern=re.compile("unreserved|hold"), form='"unreserved" or "hold"')
+
+
+@attrs.frozen
+class MachineLimitsRecord(Record):
+    """What the program may take of its machine."""
+
+    sockets: int = setting("sockets", count(32, 1_048_576), 1024, "descriptors that the program may hold")
+    memory_mb: float = setting("memory_mb", Number("MB", 1.0, 1 << 20), 192.0, "memory it may take")
+    cores: float = setting("cores", POSITIVE, 1.0, "cores it may use", used=False)
+    clients: int = setting(
+        "clients", count(0, 1_048_576), 0, "expected at once at a front; 0: not told", False
+    )
+    idle_ms: float = setting(
+        "rest_ms", milliseconds(), 0.0, "between a client's requests; 0: not told", False
+    )
+
+
+@attrs.frozen
+class VolumeRecord(Record):
+    """A volume of the object API."""
+
+    id: str = setting("id", HexNumber(), description="the volume as the platform counts it")
+    plan: str = setting("plan", kinds.name(), description="its plan, by name")
+    hosts: float = setting(
+        "hosts", Number(minimum=1.0, maximum=10_000.0), 1.0, "sidecars that it works through"
+    )
+
+
+@attrs.frozen
+class OperationsRecord(Record):
+    """The class of each operation of the object API, by name."""
+
+    get: str = setting("get", kinds.name(), description="its class")
+    head: str = setting("head", kinds.name(), description="its class")
+    put: str = setting("put", kinds.name(), description="its class")
+    delete: str = setting("delete", kinds.name(), description="its class")
+    create: str = setting("create", kinds.name(), description="its class")
+    part: str = setting("part", kinds.name(), description="its class")
+    complete: str = setting("complete", kinds.name(), description="its class")
+    abort: str = setting("abort", kinds.name(), description="its class")
+    parts: str = setting("parts", kinds.name(), description="its class")
+
+
+@attrs.frozen
+class ObjectsRecord(Record):
+    """The object API; without this table it is off."""
+
+    listen: str = setting("listen", Address(listens=True), description="where HTTP clients connect")
+    store: str = setting("store", STORE_URL, description="the shared store")
+    unit_bytes: int = setting("unit_bytes", size(1, 1 << 30), 65536, "that count one unit")
+    max_body: int = setting("max_body", size(1, 16 << 20), 8 << 20, "of a body; an upload's part is one body")
+    server_port: int = setting("server_port", count(0, 65535), 0, "of object servers that name no address")
+    classes: OperationsRecord = setting(
+        "classes", Table(OperationsRecord), description="operations to classes"
+    )
+    volumes: dict[str, VolumeRecord] = setting("volumes", Named(VolumeRecord, kinds.name(), 1))
+
+
+@attrs.frozen
+class AgreementRecord(Record):
+    """One configuration in force over all sidecars; without this table each goes by its own file."""
+
+    store: str = setting("store", STORE_URL, description="the shared store")
+    directory: str = setting(
+        "directory", Text(allow_empty=False), description="for the copy of what is in force"
+    )
+    prefix: str = setting("prefix", kinds.name(), "runloft", "of every key in the store")
+    lease_ms: float = setting("lease_ms", milliseconds(200.0, 600_000.0), 3000.0, "silent so long: cut off")
+    fence_ms: float | None = setting(
+        "fence_ms", milliseconds(400.0, 3_600_000.0), None, "silent so long: reserves nothing; 1.5 leases"
+    )
+    cut_off: str = setting("cut_off", FENCED_MODES, "unreserved", "then: or hold, and serve nothing")
+
+
+@attrs.frozen
+class AccountsRecord(Record):
+    """Latency accounts by volume; without this table none are kept."""
+
+    volumes: int = setting("volumes", count(1, 100_000), 10_000, "that have an account of their own")
+
+
+@attrs.frozen
+class AdminRecord(Record):
+    """Metrics and status over HTTP; without this table there is no such listener."""
+
+    listen: str = setting("listen", Address(listens=True), description="where metrics are read")
+
+
+@attrs.frozen
+class OperatorRecord(Record):
+    """The operator's file of one sidecar."""
+
+    name: str = setting("name", kinds.name(), description="the sidecar's name, its own in the fleet")
+    listen: str = setting("listen", Address(listens=True), description="where RESP2 clients connect")
+    discovery: str = setting("discovery", Address(any_port=False), description="the agent with the node list")
+    seed: str = setting("seed", HexNumber(), "0", "of random numbers")
+    limits: MachineLimitsRecord = setting(
+        "limits", Table(MachineLimitsRecord), MachineLimitsRecord(), "of the machine"
+    )
+    settings: SettingsRecord = setting("settings", Table(SettingsRecord), description="of module and core")
+    objects: ObjectsRecord | None = setting("objects", Table(ObjectsRecord), None, "the object API")
+    agreement: AgreementRecord | None = setting("agreement", Table(AgreementRecord), None, "with others")
+    accounts: AccountsRecord | None = setting("accounts", Table(AccountsRecord), None, "latency accounts")
+    admin: AdminRecord | None = setting("admin", Table(AdminRecord), None, "metrics and status")
--- /dev/null
+++ b/runloft/config/reader.py
@@ -0,0 +1,148 @@
+"""Reading of records out of one file's values, and the gathering of its faults.
+
+A field at fault doesn't hide the others: every constraint whose fields could be read is checked.
+"""
+
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+from difflib import get_close_matches
+from functools import cached_property
+from typing import Any, TypeVar
+
+from runloft.config.faults import SIMILARITY, Fault, Path, Severity, Violation, nearest_word
+from runloft.config.kinds import InvalidValueError, Kind, quote_value
+from runloft.config.positions import Positions
+from runloft.config.records import REQUIRED, Named, Record, Rows, Setting, Table, settings_of
+
+RecordType = TypeVar("RecordType", bound=Record)
+
+
+class Reader:
+    """Reads records out of one file's values and gathers every fault."""
+
+    def __init__(self, file: str, text: str = "") -> None:
+        self.file = file
+        self.text = text
+        self.faults: list[Fault] = []
+
+    @cached_property
+    def positions(self) -> Positions:
+        """The lines of the keys; read at the first fault."""
+        return Positions(self.text)
+
+    def line(self, path: Sequence[str]) -> int:
+        """Return the line of a key; 0 where the file's text is not known."""
+        return self.positions.line(path) if self.text else 0
+
+    def place(self, path: Sequence[str]) -> str:
+        """Return a place of this file as reasons name it."""
+        return f"{self.file}:{self.positions.line(path)}"
+
+    def fault(
+        self,
+        path: Sequence[str],
+        code: str,
+        reason: str,
+        remedy: str = "",
+        severity: Severity = Severity.FAULT,
+    ) -> None:
+        """Add a fault at a key; the empty path is the file itself."""
+        key = ".".join(path) or "(file)"
+        self.faults.append(Fault(self.file, self.line(path), key, code, reason, remedy, severity))
+
+    def add(self, violations: Iterable[Violation]) -> None:
+        """Add violations as faults of this file."""
+        for violation in violations:
+            self.fault(violation.path, violation.code, violation.reason, violation.remedy, violation.severity)
+
+    def record(self, record: type[RecordType], raw: Any, path: Path = ()) -> RecordType | None:
+        """Return a record read from a table; None if the value is no table.
+
+        A field that could not be read is None in it.
+        """
+        if not isinstance(raw, Mapping):
+            self.fault(path, "wrong-type", f"{quote_value(raw)} is not a table", "a table")
+            return None
+        declared = settings_of(record)
+        keys = [setting.key for setting in declared.values()]
+        unknown = [key for key in raw if key not in keys]
+        for key in unknown:
+            reason = f"{quote_value(key)} is no key here"
+            self.fault((*path, key), "unknown-key", reason, nearest_word(key, keys))
+        misspelled = [key.casefold() for key in unknown]
+        values: dict[str, Any] = {}
+        bad: set[str] = set()
+        for field, setting in declared.items():
+            if setting.key in raw:
+                before = len(self.faults)
+                values[field] = self._value(setting.kind, raw[setting.key], (*path, setting.key))
+                if len(self.faults) > before:
+                    bad.add(field)
+            elif self._is_absent(setting, misspelled, path):
+                values[field] = None
+                bad.add(field)
+        made = record(**values)
+        self._check_constraints(made, bad, path)
+        return made
+
+    def _is_absent(self, setting: Setting, misspelled: Sequence[str], path: Path) -> bool:
+        """Return whether a key that is not given leaves its field without a value."""
+        if misspelled and get_close_matches(setting.key.casefold(), misspelled, 1, SIMILARITY):
+            return True  # a mistyped key is one fault, not two
+        if setting.default is not REQUIRED:
+            return False
+        self.fault((*path, setting.key), "missing", "it is not given", setting.kind.expected)
+        return True
+
+    def _check_constraints(self, record: Record, bad: set[str], path: Path) -> None:
+        declared = settings_of(type(record))
+        for constraint in record.CONSTRAINTS:
+            values = [getattr(record, field) for field in constraint.fields]
+            if not bad.isdisjoint(constraint.fields) or None in values or constraint.holds(*values):
+                continue
+            words = {field: getattr(record, field) for field in declared}
+            reason = constraint.reason.format(**words)
+            remedy = constraint.remedy.format(**words)
+            key = declared[constraint.reported_field].key
+            self.fault((*path, key), constraint.code, reason, remedy, constraint.severity)
+
+    def _value(self, kind: Kind, raw: Any, path: Path) -> Any:
+        match kind:
+            case Table():
+                return self.record(kind.record, raw, path)
+            case Rows():
+                return self._rows(kind, raw, path)
+            case Named():
+                return self._named(kind, raw, path)
+        try:
+            return kind.parse(raw)
+        except InvalidValueError as error:
+            self.fault((*path, *error.subpath), error.code, error.reason, error.remedy)
+            return None
+
+    def _rows(self, kind: Rows, raw: Any, path: Path) -> list[Record] | None:
+        if not isinstance(raw, list):
+            reason = f"{quote_value(raw)} is not a list of tables"
+            self.fault(path, "wrong-type", reason, kind.expected)
+            return None
+        if len(raw) < kind.min_length:
+            self.fault(path, "too-few", f"{len(raw)} are too few", kind.expected)
+        rows = [self.record(kind.record, row, (*path, str(index))) for index, row in enumerate(raw)]
+        return [row for row in rows if row is not None]
+
+    def _named(self, kind: Named, raw: Any, path: Path) -> dict[str, Record] | None:
+        if not isinstance(raw, Mapping):
+            self.fault(path, "wrong-type", f"{quote_value(raw)} is not a table", kind.expected)
+            return None
+        if len(raw) < kind.min_length:
+            self.fault(path, "too-few", f"{len(raw)} are too few", kind.expected)
+        return dict(self._named_records(kind, raw, path))
+
+    def _named_records(self, kind: Named, raw: Mapping[str, Any], path: Path) -> Iterator[tuple[str, Record]]:
+        for name, table in raw.items():
+            try:
+                kind.names.parse(name)
+            except InvalidValueError as error:
+                self.fault((*path, name), error.code, error.reason, error.remedy)
+            record = self.record(kind.record, table, (*path, name))
+            if record is not None:
+                yield name, record
--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -4,14 +4,11 @@
 message's path=value form and both sides share one translation.
 """
 
-import errno
-import json
 import math
-from dataclasses import dataclass, field, replace
-from pathlib import Path
+from dataclasses import dataclass, field
 from typing import Any
 
-from runloft.config.faults import ConfigError, serious
+from runloft.config.faults import ConfigError
 from runloft.core.model import Bounds, SuspendedVolumes
 from runloft.decisions import contract
 
@@ -54,16 +51,6 @@
     server_port: int = 0  # of object servers whose entry in the list names no address for it
 
 
-# Errors of reading that say nothing of the file: a later try may succeed.
-MOMENTARY_ERRORS = frozenset(
-    (errno.EAGAIN, errno.EINTR, errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ESTALE)
-)
-
-
-class UnreadableConfigError(ConfigError):
-    """A file that could not be read just now, which says nothing of what is in it."""
-
-
 FENCE_LEASES = 1.5  # a fence, unless it is set
 FENCE_DRIFT_DIVISOR = 16  # two steady clocks may drift apart by this part of a fence in its time
 
@@ -146,37 +133,6 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def read_file(path: str) -> bytes:
-    """Read a file whole."""
-    return Path(path).read_bytes()
-
-
-def load_config(path: str) -> Config:
-    """Read and check the platform's JSON or an operator's TOML, which may hold no unknown keys."""
-    try:
-        data = read_file(path)
-    except OSError as error:
-        if error.errno in MOMENTARY_ERRORS:
-            raise UnreadableConfigError([f"{path}: {error}"]) from error
-        data = None
-    if path.endswith(".toml"):
-        # Loaded here: the platform's JSON needs neither the records' memory nor their start-up time.
-        from runloft.config.operator import check_file, check_text
-
-        checked = check_file(path) if data is None else check_text(path, data)
-        if faults := serious(checked.faults):
-            raise ConfigError(faults)
-        return replace(config_from_json(checked.raw), raw=checked.raw)
-    try:
-        raw = json.loads((read_file(path) if data is None else data).decode())
-    except (OSError, ValueError) as error:
-        raise ConfigError([f"{path}: {error}"]) from error
-    try:
-        return config_from_json(raw)
-    except ConfigError as error:
-        raise ConfigError([f"{path}: {fault}" for fault in error.faults]) from error
-
-
 def config_from_json(raw: Any) -> Config:
     """Check and translate a configuration; every fault is named by its key."""
     if not isinstance(raw, dict):
--- a/runloft/config/writing.py
+++ b/runloft/config/template.py
@@ -1,8 +1,9 @@
-"""The operator's file that ``config write`` makes: a whole, valid one to go on from."""
+"""The template from which ``config write`` makes an operator's file: complete, valid, to be edited."""
 
 import re
 
-NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?")
+APPLICATION_NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?")
+VOLUME_ID_BYTES = 8
 
 TEMPLATE = """\
 # runloft as the sidecar of {name}.  Check it with: python -m runloft config check FILE
@@ -116,9 +117,9 @@
 """
 
 
-def operator_file(application: str) -> str:
-    """Give the file for an application; ValueError where its name can't name a volume."""
-    if not NAME.fullmatch(application):
+def operator_template(application: str) -> str:
+    """Return the file for an application; raise ValueError if its name can't name a volume."""
+    if not APPLICATION_NAME.fullmatch(application):
         raise ValueError("an application's name holds lower-case letters, digits and inner hyphens")
-    digits = "".join(f"{byte:02x}" for byte in application.encode()[-8:])
-    return TEMPLATE.format(name=application, volume=digits.rjust(16, "0"))
+    last_bytes = application.encode()[-VOLUME_ID_BYTES:]
+    return TEMPLATE.format(name=application, volume=last_bytes.hex().rjust(2 * VOLUME_ID_BYTES, "0"))
--- /dev/null
+++ b/runloft/config/write_command.py
@@ -0,0 +1,69 @@
+"""The action ``runloft config write``: a template for one application, or a fleet's files."""
+
+import argparse
+import sys
+from pathlib import Path
+
+from runloft.config.faults import blocking_faults
+from runloft.config.fleet_check import check_fleet_file
+from runloft.config.generated_file import GeneratedFile, HandEditedError, generate_files, write_generated
+from runloft.config.output import print_error, print_faults, usage_error
+from runloft.config.template import operator_template
+
+
+def run(options: argparse.Namespace) -> int:
+    """Write files; return the exit status."""
+    return _write_from_fleet(options) if options.fleet else _write_template(options)
+
+
+def _write_template(options: argparse.Namespace) -> int:
+    if options.all or options.output_dir or not options.application:
+        return usage_error("config write wants --application NAME, or --fleet FLEET")
+    try:
+        text = operator_template(options.application)
+        if options.output:
+            mode = "w" if options.force else "x"  # an existing file stays, unless forced
+            with open(options.output, mode, encoding="utf-8") as file:
+                file.write(text)
+        else:
+            sys.stdout.write(text)
+    except (OSError, ValueError) as error:
+        print_error(error)
+        return 1
+    return 0
+
+
+def _write_from_fleet(options: argparse.Namespace) -> int:
+    if options.all == bool(options.application) or options.all != bool(options.output_dir):
+        return usage_error("--fleet goes with --application NAME, or with --all and --output-dir DIR")
+    checked = check_fleet_file(options.fleet, options.nodes)
+    print_faults(checked.faults)
+    if checked.fleet is None or blocking_faults(checked.faults, options.strict):
+        return 1
+    applications = [application.name for application in checked.fleet.record.applications]
+    if options.application and options.application not in applications:
+        return usage_error(f'the fleet has no application "{options.application}"')
+    names = None if options.all else [options.application]
+    status = 0
+    for file in generate_files(checked.fleet, names):
+        if options.all or options.output:
+            status = max(status, _write_file(options, file))
+        else:
+            sys.stdout.write(file.text)
+    return status
+
+
+def _write_file(options: argparse.Namespace, file: GeneratedFile) -> int:
+    """Write one application's file; return the exit status."""
+    path = Path(options.output) if options.output else Path(options.output_dir) / f"{file.application}.toml"
+    try:
+        path.parent.mkdir(parents=True, exist_ok=True)
+        written = write_generated(path, file.text, options.force)
+    except HandEditedError as error:
+        print_error(f"{error}; --force writes over it")
+        return 1
+    except OSError as error:
+        print_error(f"{path}: {error.strerror}")
+        return 1
+    print(f"{path}: {'written' if written else 'unchanged'}")
+    return 0
--- a/runloft/lab/commands.py
+++ b/runloft/lab/commands.py
@@ -7,8 +7,8 @@
 
 import anyio
 
-from runloft.config.commands import table
 from runloft.config.faults import ConfigError
+from runloft.config.output import print_table
 from runloft.lab.reporting import COLUMNS, plot, rows
 from runloft.lab.running import ArmReport, play
 from runloft.lab.scenario import read_scenario
@@ -32,7 +32,9 @@
     if options.json:
         print(json.dumps([dict(zip(COLUMNS, row, strict=True)) for row in found], indent=1))
     else:
-        table(f"{scenario.record.name}, {scenario.record.seconds:g} s, seed {options.seed}", COLUMNS, found)
+        print_table(
+            f"{scenario.record.name}, {scenario.record.seconds:g} s, seed {options.seed}", COLUMNS, found
+        )
     if options.plot:
         plot(reports, scenario.classes, Path(options.plot))
     return _broken(reports)
--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -18,7 +18,7 @@
 from runloft.agreement.commands import roll_out
 from runloft.agreement.content import Content
 from runloft.agreement.store import AgreementStore
-from runloft.config.commands import table
+from runloft.config.output import print_table
 from runloft.config.settings import AgreementSettings, Config, config_from_json
 from runloft.lab.redis import RedisStandIn
 
@@ -121,5 +121,5 @@
         for one in found
     ]  # fmt: skip
     columns = ("sidecars", "lost", "in force", "s in all", "two served, ms", "of a lease")
-    table(f"Roll-outs, lease {options.lease_ms:g} ms, seed {options.seed}", columns, rows)
+    print_table(f"Roll-outs, lease {options.lease_ms:g} ms, seed {options.seed}", columns, rows)
     return 0 if all(one.done for one in found) else 1
--- a/runloft/lab/running.py
+++ b/runloft/lab/running.py
@@ -24,8 +24,9 @@
 from runloft.agreement.planning import wanted, ways
 from runloft.agreement.records import View
 from runloft.agreement.store import AgreementStore, StoreError
-from runloft.config.generating import Generator
-from runloft.config.records import Reader, raw_of
+from runloft.config.generator import Generator
+from runloft.config.reader import Reader
+from runloft.config.records import document_of
 from runloft.lab.discovery import LabDiscovery
 from runloft.lab.load import Load, Tally, arrivals
 from runloft.lab.node import LabNode, NodeKind
@@ -59,9 +60,9 @@
             kind = NodeKind(
                 cores=max(1, round(machine.cores)),
                 speed=machine.speed[0],
-                unit_ms=record.unit_ms,
-                cold_from=machine.cold,
-                warm_s=machine.warm_ms / 1000.0,
+                unit_ms=record.unit_work_ms,
+                cold_from=machine.cold_fraction,
+                warm_s=machine.warm_up_ms / 1000.0,
                 fall_multiple=float(safety.get("FallMultiple", 2.0)),
             )
             self.nodes[node.uid] = LabNode(node.uid, node.shard, kind)
@@ -152,7 +153,7 @@
     """Write each application's file, as the fleet has it or with the edits."""
     generator, out = Generator(scenario.fleet), {}
     for index, one in enumerate(scenario.fleet.record.applications):
-        raw = generator.values(index, Reader(scenario.fleet.file))
+        raw = generator.document(index, Reader(scenario.fleet.file))
         raw |= {"listen": "127.0.0.1:0", "discovery": world.discovery.address}
         raw.pop("admin", None)
         raw.pop("objects", None)
@@ -216,7 +217,7 @@
     for index in range(len(files)):
         own = generator.record(index)  # as the fleet has it, without the edits
         assert own is not None
-        raws.append(raw_of(own))
+        raws.append(document_of(own))
     content = wanted(scenario.fleet, raws)
     report: dict[str, Any] = {}
     try:
--- a/runloft/lab/scale/commands.py
+++ b/runloft/lab/scale/commands.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from runloft.config.commands import misused, table
+from runloft.config.output import print_table, usage_error
 from runloft.lab.scale.bounds import lacking, machine
 from runloft.lab.scale.engine import DATA_PATH, Order, Run, joined, sized
 from runloft.lab.scale.events import EVENTS
@@ -27,13 +27,13 @@
     try:
         order = order_of(options)
     except UsageError as error:
-        return misused(str(error))
+        return usage_error(str(error))
     old = None
     if options.append and options.output and Path(options.output).exists():
         try:
             old = result_from(Path(options.output).read_text())
         except ResultError as error:
-            return misused(f"--append: {options.output}: {error}")
+            return usage_error(f"--append: {options.output}: {error}")
     result = anyio.run(_run, order)
     result = joined(old, result) if old else result
     if options.output:
@@ -142,11 +142,11 @@
         for name, value in one.figures.items()
     ]
     if points:
-        table("Points", ("dimension", "size", "repeat", "figure", "value"), points)
+        print_table("Points", ("dimension", "size", "repeat", "figure", "value"), points)
     if lines:
-        table("Slopes", ("dimension", "figure", "for each", "at none", "residual", "spread"), lines)
+        print_table("Slopes", ("dimension", "figure", "for each", "at none", "residual", "spread"), lines)
     if events:
-        table("Events", ("event", "repeat", "figure", "value"), events)
+        print_table("Events", ("event", "repeat", "figure", "value"), events)
 
 
 def plot(result: Result, path: Path) -> None:
--- a/runloft/lab/scale/roles.py
+++ b/runloft/lab/scale/roles.py
@@ -9,7 +9,8 @@
 from math import ceil, exp
 
 from runloft.accounts.ledger import MOST_VOLUMES
-from runloft.config.operator import BEHIND_FENCE, CHANGE_MS, CLIENT_KB, FENCE_OVER, WITH_TOOLS_MB
+from runloft.config.agreement_checks import FENCE_WITH_DRIFT, LEASES_AFTER_FENCE, MAX_CHANGE_MS
+from runloft.config.machine_checks import BASE_MEMORY_WITH_TOOLS_MB, CLIENT_MEMORY_KB
 from runloft.config.settings import FENCE_LEASES, MEMORY_MB, AgreementSettings
 from runloft.core.model import Bounds
 from runloft.lab.scale.records import Sizes
@@ -305,8 +306,8 @@
 def settings_needed(sizes: Sizes) -> tuple[Need, ...]:
     """Say what one scheduler's settings have to be at this size, and what the fixed times do to clients."""
     rest_s = sizes.clients / sizes.statements
-    own_mb = WITH_TOOLS_MB + sizes.clients * CLIENT_KB / 1024
-    change = FENCE_LEASES * FENCE_OVER + BEHIND_FENCE  # in leases
+    own_mb = BASE_MEMORY_WITH_TOOLS_MB + sizes.clients * CLIENT_MEMORY_KB / 1024
+    change = FENCE_LEASES * FENCE_WITH_DRIFT + LEASES_AFTER_FENCE  # in leases
     idle_s, crowd_s = IDLE_NS / 1e9, CROWD_NS / 1e9
     crowd, front = CROWD_PART, "listeners/accepting.py, listeners/resp.py"
     return (
@@ -326,10 +327,11 @@
         Need("a node connection's mean rest, s", sizes.nodes / sizes.statements,
              f"nodes / statements; idle ones are closed after {IDLE_PART:g} of ConnIdle"),
         Need("limits.memory_mb: the program and its clients", own_mb,
-             f"config/operator.py: {CLIENT_KB:g} KiB a client, {WITH_TOOLS_MB:g} MB without any",
+             f"config/machine_checks.py: {CLIENT_MEMORY_KB:g} KiB a client, "
+             f"{BASE_MEMORY_WITH_TOOLS_MB:g} MB without any",
              budget="memory"),
-        Need("agreement.lease_ms: at most, with the fence that follows", CHANGE_MS / change,
-             f"config/operator.py: {CHANGE_MS / 1e3:g} s for a change while one is silent"),
+        Need("agreement.lease_ms: at most, with the fence that follows", MAX_CHANGE_MS / change,
+             f"config/agreement_checks.py: {MAX_CHANGE_MS / 1e3:g} s for a change while one is silent"),
         Need(f"a change with a lease of {LEASE_S:g} s, one silent, s", LEASE_S * change,
              "its fence and a sixteenth, a lease to the moment, a look"),
     )  # fmt: skip
--- a/runloft/lab/soak/commands.py
+++ b/runloft/lab/soak/commands.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from runloft.config.commands import misused
+from runloft.config.output import usage_error
 from runloft.lab.soak.oracles import Violation, check
 from runloft.lab.soak.records import Ending
 from runloft.lab.soak.running import SoakRun
@@ -67,7 +67,7 @@
     try:
         schedules = schedules_of(options)
     except ScheduleError as error:
-        return misused(str(error))
+        return usage_error(str(error))
     results = []
     try:
         for schedule in schedules:
--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -9,7 +9,8 @@
 import structlog
 
 from runloft.config.faults import ConfigError
-from runloft.config.settings import Config, UnreadableConfigError, load_config
+from runloft.config.loading import UnreadableConfigError, load_config
+from runloft.config.settings import Config
 from runloft.core.model import Event, Reconfigured
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.decisions.contract import ListKind
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -52,7 +52,7 @@
     PutStage,
     RollOut,
 )
-from runloft.config.operator import check_file
+from runloft.config.operator_file import check_file
 
 LEASE, FENCE, TICK, BEARS = 400, 600, 20, 10
 TEN_S = 10 * LEASE // 3  # at a lease of 3 s
@@ -692,7 +692,7 @@
 
 
 def test_a_file_goes_by_what_is_in_force_and_says_where_it_differs():
-    raw = check_file(str(SIDECAR)).raw
+    raw = check_file(str(SIDECAR)).document
     mine = content_of(raw)
     assert effective(raw, mine) == Effective(raw) and refusals(raw, mine) == []
     other = content_from(json.loads(json.dumps(mine.as_json())))
--- a/tests/config/test_config_tool.py
+++ b/tests/config/test_config_tool.py
@@ -1,4 +1,4 @@
-"""The tool ``config``: files written, compared, explained, and what a change does."""
+"""The tool ``config``: files written, compare_files, explained, and what a change does."""
 
 import json
 import os
@@ -9,8 +9,8 @@
 import pytest
 
 from runloft.cli import main
-from runloft.config.comparing import compared
-from runloft.config.operator import check_file
+from runloft.config.comparison import compare_files
+from runloft.config.operator_file import check_file
 
 ROOT = Path(__file__).parents[2]
 FLEET = ROOT / "tests" / "config" / "files" / "fleet.toml"
@@ -125,7 +125,7 @@
     for path in paths:
         edit(path, "GroupSize = 2", "GroupSize = 3")
     edit(third, "Parts = 2.0", "Parts = 3.0")
-    (fault,) = compared([check_file(str(path)) for path in paths])
+    (fault,) = compare_files([check_file(str(path)) for path in paths])
     assert (fault.file, fault.code, fault.line) == (str(third), "plan-disagrees", line(third, "Parts = 3.0"))
     assert (
         f"2 at {written / 'ingest.toml'}:" in fault.reason.replace("2.0 at", "2 at")
@@ -142,7 +142,7 @@
         .replace("SlotNo = 1", "SlotNo = 0")
     )
     other.write_text(text.replace("volumes.logs]", "volumes.ledgers]"))
-    got = compared([check_file(str(written / name)) for name in ("reports.toml", "second.toml")])
+    got = compare_files([check_file(str(written / name)) for name in ("reports.toml", "second.toml")])
     assert "id-of-two-volumes" in [fault.code for fault in got]
 
 
@@ -229,7 +229,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config("127.0.0.1:1", [])))
     code = (
-        "import sys; from runloft.cli import parser; from runloft.config.settings import load_config;"
+        "import sys; from runloft.cli import parser; from runloft.config.loading import load_config;"
         f"load_config({str(path)!r}); parser(); print(*sys.modules)"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT)
--- a/tests/config/test_configs.py
+++ b/tests/config/test_configs.py
@@ -1,19 +1,23 @@
 """Broken and good configurations: each fault by code, key and line, and no other."""
 
+import ast
 import json
 import re
 from pathlib import Path
 
 import pytest
 
-from runloft.config import operator
-from runloft.config.commands import checked_fleet
-from runloft.config.comparing import compared
-from runloft.config.explaining import known_keys
+from runloft.config import machine_checks
+from runloft.config.comparison import compare_files
+from runloft.config.explanation import known_keys
 from runloft.config.faults import Severity
-from runloft.config.generating import files
-from runloft.config.operator import MOST_BYTES, check_file, check_text
-from runloft.config.settings import config_from_json, load_config
+from runloft.config.fleet_check import check_fleet_file
+from runloft.config.generated_file import generate_files
+from runloft.config.loading import load_config
+from runloft.config.operator_file import check_file, check_text
+from runloft.config.records import Named, Rows, Table
+from runloft.config.settings import config_from_json
+from runloft.config.toml_file import MAX_FILE_BYTES
 from runloft.lab.scale.records import result_from
 from runloft.listeners import objects as objects_front
 from runloft.listeners import resp
@@ -30,7 +34,7 @@
 
 
 def told(base, path):
-    faults = checked_fleet(str(path), None)[1] if base == "fleet" else check_file(str(path)).faults
+    faults = check_fleet_file(str(path), None).faults if base == "fleet" else check_file(str(path)).faults
     assert all(fault.reason and fault.file == str(path) for fault in faults)
     marks = {Severity.FAULT: "", Severity.WARNING: "~"}
     return sorted(f"{f.line} {marks[f.severity]}{f.code} {f.key}" for f in faults)
@@ -78,7 +82,7 @@
 
 def test_a_file_that_is_not_there_or_too_large_is_a_fault(tmp_path):
     assert [f.code for f in check_file(str(tmp_path / "none.toml")).faults] == ["unreadable"]
-    (tmp_path / "large.toml").write_bytes(b"#" * (MOST_BYTES + 1))
+    (tmp_path / "large.toml").write_bytes(b"#" * (MAX_FILE_BYTES + 1))
     assert [f.code for f in check_file(str(tmp_path / "large.toml")).faults] == ["too-large"]
 
 
@@ -89,23 +93,26 @@
 
 def test_the_checks_part_descriptors_as_the_fronts_and_links_do():
     """The checks can't import what they speak of: layers lie the other way."""
-    raw = check_file(str(HERE / "sidecar.toml")).raw | {"limits": {"sockets": 1024}}
-    for objects, parts in operator.NODE_PARTS.items():
+    raw = check_file(str(HERE / "sidecar.toml")).document | {"limits": {"sockets": 1024}}
+    for objects, parts in machine_checks.NODE_SOCKET_DIVISORS.items():
         held = raw if objects else {key: value for key, value in raw.items() if key != "objects"}
         front = AcceptingFront(None, None, None, None, config_from_json(held))
         fronts = 2 if objects else 1
         assert (front.crowd, front.most_clients) == (
-            int(1024 * operator.CROWD_PART) // fronts,
-            int(1024 * operator.CLIENT_PART) // fronts,
+            int(1024 * machine_checks.EVICTION_FRACTION) // fronts,
+            int(1024 * machine_checks.MAX_CLIENT_FRACTION) // fronts,
         )
         for part in parts:
             link = links.NodeLink(None, None, None, None, config_from_json(held), kind=None, permit=None,
                                   begin=None, part=part)  # fmt: skip
-            assert link.most == (1024 - operator.OTHERS) // part
+            assert link.most == (1024 - machine_checks.RESERVED_SOCKETS) // part
     runner = (HERE.parents[2] / "runloft" / "service" / "runner.py").read_text()
     assert "part=4 if config.objects else 2," in runner and "part=8," in runner
-    assert (operator.IDLE_MS, operator.CROWD_MS) == (resp.IDLE_NS / 1e6, resp.CROWD_NS / 1e6)
-    assert operator.IDLE_MS == objects_front.IDLE_S * 1e3
+    assert (machine_checks.IDLE_TIMEOUT_MS, machine_checks.CROWDED_IDLE_TIMEOUT_MS) == (
+        resp.IDLE_NS / 1e6,
+        resp.CROWD_NS / 1e6,
+    )
+    assert machine_checks.IDLE_TIMEOUT_MS == objects_front.IDLE_S * 1e3
 
 
 def test_the_memory_that_is_checked_is_no_less_than_what_was_measured():
@@ -116,11 +123,11 @@
         (e.figures["scheduler.resident_mb"] - e.figures["scheduler.before.resident_mb"]) / e.sizes.clients
         for e in rests
     ]
-    assert operator.CLIENT_KB * 0.9 < max(used) * 1024 <= operator.CLIENT_KB
+    assert machine_checks.CLIENT_MEMORY_KB * 0.9 < max(used) * 1024 <= machine_checks.CLIENT_MEMORY_KB
     starts = [one for one in events if one.name.startswith("starts:")]
     for most, some in (
-        (operator.OWN_MB, ("starts:platform", "starts:operator")),
-        (operator.WITH_TOOLS_MB, [one.name for one in starts]),
+        (machine_checks.BASE_MEMORY_MB, ("starts:platform", "starts:operator")),
+        (machine_checks.BASE_MEMORY_WITH_TOOLS_MB, [one.name for one in starts]),
     ):
         own = [one.figures["scheduler.resident_mb"] for one in starts if one.name in some]
         assert most * 0.9 < max(own) <= most
@@ -143,23 +150,25 @@
     own = re.sub(r"\[objects.*?(?=\[admin)|^lease_ms.*$", "", own, flags=re.S | re.M)
     own = own.replace("GroupSize = 3", "GroupSize = 2") + AGREEMENT + 'prefix = "runloft"\nlease_ms = 3000\n'
     other = own.replace("SlotNo = 1", "SlotNo = 0").replace('"export-history"', '"reports"')
-    got = compared([check_text("a.toml", own.encode()), check_text("b.toml", other.encode())])
+    got = compare_files([check_text("a.toml", own.encode()), check_text("b.toml", other.encode())])
     assert got == [] and change[0] in other
     other = other.replace(*change)
-    got = compared([check_text("a.toml", own.encode()), check_text("b.toml", other.encode())])
+    got = compare_files([check_text("a.toml", own.encode()), check_text("b.toml", other.encode())])
     assert [f"{f.key} {'~' * (f.severity is Severity.WARNING)}{f.code}" for f in got] == wants
     assert all((f.file, bool(f.line)) == ("b.toml", True) for f in got)
 
 
 def test_a_file_with_fewer_descriptors_than_the_fleet_has_nodes_is_warned_of(tmp_path):
-    fleet, _ = checked_fleet(str(HERE / "fleet.toml"), None)
-    ((_, text),) = files(fleet, ["ingest"])
-    few = check_text("few.toml", (text + "\n").replace("[limits]\n", "[limits]\nsockets = 36\n").encode())
+    fleet = check_fleet_file(str(HERE / "fleet.toml"), None).fleet
+    (generated,) = generate_files(fleet, ["ingest"])
+    few = check_text(
+        "few.toml", (generated.text + "\n").replace("[limits]\n", "[limits]\nsockets = 36\n").encode()
+    )
     assert few.faults == ()
-    (fault,) = compared([few], fleet)
+    (fault,) = compare_files([few], fleet)
     assert (fault.code, fault.key, fault.severity) == (
         "sockets-below-nodes", "limits.sockets", Severity.WARNING)  # fmt: skip
-    assert fault.right == "at least 38"
+    assert fault.remedy == "at least 38"
 
 
 def nodes(tmp_path, *changes, **top):
@@ -190,20 +199,38 @@
     ],
 )  # fmt: skip
 def test_nodes_in_discoverys_form_stand_for_the_fleets_own(changes, top, wants, tmp_path):
-    _, faults = checked_fleet(str(HERE / "fleet.toml"), nodes(tmp_path, *changes, **top))
+    faults = check_fleet_file(str(HERE / "fleet.toml"), nodes(tmp_path, *changes, **top)).faults
     assert sorted(f"{f.code} {f.key}" for f in faults) == wants
 
 
+REPORTING_CALLS = {"Constraint", "InvalidValueError", "Fault", "Violation", "fault", "_report"}
+
+
+def codes_in(tree):
+    """Find the codes that a module's calls report: their only arguments of hyphenated words."""
+    for call in ast.walk(tree):
+        if isinstance(call, ast.Call) and getattr(call.func, "id", getattr(call.func, "attr", "")) in (
+            REPORTING_CALLS
+        ):
+            for argument in call.args:
+                value = getattr(argument, "value", None)
+                if isinstance(value, str) and re.fullmatch(r"[a-z0-9]+(-[a-z0-9]+)+", value):
+                    yield value
+
+
 def test_every_code_is_explained_to_operators():
     page = (HERE.parents[2] / "docs" / "operators" / "configuration.md").read_text()
-    source = "".join(path.read_text() for path in (HERE.parents[2] / "runloft" / "config").glob("*.py"))
     codes = set(re.findall(r"^! \d+ ~?(\S+)", (HERE / "broken.txt").read_text(), re.M))
-    codes |= set(re.findall(r'(?:Check\(\n\s*|WrongValueError\(|tell\(\s*|fault\(\s*)"([a-z-]+)"', source))
+    for path in (HERE.parents[2] / "runloft" / "config").glob("*.py"):
+        codes |= set(codes_in(ast.parse(path.read_text())))
     assert len(codes) > 50
     assert [code for code in sorted(codes) if f"`{code}`" not in page] == []
 
 
 def test_every_key_has_an_account_of_itself_or_a_table():
-    known = known_keys().items()
-    bare = [path for path, (_, one, _) in known if not one.account and not hasattr(one.kind, "of")]
+    bare = [
+        key.path
+        for key in known_keys().values()
+        if not key.setting.description and not isinstance(key.setting.kind, Table | Rows | Named)
+    ]
     assert bare == []
--- a/tests/config/test_honouring.py
+++ b/tests/config/test_honouring.py
@@ -9,8 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from runloft.config.fleet import parse_fleet
-from runloft.config.honouring import Demand, assign, conflicts, honourable, larger
+from runloft.config.feasibility import check_feasibility, merge_generations
+from runloft.config.fleet_file import parse_fleet
+from runloft.config.reserve_assignment import Demand, assign_reserves
+from runloft.config.reserve_conflicts import find_conflicts
 
 FLEET = (Path(__file__).parent / "files" / "fleet.toml").read_text()
 SHARDS = range(4)
@@ -41,18 +43,18 @@
 @settings(max_examples=150, deadline=None)
 def test_the_programme_finds_what_fits_and_a_smallest_conflict_where_it_does_not(world):
     wanted, bears = world
-    found = assign(wanted, bears)
-    assert (found.unborne == 0) == fits(wanted, bears)
-    for demand, pieces in zip(wanted, found.flow, strict=True):
-        assert sum(piece for _, piece in pieces) <= demand.reserve
-        assert {shard for shard, _ in pieces} <= set(demand.shards)
+    found = assign_reserves(wanted, bears)
+    assert (found.unassigned == 0) == fits(wanted, bears)
+    for demand, portions in zip(wanted, found.portions, strict=True):
+        assert sum(portion.amount for portion in portions) <= demand.reserve
+        assert {portion.shard for portion in portions} <= set(demand.shards)
     assert all(found.load[shard] <= bears[shard] for shard in found.load)
-    if found.unborne:
-        told = conflicts(wanted, bears, found)
+    if found.unassigned:
+        told = find_conflicts(wanted, bears, found)
         assert told
         for conflict in told:
             inside = [demand for demand in wanted if demand.name in conflict.volumes]
-            assert not fits(inside, bears) and conflict.reserved > conflict.borne
+            assert not fits(inside, bears) and conflict.reserved > conflict.capacity
             for one in inside:  # smallest: without any one of them it fits
                 assert fits([d for d in inside if d is not one], bears)
 
@@ -61,7 +63,10 @@
     wanted = [Demand(f"v{n}", 333_333, (0, 1, 2)) for n in range(3)]
     for extra in (-2, -1, 0, 1):
         bears = {0: 333_333, 1: 333_333, 2: 333_333 + extra}
-        got = {assign(order, bears).unborne for order in (wanted, wanted[::-1], wanted[1:] + wanted[:1])}
+        got = {
+            assign_reserves(order, bears).unassigned
+            for order in (wanted, wanted[::-1], wanted[1:] + wanted[:1])
+        }
         assert got == {max(0, -extra)}
 
 
@@ -69,9 +74,9 @@
     text = FLEET.replace("BaseRate = 20.0", "BaseRate = 60").replace("Guaranteed = 10.0", "Guaranteed = 52.0")
     text = text.replace("shards = [1, 3]", "shards = [2]").replace('plan = "standard"', 'plan = "basic"', 2)
     text = text.replace('plan = "basic"\nshards = [1, 2]', 'plan = "standard"\nshards = [1, 2]')
-    fleet, faults = parse_fleet("f.toml", text.encode())
-    assert not faults
-    told = {fault.code: fault.reason for fault in honourable(fleet)}
+    checked = parse_fleet("f.toml", text.encode())
+    assert not checked.faults
+    told = {fault.code: fault.reason for fault in check_feasibility(checked.fleet)}
     assert "52 units/s on shard 1 is 7 more" in told["reserve-on-one-shard"]
     assert re.match(r"with s-[12] lost, 7 units/s", told["reserve-node-lost"])
     assert "reserve-node-cold" not in told  # a quarter of its power bears the rest
@@ -79,24 +84,24 @@
 
 def test_a_conflict_names_volumes_shards_and_figures():
     text = FLEET.replace("shards = [1, 2]", "shards = [3]").replace("shards = [1, 3]", "shards = [3]")
-    fleet, _ = parse_fleet("f.toml", text.encode())
-    (fault,) = honourable(fleet)
+    fleet = parse_fleet("f.toml", text.encode()).fleet
+    (fault,) = check_feasibility(fleet)
     assert (fault.code, fault.key) == ("reserve-not-borne", "volumes.0")
     assert fault.reason == "ships and tracks reserve 20 units/s on shard 3, which bears 18"
-    assert fault.right.startswith("2 units/s less")
+    assert fault.remedy.startswith("2 units/s less")
 
 
 @pytest.mark.parametrize(("old", "new"), [("Guaranteed = 10.0", "Guaranteed = 6.0"), ("[1, 3]", "[1, 2]")])
 def test_while_two_generations_are_served_the_larger_of_both_has_to_fit(old, new):
-    before, _ = parse_fleet("a.toml", FLEET.encode())
-    after, _ = parse_fleet("b.toml", FLEET.replace(old, new).encode())
-    both = larger(after.volumes, before.volumes)
+    before = parse_fleet("a.toml", FLEET.encode()).fleet
+    after = parse_fleet("b.toml", FLEET.replace(old, new).encode()).fleet
+    both = merge_generations(after.volumes, before.volumes)
     assert {v.name: v.plan.reserve for v in both if v.plan.reserve} == {"tracks": 10.0, "ships": 10.0}
     # A volume that moves is served by some on its old shards and by others on its new ones.
     assert next(v for v in both if v.name == "ships").shards == ((1,) if "3" in old else (1, 3))
 
 
 def test_power_is_that_of_the_kinds_least_speed():
-    fleet, _ = parse_fleet("f.toml", FLEET.encode())
-    assert [fleet.power(node) for node in fleet.nodes] == [50, 50, 20]
-    assert [fleet.most_power(node) for node in fleet.nodes] == [75, 75, Fraction(25)]
+    fleet = parse_fleet("f.toml", FLEET.encode()).fleet
+    assert [fleet.min_rate(node) for node in fleet.nodes] == [50, 50, 20]
+    assert [fleet.max_rate(node) for node in fleet.nodes] == [75, 75, Fraction(25)]
--- a/tests/config/test_unchanged_output.py
+++ b/tests/config/test_unchanged_output.py
@@ -14,7 +14,8 @@
 import pytest
 
 from runloft.cli import main
-from runloft.config.settings import flatten, load_config, settings_from_wire
+from runloft.config.loading import load_config
+from runloft.config.settings import flatten, settings_from_wire
 from tests.support.config_cases import FILES, read_cases
 
 EXPECTED = FILES / "expected"
--- a/tests/service/test_cli.py
+++ b/tests/service/test_cli.py
@@ -10,7 +10,8 @@
 
 from runloft.cli import main
 from runloft.config.faults import ConfigError
-from runloft.config.settings import config_from_json, flatten, load_config, settings_from_wire
+from runloft.config.loading import load_config
+from runloft.config.settings import config_from_json, flatten, settings_from_wire
 from runloft.net.resp2 import command
 from tests.support.standins import Discovery, Program, RespNode, config, entry
 
--- a/tests/service/test_momentary_failures.py
+++ b/tests/service/test_momentary_failures.py
@@ -8,9 +8,10 @@
 import pytest
 
 from runloft import cli
-from runloft.config import settings
+from runloft.config import loading
 from runloft.config.faults import ConfigError
-from runloft.config.settings import UnreadableConfigError, config_from_json, load_config
+from runloft.config.loading import UnreadableConfigError, load_config
+from runloft.config.settings import config_from_json
 from runloft.core.model import Reconfigured
 from runloft.core.timers import TimerQueue
 from runloft.net import sockets
@@ -29,7 +30,7 @@
 
 def failing(monkeypatch, times, number=errno.EIO):
     """Let reading a configuration fail so often."""
-    left, real = [times], settings.read_file
+    left, real = [times], loading.read_file
 
     def read(path):
         if left[0]:
@@ -37,7 +38,7 @@
             raise OSError(number, "for a moment")
         return real(path)
 
-    monkeypatch.setattr(settings, "read_file", read)
+    monkeypatch.setattr(loading, "read_file", read)
 
 
 def written(tmp_path, **more):
