--- a/runloft/agreement/client.py
+++ b/runloft/agreement/client.py
@@ -33,7 +33,8 @@
 )
 from runloft.agreement.store import AgreementStore, StoreError
 from runloft.config.faults import ConfigError
-from runloft.config.settings import AgreementSettings, Config, config_from_json
+from runloft.config.platform_config import config_from_json
+from runloft.config.settings import AgreementSettings, Config
 from runloft.core.model import SuspendedVolumes
 
 log = structlog.get_logger()
@@ -75,14 +76,14 @@
         self._told: tuple[Difference, ...] = ()
         self.content: Content | None = None
         self.take: Callable[[Config], None] = lambda config: None
-        raw = own.raw or {}
+        raw = own.document or {}
         self.member = Member(
             own.name, uuid.uuid4().hex[:12], content_of(raw), settings.lease_ns, settings.fence_ns,
             self._refuses, clock(),
         )  # fmt: skip
 
     def _refuses(self, content: Content) -> list[str]:
-        return refusals(self.own.raw or {}, content)
+        return refusals(self.own.document or {}, content)
 
     def start(self) -> Config:
         """Begin with the copy that this machine has kept; give what is gone by: without reserves, as yet."""
@@ -104,10 +105,10 @@
 
     def agreed(self, own: Config) -> Config:
         """Put what is in force in place of what this sidecar's file says."""
-        if own.raw is not self.own.raw:
+        if own.document is not self.own.document:
             self.own = own
-            self.member.own_changed(content_of(own.raw or {}))
-        raw = own.raw or {}
+            self.member.own_changed(content_of(own.document or {}))
+        raw = own.document or {}
         got = effective(raw, self.content) if self.content else Effective(raw)
         config = own
         if not self.standing.reserves:
@@ -119,7 +120,7 @@
 
     def _configured(self, own: Config, got: Effective) -> Config:
         try:
-            config = replace(config_from_json(got.raw), raw=own.raw)
+            config = replace(config_from_json(got.raw), document=own.document)
             plans, volumes = got.held_plans, got.held_volumes
         except ConfigError as error:
             # Guards the volumes: what this sidecar can't serve as agreed it doesn't serve otherwise.
@@ -130,7 +131,7 @@
         known = config.objects.volumes if config.objects else {}
         ids = {volume.id for name, volume in known.items() if name in volumes}
         numbers = {index for index, name in enumerate(config.plan_names) if name in plans}
-        return replace(config, held=SuspendedVolumes(frozenset(numbers), frozenset(ids)))
+        return replace(config, suspended_volumes=SuspendedVolumes(frozenset(numbers), frozenset(ids)))
 
     def _settled(self, got: Effective) -> None:
         differences = tuple((d.what, d.name, d.key) for d in got.differences)
--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -32,7 +32,8 @@
 from runloft.config.faults import blocking_faults
 from runloft.config.fleet_check import check_fleet_file
 from runloft.config.output import print_faults, print_table, usage_error
-from runloft.config.settings import FENCE_LEASES, AgreementSettings, agreement_of
+from runloft.config.platform_config import agreement_settings
+from runloft.config.settings import FENCE_LEASES, AgreementSettings
 
 HASTE = 10  # after a lost reply it looks so many times sooner
 ASKS = 10  # looks at the store in the time of a lease
@@ -56,7 +57,7 @@
 def _settings(options: argparse.Namespace, raws: Sequence[dict[str, Any]] = ()) -> AgreementSettings | None:
     """Find the store: as it is named here, or in operators' files."""
     if options.store:
-        return agreement_of(
+        return agreement_settings(
             {"store": options.store, "directory": "", "prefix": options.prefix, "lease_ms": options.lease_ms}
         )
     if not raws and getattr(options, "config", None):
@@ -65,7 +66,7 @@
         raws = [check_file(options.config).document]
     for raw in raws:
         if named := raw.get("agreement"):
-            return agreement_of(named)
+            return agreement_settings(named)
     return None
 
 
--- a/runloft/config/generated_checks.py
+++ b/runloft/config/generated_checks.py
@@ -10,7 +10,7 @@
 from runloft.config.operator_checks import check_record
 from runloft.config.operator_records import OperatorRecord
 from runloft.config.reader import Reader
-from runloft.config.records import Document
+from runloft.config.settings import Document
 
 
 def check_generated_files(fleet: Fleet) -> None:
--- a/runloft/config/generated_file.py
+++ b/runloft/config/generated_file.py
@@ -13,7 +13,7 @@
 from runloft.config.fleet import Fleet
 from runloft.config.generator import Generator
 from runloft.config.reader import Reader
-from runloft.config.records import Document
+from runloft.config.settings import Document
 from runloft.errors import RunloftError
 
 DIGEST_PREFIX = "# content "
--- a/runloft/config/generator.py
+++ b/runloft/config/generator.py
@@ -7,7 +7,8 @@
 from runloft.config.layers import Layer, unify
 from runloft.config.operator_records import OperatorRecord
 from runloft.config.reader import Reader
-from runloft.config.records import Document, document_of
+from runloft.config.records import document_of
+from runloft.config.settings import Document
 
 FLEET_CLASS_KEYS = ("work_ms", "share", "writes")  # of the fleet's classes alone
 
--- a/runloft/config/layers.py
+++ b/runloft/config/layers.py
@@ -7,7 +7,7 @@
 from runloft.config.faults import Path
 from runloft.config.kinds import quote_value
 from runloft.config.reader import Reader
-from runloft.config.records import Document
+from runloft.config.settings import Document
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/config/loading.py
+++ b/runloft/config/loading.py
@@ -6,7 +6,8 @@
 from pathlib import Path
 
 from runloft.config.faults import ConfigError, blocking_faults
-from runloft.config.settings import Config, config_from_json
+from runloft.config.platform_config import config_from_json
+from runloft.config.settings import Config
 
 # Errors of reading that say nothing about the file: another attempt may succeed.
 TRANSIENT_ERRORS = frozenset(
@@ -47,7 +48,7 @@
     checked = check_file(path) if data is None else check_text(path, data)
     if faults := blocking_faults(checked.faults):
         raise ConfigError(faults)
-    return replace(config_from_json(checked.document), raw=checked.document)
+    return replace(config_from_json(checked.document), document=checked.document)
 
 
 def _load_json(path: str, data: bytes | None) -> Config:
--- /dev/null
+++ b/runloft/config/object_settings.py
@@ -0,0 +1,132 @@
+"""Translation of the ``objects`` table, the settings of the object API."""
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import Any
+
+from runloft.config.settings import (
+    OPERATIONS,
+    Document,
+    ObjectSettings,
+    SocketAddress,
+    VolumeSettings,
+    parse_address,
+)
+
+STORE_SCHEME = "redis://"
+MAX_PORT = 65535
+
+
+@dataclass(frozen=True, slots=True)
+class _WholeNumber:
+    """A number's default and bounds."""
+
+    default: int
+    minimum: int
+    maximum: int
+
+
+UNIT_BYTES = _WholeNumber(65536, 1, 1 << 30)
+MAX_BODY = _WholeNumber(8 << 20, 1, 16 << 20)
+SERVER_PORT = _WholeNumber(0, 0, MAX_PORT)
+
+
+def read_objects(
+    document: Any, class_names: Sequence[str], plan_names: Sequence[str], faults: list[str]
+) -> ObjectSettings | None:
+    """Return the object API's settings; None, with a text in ``faults`` for each fault, if there are any."""
+    if not isinstance(document, dict):
+        faults.append("objects: an object is wanted")
+        return None
+    reader = _ObjectsReader(document)
+    settings = ObjectSettings(
+        listen=reader.listen(),
+        store=reader.store(),
+        unit_bytes=reader.whole_number("unit_bytes", UNIT_BYTES),
+        max_body=reader.whole_number("max_body", MAX_BODY),
+        server_port=reader.whole_number("server_port", SERVER_PORT),
+        classes=reader.classes(class_names),
+        volumes=reader.volumes(plan_names),
+    )
+    faults += reader.faults
+    return None if reader.faults else settings
+
+
+class _ObjectsReader:
+    """Reads the table's keys; a key at fault is reported, and has a value that is not used."""
+
+    def __init__(self, document: Document) -> None:
+        self._document = document
+        self.faults: list[str] = []
+
+    def listen(self) -> SocketAddress:
+        """Read where HTTP clients connect."""
+        if "listen" not in self._document:
+            self.faults.append("objects.listen: missing")
+            return SocketAddress("", 0)
+        try:
+            return parse_address(str(self._document["listen"]))
+        except ValueError as error:
+            self.faults.append(f"objects.listen: {error}")
+            return SocketAddress("", 0)
+
+    def store(self) -> str:
+        """Read the shared store's address."""
+        store = self._document.get("store")
+        if not isinstance(store, str) or not store.startswith(STORE_SCHEME):
+            self.faults.append("objects.store: an address of the form redis://host:port/0 is wanted")
+        return str(store)
+
+    def whole_number(self, key: str, bounds: _WholeNumber) -> int:
+        """Read a whole number within bounds."""
+        value = self._document.get(key, bounds.default)
+        is_integer = isinstance(value, int) and not isinstance(value, bool)
+        if is_integer and bounds.minimum <= value <= bounds.maximum:
+            return int(value)
+        self.faults.append(
+            f"objects.{key}: a whole number from {bounds.minimum} to {bounds.maximum} is wanted"
+        )
+        return bounds.default
+
+    def classes(self, names: Sequence[str]) -> dict[str, int]:
+        """Read the class of each operation, by its number."""
+        table = self._document.get("classes")
+        table = table if isinstance(table, dict) else {}
+        for key in table:
+            if key not in OPERATIONS:
+                self.faults.append(f"objects.classes.{key}: unknown operation")
+        classes = {}
+        for operation in OPERATIONS:
+            if table.get(operation) in names:
+                classes[operation] = names.index(table[operation])
+            else:
+                self.faults.append(f"objects.classes.{operation}: one of {', '.join(names)} is wanted")
+        return classes
+
+    def volumes(self, plan_names: Sequence[str]) -> dict[str, VolumeSettings]:
+        """Read the volumes by name."""
+        table = self._document.get("volumes")
+        if not isinstance(table, dict) or not table:
+            self.faults.append("objects.volumes: at least one volume is wanted")
+            return {}
+        volumes = {}
+        for name, entry in table.items():
+            volume = self._volume(name, entry if isinstance(entry, dict) else {}, plan_names)
+            if volume is not None:
+                volumes[name] = volume
+        return volumes
+
+    def _volume(self, name: str, entry: Document, plan_names: Sequence[str]) -> VolumeSettings | None:
+        path = f"objects.volumes.{name}"
+        plan = entry.get("plan")
+        if plan not in plan_names:
+            self.faults.append(f"{path}.plan: one of {', '.join(plan_names)} is wanted")
+        hosts = entry.get("hosts", 1)
+        if isinstance(hosts, bool) or not isinstance(hosts, int | float) or hosts < 1:
+            self.faults.append(f"{path}.hosts: a number of at least 1 is wanted")
+        try:
+            volume_id = int(str(entry["id"]), 16)
+        except (KeyError, ValueError):
+            self.faults.append(f"{path}.id: 16 hexadecimal digits are wanted")
+            return None
+        return VolumeSettings(volume_id, plan_names.index(plan), hosts) if plan in plan_names else None
--- a/runloft/config/records.py
+++ b/runloft/config/records.py
@@ -13,11 +13,10 @@
 
 from runloft.config.faults import Severity
 from runloft.config.kinds import Kind
+from runloft.config.settings import Document
 
 REQUIRED = object()
 
-Document = dict[str, Any]  # a decoded TOML or JSON table
-
 
 @dataclass(frozen=True, slots=True)
 class Constraint:
--- a/runloft/config/settings_records.py
+++ b/runloft/config/settings_records.py
@@ -5,7 +5,7 @@
 from runloft.config import kinds
 from runloft.config.kinds import Boolean, ListOf, Number, Text, count, duration
 from runloft.config.records import Constraint, Record, Rows, Table, setting
-from runloft.config.settings import EFFECTS, GROUPS, REPORT_FIELDS
+from runloft.config.wire_settings import EFFECTS, GROUPS, REPORT_FIELDS
 
 POSITIVE = Number(above=0.0, maximum=1e9)
 FRACTION = Number(minimum=0.0, maximum=1.0)
--- /dev/null
+++ b/runloft/config/wire_settings.py
@@ -0,0 +1,159 @@
+"""Translation of the wire's settings into the decisions' ``Settings``.
+
+The simulator's first message carries settings as path=value lines.  The platform's JSON and an operator's
+file name them alike, so they are flattened to that form, and all sides share one translation.
+"""
+
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from runloft.decisions import contract
+
+EFFECTS = {"retryable": contract.Effect.SAFE, "dedup": contract.Effect.KEYED}
+GROUPS = {"all": contract.Group.ALL, "zone": contract.Group.ZONE}
+REPORT_FIELDS = {
+    "rif": "inflight",
+    "q": "queue",
+    "busy": "util",
+    "lat_ms": "latency_ms",
+    "rate": "served_per_s",
+    "fail_rate": "errors_per_s",
+}
+
+PathValues = dict[str, str]  # the wire's settings by their dotted paths
+
+
+def flatten(value: Any, path: str = "") -> PathValues:
+    """Return nested JSON as path=value pairs: lists of objects counted, plain lists joined by commas."""
+    match value:
+        case dict():
+            pairs: PathValues = {}
+            for key, item in value.items():
+                pairs |= flatten(item, f"{path}.{key}" if path else key)
+            return pairs
+        case list() if any(isinstance(item, dict) for item in value):
+            pairs = {f"{path}.count": str(len(value))}
+            for index, item in enumerate(value):
+                pairs |= flatten(item, f"{path}.{index}")
+            return pairs
+        case list():
+            return {path: ",".join(_plain_text(item) for item in value)}
+    return {path: _plain_text(value)}
+
+
+def _plain_text(value: Any) -> str:
+    if value is None:
+        return ""
+    return str(value).lower() if isinstance(value, bool) else str(value)
+
+
+@dataclass(frozen=True, slots=True)
+class _Reader:
+    """Reads typed values; absent ones, and those that are no finite number, have the default."""
+
+    pairs: Mapping[str, str]
+    prefix: str = ""
+
+    def number(self, path: str, default: float = 0.0) -> float:
+        try:
+            value = float(self.pairs.get(self.prefix + path, default))
+        except ValueError:
+            return default
+        return value if math.isfinite(value) else default
+
+    def integer(self, path: str, default: int = 0) -> int:
+        return int(self.number(path, default))
+
+    def flag(self, path: str) -> bool:
+        return self.pairs.get(self.prefix + path) == "true"
+
+    def text(self, path: str) -> str:
+        return self.pairs.get(self.prefix + path, "")
+
+    def names(self, path: str) -> list[str]:
+        return self.text(path).split(",")
+
+    def row(self, table: str, index: int) -> "_Reader":
+        return _Reader(self.pairs, f"{table}.{index}.")
+
+
+def settings_from_wire(pairs: Mapping[str, str]) -> contract.Settings:
+    """Translate the first message; unknown keys are passed over, absent figures are zero."""
+    reader = _Reader(pairs)
+    return contract.Settings(
+        classes=_classes(reader),
+        plans=_plans(reader),
+        hosts=reader.integer("GroupSize", 1),
+        host_number=reader.integer("SlotNo"),
+        tick_ns=reader.integer("Tick", 1_000_000),
+        mean_units=reader.number("Extra.UsualUnits", 1.0),
+        max_units=reader.number("Extra.MaxUnits", 1.0),
+        share_worth=reader.number("Extra.WithinShare", 1.0),
+        spare_worth=reader.number("Extra.BeyondShare", 1.0),
+        cold_units=reader.number("Extra.ColdUnits"),
+        cold_from=reader.number("Safety.ColdFrom", 1.0),
+        cold_ns=reader.integer("Safety.Cold"),
+        fall_multiple=reader.number("Safety.FallMultiple", 1.0),
+        fall_ns=reader.integer("Safety.Fall"),
+        settle_ns=reader.integer("Safety.SettleAfterDoubt"),
+        budget_free=reader.number("Safety.ExtraFloor"),
+        budget_share=reader.number("Safety.ResendRatio"),
+        budget_window_ns=reader.integer("Safety.LookBack"),
+        max_attempts=reader.integer("Limits.AttemptsCap", 1),
+        connect_timeout_ns=reader.integer("Limits.ConnectTimeout"),
+        max_retry_after_ns=reader.integer("Limits.MaxRetryAfter"),
+        may_cancel=reader.flag("Limits.Cancel"),
+        may_probe=reader.flag("Limits.MayProbe"),
+        may_duplicate=reader.flag("Limits.MayDuplicate"),
+        list_is_asked_for=reader.text("Discovery") == "subscribe",
+        ask_every_ns=reader.integer("Safety.AskEvery"),
+        meter_ns=reader.integer("Extra.UsePeriod"),
+        tells_elsewhere=reader.flag("Extra.TellsElsewhere"),
+        report_fields=_report_fields(reader),
+    )
+
+
+def _report_fields(reader: _Reader) -> tuple[str, ...]:
+    return tuple(REPORT_FIELDS.get(name, name) for name in reader.names("Feedback.Fields") if name)
+
+
+def _classes(reader: _Reader) -> tuple[contract.ClassSettings, ...]:
+    writes = reader.names("Extra.ClassWrites")
+    return tuple(
+        _class(reader.row("Classes", index), writes=index < len(writes) and writes[index] == "true")
+        for index in range(reader.integer("Classes.count"))
+    )
+
+
+def _class(row: _Reader, writes: bool) -> contract.ClassSettings:
+    deadline_ns = row.integer("HardLimit")
+    return contract.ClassSettings(
+        aim_ns=row.integer("Target", deadline_ns),
+        deadline_ns=deadline_ns,
+        worth=row.number("Importance", 1.0),
+        late_worth=row.number("LateValue"),
+        effect=EFFECTS.get(row.text("Effect"), contract.Effect.UNSAFE),
+        group=GROUPS.get(row.text("Group"), contract.Group.SHARD),
+        window_ns=row.integer("Window"),
+        in_order=row.flag("InTurn"),
+        streamed=row.flag("Streamed"),
+        writes=writes,
+    )
+
+
+def _plans(reader: _Reader) -> tuple[contract.PlanSettings, ...]:
+    rows = [reader.row("ServiceLevels", index) for index in range(reader.integer("ServiceLevels.count"))]
+    return tuple(
+        contract.PlanSettings(
+            rate=row.number("BaseRate"),
+            reserve=row.number("Guaranteed"),
+            weight=row.number("Parts", 1.0),
+            price=row.number("ValueFactor", 1.0),
+            limit=row.number("Limit"),
+            limit_burst=row.number("LimitBurst"),
+            limit_slack=row.number("Slack"),
+        )
+        for row in rows
+    )
--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -19,7 +19,8 @@
 from runloft.agreement.content import Content
 from runloft.agreement.store import AgreementStore
 from runloft.config.output import print_table
-from runloft.config.settings import AgreementSettings, Config, config_from_json
+from runloft.config.platform_config import config_from_json
+from runloft.config.settings import AgreementSettings, Config
 from runloft.lab.redis import RedisStandIn
 
 MOST_S = 60.0
--- a/runloft/lab/scale/datapath.py
+++ b/runloft/lab/scale/datapath.py
@@ -34,7 +34,7 @@
 import tomli_w
 
 from runloft import __version__
-from runloft.config.settings import address
+from runloft.config.settings import parse_address
 from runloft.lab.discovery import LabDiscovery
 from runloft.lab.load import GRACE_S
 from runloft.lab.node import LabNode, NodeKind
@@ -453,7 +453,7 @@
 
 async def scraped(where: str) -> bytes:
     """Read the metrics once; the body."""
-    async with await anyio.connect_tcp(*address(where)) as stream:
+    async with await anyio.connect_tcp(*parse_address(where)) as stream:
         await stream.send(b"GET /metrics HTTP/1.0\r\nHost: localhost\r\n\r\n")
         data = bytearray()
         async for piece in stream:
--- a/runloft/lab/scale/hollow.py
+++ b/runloft/lab/scale/hollow.py
@@ -14,7 +14,8 @@
 import anyio.abc
 
 from runloft.agreement.client import Agreeing
-from runloft.config.settings import OPERATIONS, Config, config_from_json
+from runloft.config.platform_config import config_from_json
+from runloft.config.settings import OPERATIONS, Config
 from runloft.core.model import NodeListUpdate
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
@@ -130,7 +131,7 @@
             config = self.agreeing.start()
         deadlines = TimerQueue()
         core = Core(config.settings, config.seed, clock(), deadlines, config.bounds)
-        core.held = config.held
+        core.held = config.suspended_volumes
         self.runner = runner = HollowRunner(core, deadlines, clock)
         asked = config.settings.list_is_asked_for
         watch = Watch(config.discovery, 0, config.zones, runner.post, deadlines, clock, asked=asked)
--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -83,13 +83,17 @@
             log.warning("some changes need a restart", keys=waiting)
         self.watch.zones = fresh.zones
         self.watch.move(fresh.discovery)
-        rev = fresh.known.get("rev")
+        rev = fresh.initial_node_list.get("rev")
         if isinstance(rev, int) and rev > self.watch.rev:  # the file knows more than the watch has told
             self.watch.rev = rev
-            self.post(listed(fresh.known, fresh.zones, ListKind.FULL))
+            self.post(listed(fresh.initial_node_list, fresh.zones, ListKind.FULL))
         old = self.config
-        if (fresh.settings, fresh.bounds, fresh.held) != (old.settings, old.bounds, old.held):
-            self.post(Reconfigured(fresh.settings, fresh.bounds, fresh.held))
+        if (fresh.settings, fresh.bounds, fresh.suspended_volumes) != (
+            old.settings,
+            old.bounds,
+            old.suspended_volumes,
+        ):
+            self.post(Reconfigured(fresh.settings, fresh.bounds, fresh.suspended_volumes))
         for part in self.parts:
             part.configure(fresh)
         self.config = fresh
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -173,11 +173,11 @@
         agreeing = Agreeing(config.agreement, config, clock)
         config = agreeing.start()
     core = Core(config.settings, config.seed, clock(), deadlines, config.bounds)
-    core.held = config.held
-    if config.account_volumes:
+    core.held = config.suspended_volumes
+    if config.accounted_volumes:
         from runloft.accounts.ledger import Ledger
 
-        core.observer = Ledger(config.settings, config.account_volumes)
+        core.observer = Ledger(config.settings, config.accounted_volumes)
     runner = Runner(core, deadlines, clock)
     runner.clock_error_ns = clock.error_ns
     signals = anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
@@ -234,8 +234,8 @@
                 part=8,
                 endpoint=partial(object_endpoint, config.objects),
             )
-        runner.post(listed(config.known, config.zones, ListKind.CACHED))
-        rev = int(config.known.get("rev", 0) or 0)
+        runner.post(listed(config.initial_node_list, config.zones, ListKind.CACHED))
+        rev = int(config.initial_node_list.get("rev", 0) or 0)
         watch = Watch(
             config.discovery,
             rev,
--- a/runloft/simulator/adapter.py
+++ b/runloft/simulator/adapter.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import BinaryIO
 
-from runloft.config.settings import settings_from_wire
+from runloft.config.wire_settings import settings_from_wire
 from runloft.decisions import contract
 from runloft.decisions.policy import Scheduler
 from runloft.simulator import wire as wire
--- a/runloft/upstream/links.py
+++ b/runloft/upstream/links.py
@@ -11,7 +11,7 @@
 import anyio.abc
 import structlog
 
-from runloft.config.settings import Config, address
+from runloft.config.settings import Config, parse_address
 from runloft.core.counters import COUNTERS, Counted, NodeCloseReason
 from runloft.core.guard import SendPermit, SendRefusal
 from runloft.core.model import AttemptWithdrawn, Dispatch, Ended, Event, NodeUpdate, Written
@@ -99,9 +99,9 @@
     def configure(self, config: Config) -> None:
         """Go by these times and by this part of the descriptors."""
         self.connect_timeout_ns = config.settings.connect_timeout_ns or 1_000_000_000
-        self.idle_ns = int(config.conn_idle_ns * IDLE_PART)
+        self.idle_ns = int(config.idle_timeout_ns * IDLE_PART)
         self.most = max(1, (config.max_sockets - OTHERS) // self.part)
-        self.tells_written = config.account_volumes > 0
+        self.tells_written = config.accounted_volumes > 0
         self.reply_most = min(REPLY_MOST, config.spare_bytes // REPLY_PART)
         self.replies.resize(config.spare_bytes // REPLIES_PART)
 
@@ -328,7 +328,7 @@
     async def _connect(self) -> bool:
         """Connect; False where this machine could not, and the attempt waits for another connection."""
         try:
-            await connect(self.sock, address(self.place[1]))
+            await connect(self.sock, parse_address(self.place[1]))
         except OSError as error:
             order = self.order
             if self.ended or order is None or error.errno not in LOCAL_ERRORS:
--- a/tests/config/test_configs.py
+++ b/tests/config/test_configs.py
@@ -15,8 +15,8 @@
 from runloft.config.generated_file import generate_files
 from runloft.config.loading import load_config
 from runloft.config.operator_file import check_file, check_text
+from runloft.config.platform_config import config_from_json
 from runloft.config.records import Named, Rows, Table
-from runloft.config.settings import config_from_json
 from runloft.config.toml_file import MAX_FILE_BYTES
 from runloft.lab.scale.records import result_from
 from runloft.listeners import objects as objects_front
--- a/tests/config/test_unchanged_output.py
+++ b/tests/config/test_unchanged_output.py
@@ -15,7 +15,7 @@
 
 from runloft.cli import main
 from runloft.config.loading import load_config
-from runloft.config.settings import flatten, settings_from_wire
+from runloft.config.wire_settings import flatten, settings_from_wire
 from tests.support.config_cases import FILES, read_cases
 
 EXPECTED = FILES / "expected"
@@ -26,7 +26,7 @@
     if isinstance(item, Enum):
         return list(type(item)).index(item)
     if is_dataclass(item):
-        return [by_value(getattr(item, field.name)) for field in fields(item) if field.name != "raw"]
+        return [by_value(getattr(item, field.name)) for field in fields(item) if field.name != "document"]
     if isinstance(item, dict):
         return [[by_value(key), by_value(value)] for key, value in item.items()]
     if isinstance(item, list | tuple):
@@ -91,12 +91,12 @@
             config = load_config("sidecar.toml")
             transcript.note(f"== {case.title}")
             transcript.note(f"values sha256 {digest_of_values(config)}")
-            transcript.note(f"raw sha256 {digest(json.dumps(config.raw))}")
+            transcript.note(f"raw sha256 {digest(json.dumps(config.document))}")
 
 
 def transcript_of_wire_settings(transcript):
     """Record the translation of first messages in which some lines are absent or no numbers."""
-    raw = load_config(str(FILES / "sidecar.toml")).raw["settings"]
+    raw = load_config(str(FILES / "sidecar.toml")).document["settings"]
     pairs = flatten(raw)
     transcript.note(f"pairs sha256 {digest(json.dumps(pairs))}")
     generator = random.Random(36)
@@ -270,7 +270,7 @@
 
 def transcript_of_platform(transcript):
     """Record the faults of the platform's JSON, and the values of what is without fault."""
-    whole = load_config(str(FILES / "sidecar.toml")).raw
+    whole = load_config(str(FILES / "sidecar.toml")).document
     for path, value in (("name", "same"), *CHANGES_OF_THE_PLATFORMS_JSON):
         Path("config.json").write_text(json.dumps(replaced(whole, path, value)))
         transcript.note(f"== {path} {value!r}")
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.core.model import (
     AbortAttempt,
     Answer,
--- a/tests/listeners/test_accepting.py
+++ b/tests/listeners/test_accepting.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.core.guard import CloseReason
 from runloft.core.timers import TimerQueue
 from runloft.listeners.accepting import AcceptingFront
--- a/tests/listeners/test_grammar.py
+++ b/tests/listeners/test_grammar.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.listeners.grammar import TRAVEL_NS, BadCommandError, Translator
 from tests.support.driver import MS
 from tests.support.standins import Discovery, Program, config, until
--- a/tests/listeners/test_leaving.py
+++ b/tests/listeners/test_leaving.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.core.guard import CloseReason
 from runloft.core.model import Left, Served, Taken
 from runloft.core.timers import TimerQueue
--- a/tests/listeners/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.core.model import Served, Taken
 from runloft.core.timers import TimerQueue
 from runloft.listeners.objects import FREE_ERRORS, LINGER_S, ObjectFront
--- a/tests/service/test_cli.py
+++ b/tests/service/test_cli.py
@@ -11,7 +11,8 @@
 from runloft.cli import main
 from runloft.config.faults import ConfigError
 from runloft.config.loading import load_config
-from runloft.config.settings import config_from_json, flatten, settings_from_wire
+from runloft.config.platform_config import config_from_json
+from runloft.config.wire_settings import flatten, settings_from_wire
 from runloft.net.resp2 import command
 from tests.support.standins import Discovery, Program, RespNode, config, entry
 
--- a/tests/service/test_momentary_failures.py
+++ b/tests/service/test_momentary_failures.py
@@ -11,7 +11,7 @@
 from runloft.config import loading
 from runloft.config.faults import ConfigError
 from runloft.config.loading import UnreadableConfigError, load_config
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.core.model import Reconfigured
 from runloft.core.timers import TimerQueue
 from runloft.net import sockets
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.core.model import Dispatch, Ended, NodeUpdate, Reconfigured, Refused
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import Ending, ListKind, NewSettings, PlanSettings, Send
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.core.model import (
     AttemptWithdrawn,
     Failed,
