--- a/runloft/config/agreement_checks.py
+++ b/runloft/config/agreement_checks.py
@@ -2,7 +2,8 @@
 
 from collections.abc import Iterator
 
-from runloft.config.faults import Path, Severity, Violation
+from runloft.config.documents import KeyPath
+from runloft.config.faults import Severity, Violation
 from runloft.config.operator_records import AgreementRecord, OperatorRecord
 from runloft.config.settings import FENCE_DRIFT_DIVISOR, FENCE_LEASES
 
@@ -14,7 +15,7 @@
 EXCHANGES_PER_LEASE = 4  # an exchange with the store may take the lease divided by this
 NS_PER_MS = 1e6
 
-LEASE_PATH: Path = ("agreement", "lease_ms")
+LEASE_PATH: KeyPath = ("agreement", "lease_ms")
 
 
 def check_agreement(record: OperatorRecord) -> Iterator[Violation]:
--- a/runloft/config/claims.py
+++ b/runloft/config/claims.py
@@ -4,7 +4,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from runloft.config.faults import Fault, Path, Severity
+from runloft.config.documents import KeyPath
+from runloft.config.faults import Fault, Severity
 from runloft.config.fleet import Fleet
 from runloft.config.generator import Generator
 from runloft.config.operator_file import CheckedFile
@@ -23,7 +24,7 @@
     """A value that a file gives to a topic, and where it stands."""
 
     topic: Topic
-    path: Path
+    path: KeyPath
     value: Any
 
 
@@ -32,7 +33,7 @@
     """A value at a place of one file; the fleet's claims are right."""
 
     source: CheckedFile | Fleet
-    path: Path
+    path: KeyPath
     value: Any
 
     @property
@@ -114,6 +115,6 @@
         yield Statement(("volume", volume.name, "hosts"), (*path, "sidecars"), hosts)
 
 
-def _fleet_path(path: Path, tables: Mapping[str, str]) -> Path:
+def _fleet_path(path: KeyPath, tables: Mapping[str, str]) -> KeyPath:
     """Return the fleet's key for a key of an operator's file."""
     return (tables[path[1]], *path[2:]) if path[1] in tables else path
--- a/runloft/config/comparison.py
+++ b/runloft/config/comparison.py
@@ -64,20 +64,27 @@
     right = max(by_value.values(), key=lambda group: (_of_fleet(group) is not None, len(group)))
     first = _of_fleet(right) or right[0]
     more = f" and {len(right) - 1} more" if len(right) > 1 else ""
-    subject = f'{topic[0]} "{topic[1]}"' if len(topic) > 2 and topic[0] != "figure" else topic[0]
-    key = topic[-1] if len(topic) > 1 else "GroupSize"
+    subject = _subject(topic)
     # The longest fence that a lease announces is respected; another one comes into force file by file.
     severity = Severity.WARNING if topic[0] == "agreement" else Severity.FAULT
     remedy = f"the same in all, such as {quote_value(first.value)}"
     for claim in claims:
         if claim not in right:
             reason = (
-                f"{subject} has {key} {quote_value(claim.value)} here, "
+                f"{subject} {quote_value(claim.value)} here, "
                 f"{quote_value(first.value)} at {first.place}{more}"
             )
             yield claim.fault(f"{topic[0]}-disagrees", reason, remedy, severity)
 
 
+def _subject(topic: Topic) -> str:
+    """Return what a claim is about, as a reason begins."""
+    if len(topic) == 1:
+        return f"{topic[0]} has GroupSize"
+    named = len(topic) > 2 and topic[0] != "figure"
+    return f'{topic[0]} "{topic[1]}" has {topic[-1]}' if named else f"{topic[0]} has {topic[-1]}"
+
+
 def _of_fleet(claims: Iterable[Claim]) -> Claim | None:
     return next((claim for claim in claims if isinstance(claim.source, Fleet)), None)
 
--- a/runloft/config/faults.py
+++ b/runloft/config/faults.py
@@ -5,13 +5,12 @@
 from difflib import get_close_matches
 from enum import Enum
 
+from runloft.config.documents import Document, KeyPath
 from runloft.errors import RunloftError
 
 SIMILARITY = 0.6  # from which on a word counts as a misspelling of another, by difflib's ratio
 MAX_SUGGESTIONS = 8
 
-Path = tuple[str, ...]
-
 
 class Severity(Enum):
     """Whether a fault keeps a configuration from being served."""
@@ -24,7 +23,7 @@
 class Violation:
     """A fault at a path of keys, whose file and line are not known here."""
 
-    path: Path
+    path: KeyPath
     code: str
     reason: str
     remedy: str = ""
@@ -53,7 +52,7 @@
         remedy = f"; right would be {self.remedy}" if self.remedy else ""
         return f"{where}: {word}{self.key}: {self.reason}{remedy} [{self.code}]"
 
-    def as_json(self) -> dict[str, object]:
+    def as_json(self) -> Document:
         """Return the fault as plain values; these names are part of the ``--json`` output."""
         return {
             "file": self.file,
--- a/runloft/config/fleet_checks.py
+++ b/runloft/config/fleet_checks.py
@@ -3,17 +3,27 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from runloft.config.faults import Path, nearest_word
+from runloft.config.documents import KeyPath
+from runloft.config.faults import nearest_word
 from runloft.config.fleet import Fleet, Node, Volume
-from runloft.config.fleet_records import RESTATABLE_PLAN_KEYS, FleetRecord, FleetVolumeRecord
+from runloft.config.fleet_records import (
+    RESTATABLE_PLAN_KEYS,
+    ApplicationRecord,
+    FleetRecord,
+    FleetVolumeRecord,
+    NodeRecord,
+)
 from runloft.config.layers import Layer, unify
 from runloft.config.records import document_of
-from runloft.config.settings_records import PlanRecord
+from runloft.config.settings_records import ClassRecord, PlanRecord
 
 MAX_SHARDS_LISTED = 8
 SHARE_TOLERANCE = 1e-9  # of rounding, in a sum that may be 1
 
 
+NamedRow = NodeRecord | ClassRecord | PlanRecord | FleetVolumeRecord | ApplicationRecord
+
+
 def check_fleet(fleet: Fleet, listed: list[Node] | None) -> None:
     """Check a fleet and fill in its nodes and volumes; ``listed`` nodes stand in for its own."""
     _check_names(fleet)
@@ -24,7 +34,8 @@
 
 def _check_names(fleet: Fleet) -> None:
     """Check that each name, and each node's uid, stands once in its table."""
-    for table, names in _names_by_table(fleet.record).items():
+    for table, rows_of_table in _named_rows(fleet.record).items():
+        names = [row.uid if isinstance(row, NodeRecord) else row.name for row in rows_of_table]
         rows: dict[str, int] = {}
         for index, name in enumerate(names):
             if name is not None and name in rows:
@@ -34,13 +45,13 @@
             rows.setdefault(name, index)
 
 
-def _names_by_table(record: FleetRecord) -> Mapping[str, Sequence[str]]:
+def _named_rows(record: FleetRecord) -> Mapping[str, Sequence[NamedRow]]:
     return {
-        "nodes": [node.uid for node in record.nodes or ()],
-        "classes": [row.name for row in record.classes or ()],
-        "plans": [plan.name for plan in record.plans or ()],
-        "volumes": [volume.name for volume in record.volumes or ()],
-        "applications": [application.name for application in record.applications or ()],
+        "nodes": record.nodes or (),
+        "classes": record.classes or (),
+        "plans": record.plans or (),
+        "volumes": record.volumes or (),
+        "applications": record.applications or (),
     }
 
 
@@ -51,20 +62,24 @@
 
 
 def _fill_nodes(fleet: Fleet, listed: list[Node] | None) -> None:
-    machines = fleet.record.machines or {}
-    own = [
+    nodes = [
         Node(node.uid, node.kind, node.shard, node.state, node.zone)
         for node in fleet.record.nodes or ()
         if node.shard is not None
     ]
-    for index, node in enumerate(own):
+    _check_machine_kinds(fleet, nodes)
+    fleet.nodes = nodes if listed is None else listed
+    if not fleet.nodes and not any(fault.code in ("unreadable", "missing") for fault in fleet.faults):
+        fleet.reader.fault(("nodes",), "too-few", "no node is named", "nodes here, or --nodes FILE")
+
+
+def _check_machine_kinds(fleet: Fleet, nodes: Sequence[Node]) -> None:
+    machines = fleet.record.machines or {}
+    for index, node in enumerate(nodes):
         if node.kind is not None and node.kind not in machines:
             reason = f'there is no machine kind "{node.kind}"'
             remedy = nearest_word(node.kind, machines)
             fleet.reader.fault(("nodes", str(index), "kind"), "unknown-kind", reason, remedy)
-    fleet.nodes = own if listed is None else listed
-    if not fleet.nodes and not any(fault.code in ("unreadable", "missing") for fault in fleet.faults):
-        fleet.reader.fault(("nodes",), "too-few", "no node is named", "nodes here, or --nodes FILE")
 
 
 def _check_shares(fleet: Fleet) -> None:
@@ -82,7 +97,7 @@
     references = _References.of_fleet(fleet)
     owners: dict[int, str] = {}
     for index, volume in enumerate(fleet.record.volumes or ()):
-        path: Path = ("volumes", str(index))
+        path: KeyPath = ("volumes", str(index))
         plan = references.plans.get(volume.plan)
         _check_references(fleet, volume, path, references)
         if volume.id is not None:
@@ -119,28 +134,39 @@
         )
 
 
-def _check_references(fleet: Fleet, volume: FleetVolumeRecord, path: Path, known: _References) -> None:
+def _check_references(fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, known: _References) -> None:
     """Check that a volume's plan, sidecars and shards exist."""
-    fault = fleet.reader.fault
     if volume.plan is not None and known.plans and volume.plan not in known.plans:
         reason = f'there is no plan "{volume.plan}"'
-        fault((*path, "plan"), "unknown-plan", reason, nearest_word(volume.plan, known.plans))
+        remedy = nearest_word(volume.plan, known.plans)
+        fleet.reader.fault((*path, "plan"), "unknown-plan", reason, remedy)
+    _check_sidecars(fleet, volume, path, known.sidecars)
+    if known.shards is not None:
+        _check_shards(fleet, volume, path, known.shards)
+
+
+def _check_sidecars(
+    fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, known_sidecars: Sequence[str]
+) -> None:
     for place, sidecar in enumerate(volume.sidecars or ()):
-        if sidecar not in known.sidecars:
+        if sidecar not in known_sidecars:
             reason = f'there is no application "{sidecar}"'
-            remedy = nearest_word(sidecar, known.sidecars)
-            fault((*path, "sidecars", str(place)), "unknown-sidecar", reason, remedy)
-    if known.shards is None:
-        return
+            remedy = nearest_word(sidecar, known_sidecars)
+            fleet.reader.fault((*path, "sidecars", str(place)), "unknown-sidecar", reason, remedy)
+
+
+def _check_shards(
+    fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, known_shards: frozenset[int]
+) -> None:
     for place, shard in enumerate(volume.shards or ()):
-        if shard not in known.shards:
+        if shard not in known_shards:
             reason = f"no node holds shard {shard}"
-            listed = sorted(known.shards)[:MAX_SHARDS_LISTED]
+            listed = sorted(known_shards)[:MAX_SHARDS_LISTED]
             remedy = f"one of {', '.join(map(str, listed))}"
-            fault((*path, "shards", str(place)), "unknown-shard", reason, remedy)
+            fleet.reader.fault((*path, "shards", str(place)), "unknown-shard", reason, remedy)
 
 
-def _check_restated(fleet: Fleet, volume: FleetVolumeRecord, path: Path, plan: PlanRecord) -> None:
+def _check_restated(fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, plan: PlanRecord) -> None:
     """Check that a volume restates its plan's figures only with the same values."""
     restated = {key: value for key, value in document_of(volume).items() if key in RESTATABLE_PLAN_KEYS}
     if not restated:
--- a/runloft/config/fleet_records.py
+++ b/runloft/config/fleet_records.py
@@ -3,10 +3,10 @@
 import attrs
 
 from runloft.config import kinds
+from runloft.config.documents import Document
 from runloft.config.kinds import Address, Boolean, HexNumber, ListOf, Number, Range, Text, count, milliseconds
 from runloft.config.operator_records import STORE_URL, AgreementRecord
 from runloft.config.records import Named, Record, Rows, Table, setting
-from runloft.config.settings import Document
 from runloft.config.settings_records import POSITIVE, ClassRecord, PlanRecord
 
 NODE_STATES = ("in_service", "terminating", "terminated")
--- a/runloft/config/generated_checks.py
+++ b/runloft/config/generated_checks.py
@@ -4,19 +4,19 @@
 from dataclasses import replace
 from typing import Any
 
-from runloft.config.faults import Fault, Path, Violation
+from runloft.config.documents import Document, KeyPath
+from runloft.config.faults import Fault, Violation
 from runloft.config.fleet import Fleet
 from runloft.config.generator import Generator
 from runloft.config.operator_checks import check_record
 from runloft.config.operator_records import OperatorRecord
 from runloft.config.reader import Reader
-from runloft.config.settings import Document
 
 
 def check_generated_files(fleet: Fleet) -> None:
     """Generate every application's file and add its faults to the fleet's."""
     generator = Generator(fleet)
-    seen: set[tuple[Path, str]] = set()
+    seen: set[tuple[KeyPath, str]] = set()
     for index, application in enumerate(fleet.record.applications):
         layers = Reader(fleet.file, fleet.reader.text)
         document = generator.document(index, layers)
@@ -47,7 +47,7 @@
     return Violation(path, fault.code, fault.reason, fault.remedy, fault.severity)
 
 
-def _fleet_path(fleet: Fleet, index: int, path: Path) -> Path:
+def _fleet_path(fleet: Fleet, index: int, path: KeyPath) -> KeyPath:
     """Return the key of the fleet that a key of an application's file comes from."""
     match path:
         case ("settings", "Classes", *rest):
@@ -71,7 +71,7 @@
     return ("applications", str(index), path[0])
 
 
-def _layer_path(fleet: Fleet, index: int, path: Path) -> Path:
+def _layer_path(fleet: Fleet, index: int, path: KeyPath) -> KeyPath:
     """Return the application's own key if its layer has it, else the fleet's."""
     value: Any = getattr(fleet.record.applications[index], path[0])
     for key in path[1:]:
@@ -79,7 +79,7 @@
     return ("applications", str(index), *path) if value is not None else path
 
 
-def _volume_path(fleet: Fleet, index: int, name: str, rest: Path) -> Path:
+def _volume_path(fleet: Fleet, index: int, name: str, rest: KeyPath) -> KeyPath:
     names = [volume.name for volume in fleet.record.volumes]
     if name not in names:
         return ("applications", str(index))
--- a/runloft/config/generated_file.py
+++ b/runloft/config/generated_file.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from runloft.config.documents import Document
 from runloft.config.fleet import Fleet
 from runloft.config.generator import Generator
 from runloft.config.reader import Reader
-from runloft.config.settings import Document
 from runloft.errors import RunloftError
 
 DIGEST_PREFIX = "# content "
--- a/runloft/config/kinds.py
+++ b/runloft/config/kinds.py
@@ -216,13 +216,12 @@
         """Return the address as it was given."""
         if not isinstance(value, str):
             raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a text", self.expected)
-        host, separator, port = value.rpartition(":")
-        if not separator or not host or not _is_port(port):
+        host, _, port = value.rpartition(":")
+        if not host or not _is_port(port):
             raise self._bad_address(f"{quote_value(value)} is not host:port")
         if not self.any_port and int(port) == 0:
             raise self._bad_address("port 0 can't be connected to")
-        bare = host[1:-1] if host.startswith("[") and host.endswith("]") else host
-        if self.listens and bare != "localhost" and not _is_ip_address(bare):
+        if self.listens and not _can_be_bound(host):
             raise self._bad_address(f"{quote_value(host)} is no address of a machine")
         return value
 
@@ -239,9 +238,13 @@
     return text.isascii() and text.isdigit() and int(text) <= MAX_PORT
 
 
-def _is_ip_address(text: str) -> bool:
+def _can_be_bound(host: str) -> bool:
+    """Return whether a host is an IP address, IPv6 in brackets or not, or this machine's name."""
+    bare = host[1:-1] if host.startswith("[") and host.endswith("]") else host
+    if bare == "localhost":
+        return True
     try:
-        ipaddress.ip_address(text)
+        ipaddress.ip_address(bare)
     except ValueError:
         return False
     return True
--- a/runloft/config/layers.py
+++ b/runloft/config/layers.py
@@ -4,10 +4,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from runloft.config.faults import Path
+from runloft.config.documents import Document, KeyPath
 from runloft.config.kinds import quote_value
 from runloft.config.reader import Reader
-from runloft.config.settings import Document
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,7 +15,7 @@
 
     name: str
     values: Mapping[str, Any]
-    path: Path
+    path: KeyPath
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +23,7 @@
     """Where a unified value was set first."""
 
     layer: Layer
-    place: Path
+    place: KeyPath
 
 
 def unify(layers: Iterable[Layer], reader: Reader) -> Document:
@@ -44,9 +43,9 @@
     def __init__(self, reader: Reader) -> None:
         self.values: Document = {}
         self._reader = reader
-        self._origins: dict[Path, _Origin] = {}
+        self._origins: dict[KeyPath, _Origin] = {}
 
-    def add(self, layer: Layer, values: Mapping[str, Any], into: Document, path: Path) -> None:
+    def add(self, layer: Layer, values: Mapping[str, Any], into: Document, path: KeyPath) -> None:
         """Add one table of a layer to a table of the result."""
         for key, value in values.items():
             here = (*path, key)
@@ -63,7 +62,7 @@
             elif not _same(into[key], value):
                 self._report(layer, place, value, into[key], self._origins[here])
 
-    def _report(self, layer: Layer, place: Path, value: Any, first: Any, origin: _Origin) -> None:
+    def _report(self, layer: Layer, place: KeyPath, value: Any, first: Any, origin: _Origin) -> None:
         self._reader.fault(
             place,
             "layers-disagree",
--- a/runloft/config/machine_checks.py
+++ b/runloft/config/machine_checks.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 from math import ceil
 
-from runloft.config.faults import Path, Severity, Violation
+from runloft.config.documents import KeyPath
+from runloft.config.faults import Severity, Violation
 from runloft.config.operator_records import MachineLimitsRecord, OperatorRecord
 from runloft.config.settings import MEMORY_MB, PROGRAM_MB
 
@@ -29,9 +30,9 @@
 CLIENT_MEMORY_KB = 10.0  # beside it, of a client's connection
 MIN_REQUEST_MEMORY_MB = 4
 
-SOCKETS_PATH: Path = ("limits", "sockets")
-MEMORY_PATH: Path = ("limits", "memory_mb")
-IDLE_PATH: Path = ("limits", "rest_ms")
+SOCKETS_PATH: KeyPath = ("limits", "sockets")
+MEMORY_PATH: KeyPath = ("limits", "memory_mb")
+IDLE_PATH: KeyPath = ("limits", "rest_ms")
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/config/object_checks.py
+++ b/runloft/config/object_checks.py
@@ -2,7 +2,8 @@
 
 from collections.abc import Iterator, Sequence
 
-from runloft.config.faults import Path, Severity, Violation, nearest_word
+from runloft.config.documents import KeyPath
+from runloft.config.faults import Severity, Violation, nearest_word
 from runloft.config.machine_checks import MIN_REQUEST_MEMORY_MB
 from runloft.config.operator_records import ObjectsRecord, VolumeRecord
 from runloft.config.settings import OPERATIONS
@@ -25,24 +26,29 @@
     if objects.classes is None:
         return
     classes = [row.name for row in settings.classes or () if row.name]
-    flags = settings.extra.writes_by_class if settings.extra else None
-    writes = dict(zip(classes, flags or [], strict=False))
+    read_only = _read_only_classes(settings, classes)
     for operation in OPERATIONS:
-        name = getattr(objects.classes, operation, None)
+        name = getattr(objects.classes, operation)
         path = ("objects", "classes", operation)
         if name is not None and classes and name not in classes:
             reason = f'there is no class "{name}"'
             yield Violation(path, "unknown-class", reason, nearest_word(name, classes))
-        elif operation in WRITE_OPERATIONS and name in writes and not writes[name]:
+        elif operation in WRITE_OPERATIONS and name in read_only:
             reason = f'"{name}" is a class that reads'
             yield Violation(path, "class-does-not-write", reason, "a class that writes", Severity.WARNING)
 
 
+def _read_only_classes(settings: SettingsRecord, classes: Sequence[str]) -> set[str]:
+    writes = settings.extra.writes_by_class if settings.extra else None
+    by_name = dict(zip(classes, writes or (), strict=False))
+    return {name for name, writing in by_name.items() if not writing}
+
+
 def _check_volumes(settings: SettingsRecord, objects: ObjectsRecord) -> Iterator[Violation]:
     plans = [row.name for row in settings.plans or () if row.name]
     owners: dict[int, str] = {}
     for name, volume in (objects.volumes or {}).items():
-        path: Path = ("objects", "volumes", name)
+        path: KeyPath = ("objects", "volumes", name)
         yield from _check_volume(path, volume, plans, settings.hosts)
         if volume.id is not None:
             number = int(volume.id, 16)
@@ -53,7 +59,7 @@
 
 
 def _check_volume(
-    path: Path, volume: VolumeRecord, plans: Sequence[str], hosts: int | None
+    path: KeyPath, volume: VolumeRecord, plans: Sequence[str], hosts: int | None
 ) -> Iterator[Violation]:
     if volume.plan is not None and plans and volume.plan not in plans:
         reason = f'there is no plan "{volume.plan}"'
--- a/runloft/config/object_settings.py
+++ b/runloft/config/object_settings.py
@@ -4,14 +4,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from runloft.config.settings import (
-    OPERATIONS,
-    Document,
-    ObjectSettings,
-    SocketAddress,
-    VolumeSettings,
-    parse_address,
-)
+from runloft.config.documents import Document
+from runloft.config.settings import OPERATIONS, ObjectSettings, SocketAddress, VolumeSettings, parse_address
 
 STORE_SCHEME = "redis://"
 MAX_PORT = 65535
--- a/runloft/config/operator_checks.py
+++ b/runloft/config/operator_checks.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterator
 
 from runloft.config.agreement_checks import check_agreement
-from runloft.config.faults import Path, Severity, Violation
+from runloft.config.documents import KeyPath
+from runloft.config.faults import Severity, Violation
 from runloft.config.machine_checks import (
     check_clients,
     check_descriptors,
@@ -16,7 +17,7 @@
 )
 from runloft.config.object_checks import check_objects
 from runloft.config.operator_records import OperatorRecord
-from runloft.config.settings_records import ExtraRecord, PermissionsRecord, SettingsRecord
+from runloft.config.settings_records import ExtraRecord, PermissionsRecord, PlanRecord, SettingsRecord
 
 ANY_ADDRESS = frozenset(("0.0.0.0", "[::]"))
 SECONDS_PER_MINUTE = 60
@@ -41,13 +42,13 @@
 
 def _check_listeners(record: OperatorRecord) -> Iterator[Violation]:
     """Check that no two addresses of this machine are the same."""
-    addresses: dict[Path, str] = {("listen",): record.listen}
+    addresses: dict[KeyPath, str] = {("listen",): record.listen}
     if record.objects is not None:
         addresses["objects", "listen"] = record.objects.listen
     if record.admin is not None:
         addresses["admin", "listen"] = record.admin.listen
     addresses["discovery",] = record.discovery
-    seen: dict[Path, str] = {}
+    seen: dict[KeyPath, str] = {}
     for path, address in addresses.items():
         if not address:
             continue
@@ -85,7 +86,7 @@
     classes = settings.classes or []
     writes = (settings.extra or ExtraRecord()).writes_by_class
     if writes and len(writes) != len(classes):
-        path: Path = ("settings", "Extra", "ClassWrites")
+        path: KeyPath = ("settings", "Extra", "ClassWrites")
         reason = f"it speaks of {len(writes)} classes, and there are {len(classes)}"
         yield Violation(path, "writes-length", reason, f"{len(classes)} values")
     connect = (settings.permits or PermissionsRecord()).connect_timeout
@@ -101,10 +102,15 @@
     least_burst = 2 * (extra.max_units or 0) * (settings.hosts or 0)
     least_reserve = (extra.mean_units or 0) / SECONDS_PER_MINUTE
     for index, plan in enumerate(settings.plans or ()):
-        path = ("settings", "ServiceLevels", str(index))
-        if plan.limit and plan.limit_burst and plan.limit_burst < least_burst:
-            reason = f"{plan.limit_burst:g} units don't hold two of the largest requests for each sidecar"
-            yield Violation((*path, "LimitBurst"), "burst-too-small", reason, f"at least {least_burst:g}")
-        if plan.reserve and plan.reserve < least_reserve:
-            reason = f"{plan.reserve:g} units/s are less than one usual request a minute"
-            yield Violation((*path, "Guaranteed"), "reserve-tiny", reason, "units a second", Severity.WARNING)
+        yield from _check_plan(plan, ("settings", "ServiceLevels", str(index)), least_burst, least_reserve)
+
+
+def _check_plan(
+    plan: PlanRecord, path: KeyPath, least_burst: float, least_reserve: float
+) -> Iterator[Violation]:
+    if plan.limit and 0 < (plan.limit_burst or 0) < least_burst:
+        reason = f"{plan.limit_burst:g} units don't hold two of the largest requests for each sidecar"
+        yield Violation((*path, "LimitBurst"), "burst-too-small", reason, f"at least {least_burst:g}")
+    if 0 < (plan.reserve or 0) < least_reserve:
+        reason = f"{plan.reserve:g} units/s are less than one usual request a minute"
+        yield Violation((*path, "Guaranteed"), "reserve-tiny", reason, "units a second", Severity.WARNING)
--- a/runloft/config/operator_file.py
+++ b/runloft/config/operator_file.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass
 from typing import Any
 
+from runloft.config.documents import Document
 from runloft.config.faults import Fault
 from runloft.config.operator_checks import check_record
 from runloft.config.operator_records import OperatorRecord
 from runloft.config.reader import Reader
 from runloft.config.records import document_of
-from runloft.config.settings import Document
 from runloft.config.toml_file import TomlFile, parse_toml, read_toml
 
 
--- a/runloft/config/platform_config.py
+++ b/runloft/config/platform_config.py
@@ -3,10 +3,11 @@
 Faults are texts that begin with the key.  An operator's file has been checked before, with lines.
 """
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from typing import Any
 
+from runloft.config.documents import Document
 from runloft.config.faults import ConfigError
 from runloft.config.object_settings import read_objects
 from runloft.config.settings import (
@@ -14,7 +15,7 @@
     MEMORY_MB,
     AgreementSettings,
     Config,
-    Document,
+    ObjectSettings,
     SocketAddress,
     parse_address,
 )
@@ -62,8 +63,7 @@
         listen = self._address("listen")
         discovery = self._address("discovery")
         seed = self._seed()
-        inner = document.get("settings")
-        pairs = flatten(inner) if isinstance(inner, dict) else {}
+        pairs = self._wire_pairs()
         settings = settings_from_wire(pairs)
         self._check_settings(settings, pairs)
         self._check_peers(document.get("peers"))
@@ -71,9 +71,7 @@
         limits = self._limits()
         class_names = _names(pairs, "Classes")
         plan_names = _names(pairs, "ServiceLevels")
-        objects = None
-        if "objects" in document:
-            objects = read_objects(document["objects"], class_names, plan_names, self._faults)
+        objects = self._objects(class_names, plan_names)
         if self._faults:
             raise ConfigError(self._faults)
         return Config(
@@ -105,6 +103,15 @@
             self._faults.append(f"{key}: {error}")
             return NO_ADDRESS
 
+    def _wire_pairs(self) -> PathValues:
+        settings = self._document.get("settings")
+        return flatten(settings) if isinstance(settings, dict) else {}
+
+    def _objects(self, class_names: Sequence[str], plan_names: Sequence[str]) -> ObjectSettings | None:
+        if "objects" not in self._document:
+            return None
+        return read_objects(self._document["objects"], class_names, plan_names, self._faults)
+
     def _seed(self) -> int:
         try:
             return int(str(self._document.get("seed", "0")), 16)
--- a/runloft/config/positions.py
+++ b/runloft/config/positions.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from runloft.config.faults import Path
+from runloft.config.documents import KeyPath
 
 KEY_PIECE = re.compile(r"""\s*(?:"((?:[^"\\]|\\.)*)"|'([^']*)'|([A-Za-z0-9_-]+))\s*""")
 # What may stand in a value: texts (the long ones first), comments, brackets.
@@ -20,7 +20,7 @@
 class DottedKey:
     """A key's pieces, and the index in its line behind it."""
 
-    pieces: Path
+    pieces: KeyPath
     end: int
 
 
@@ -41,8 +41,8 @@
     """The lines of the keys of one text, counted from 1."""
 
     def __init__(self, text: str) -> None:
-        self._lines: dict[Path, int] = {}
-        self._last_rows: dict[Path, int] = {}
+        self._lines: dict[KeyPath, int] = {}
+        self._last_rows: dict[KeyPath, int] = {}
         self._read(text.split("\n"))
 
     def line(self, key: Sequence[str]) -> int:
@@ -53,7 +53,7 @@
         return self._lines.get(path, 1)
 
     def _read(self, lines: list[str]) -> None:
-        table: Path = ()
+        table: KeyPath = ()
         index = 0
         while index < len(lines):
             number = index + 1
@@ -72,7 +72,7 @@
                     self._lines.setdefault((*table, *key.pieces[:length]), number)
                 index = _skip_value(lines, index, line[key.end :])
 
-    def _begin_row(self, name: Path, number: int) -> Path:
+    def _begin_row(self, name: KeyPath, number: int) -> KeyPath:
         """Record the header of one row of a list of tables; return the row's path."""
         base = self._resolve(name)
         row = self._last_rows.get(base, -1) + 1
@@ -82,9 +82,9 @@
         self._lines.setdefault(table, number)
         return table
 
-    def _resolve(self, name: Path) -> Path:
+    def _resolve(self, name: KeyPath) -> KeyPath:
         """Return a header's path; a list of tables within it stands for its last row."""
-        path: Path = ()
+        path: KeyPath = ()
         for place, piece in enumerate(name):
             path = (*path, piece)
             if path in self._last_rows and place < len(name) - 1:
--- a/runloft/config/reader.py
+++ b/runloft/config/reader.py
@@ -3,12 +3,13 @@
 A field at fault doesn't hide the others: every constraint whose fields could be read is checked.
 """
 
-from collections.abc import Iterable, Iterator, Mapping, Sequence
+from collections.abc import Iterable, Mapping, Sequence
 from difflib import get_close_matches
 from functools import cached_property
 from typing import Any, TypeVar
 
-from runloft.config.faults import SIMILARITY, Fault, Path, Severity, Violation, nearest_word
+from runloft.config.documents import KeyPath
+from runloft.config.faults import SIMILARITY, Fault, Severity, Violation, nearest_word
 from runloft.config.kinds import InvalidValueError, Kind, quote_value
 from runloft.config.positions import Positions
 from runloft.config.records import REQUIRED, Named, Record, Rows, Setting, Table, settings_of
@@ -54,7 +55,7 @@
         for violation in violations:
             self.fault(violation.path, violation.code, violation.reason, violation.remedy, violation.severity)
 
-    def record(self, record: type[RecordType], raw: Any, path: Path = ()) -> RecordType | None:
+    def record(self, record: type[RecordType], raw: Any, path: KeyPath = ()) -> RecordType | None:
         """Return a record read from a table; None if the value is no table.
 
         A field that could not be read is None in it.
@@ -84,7 +85,7 @@
         self._check_constraints(made, bad, path)
         return made
 
-    def _is_absent(self, setting: Setting, misspelled: Sequence[str], path: Path) -> bool:
+    def _is_absent(self, setting: Setting, misspelled: Sequence[str], path: KeyPath) -> bool:
         """Return whether a key that is not given leaves its field without a value."""
         if misspelled and get_close_matches(setting.key.casefold(), misspelled, 1, SIMILARITY):
             return True  # a mistyped key is one fault, not two
@@ -93,7 +94,7 @@
         self.fault((*path, setting.key), "missing", "it is not given", setting.kind.expected)
         return True
 
-    def _check_constraints(self, record: Record, bad: set[str], path: Path) -> None:
+    def _check_constraints(self, record: Record, bad: set[str], path: KeyPath) -> None:
         declared = settings_of(type(record))
         for constraint in record.CONSTRAINTS:
             values = [getattr(record, field) for field in constraint.fields]
@@ -105,7 +106,7 @@
             key = declared[constraint.reported_field].key
             self.fault((*path, key), constraint.code, reason, remedy, constraint.severity)
 
-    def _value(self, kind: Kind, raw: Any, path: Path) -> Any:
+    def _value(self, kind: Kind, raw: Any, path: KeyPath) -> Any:
         match kind:
             case Table():
                 return self.record(kind.record, raw, path)
@@ -119,7 +120,7 @@
             self.fault((*path, *error.subpath), error.code, error.reason, error.remedy)
             return None
 
-    def _rows(self, kind: Rows, raw: Any, path: Path) -> list[Record] | None:
+    def _rows(self, kind: Rows, raw: Any, path: KeyPath) -> list[Record] | None:
         if not isinstance(raw, list):
             reason = f"{quote_value(raw)} is not a list of tables"
             self.fault(path, "wrong-type", reason, kind.expected)
@@ -129,15 +130,13 @@
         rows = [self.record(kind.record, row, (*path, str(index))) for index, row in enumerate(raw)]
         return [row for row in rows if row is not None]
 
-    def _named(self, kind: Named, raw: Any, path: Path) -> dict[str, Record] | None:
+    def _named(self, kind: Named, raw: Any, path: KeyPath) -> dict[str, Record] | None:
         if not isinstance(raw, Mapping):
             self.fault(path, "wrong-type", f"{quote_value(raw)} is not a table", kind.expected)
             return None
         if len(raw) < kind.min_length:
             self.fault(path, "too-few", f"{len(raw)} are too few", kind.expected)
-        return dict(self._named_records(kind, raw, path))
-
-    def _named_records(self, kind: Named, raw: Mapping[str, Any], path: Path) -> Iterator[tuple[str, Record]]:
+        records: dict[str, Record] = {}
         for name, table in raw.items():
             try:
                 kind.names.parse(name)
@@ -145,4 +144,5 @@
                 self.fault((*path, name), error.code, error.reason, error.remedy)
             record = self.record(kind.record, table, (*path, name))
             if record is not None:
-                yield name, record
+                records[name] = record
+        return records
--- a/runloft/config/records.py
+++ b/runloft/config/records.py
@@ -11,9 +11,9 @@
 
 import attrs
 
+from runloft.config.documents import Document
 from runloft.config.faults import Severity
 from runloft.config.kinds import Kind
-from runloft.config.settings import Document
 
 REQUIRED = object()
 
--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -4,8 +4,9 @@
 """
 
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+from runloft.config.documents import Document
 from runloft.core.model import Bounds, SuspendedVolumes
 from runloft.decisions import contract
 
@@ -21,8 +22,6 @@
 FENCE_LEASES = 1.5  # the fence in leases, unless it is set
 FENCE_DRIFT_DIVISOR = 16  # two steady clocks may drift apart by this part of a fence in its time
 
-Document = dict[str, Any]  # a decoded JSON or TOML table
-
 
 class SocketAddress(NamedTuple):
     """A host and a port."""
--- a/runloft/config/toml_file.py
+++ b/runloft/config/toml_file.py
@@ -4,9 +4,9 @@
 import tomllib
 from dataclasses import dataclass
 
+from runloft.config.documents import Document
 from runloft.config.faults import Fault
 from runloft.config.reader import Reader
-from runloft.config.settings import Document
 
 MAX_FILE_BYTES = 8 << 20
 BYTE_ORDER_MARKS = (b"\xef\xbb\xbf", b"\xff\xfe", b"\xfe\xff")
--- a/runloft/config/write_command.py
+++ b/runloft/config/write_command.py
@@ -34,7 +34,7 @@
 
 
 def _write_from_fleet(options: argparse.Namespace) -> int:
-    if options.all == bool(options.application) or options.all != bool(options.output_dir):
+    if not _names_one_or_all(options):
         return usage_error("--fleet goes with --application NAME, or with --all and --output-dir DIR")
     checked = check_fleet_file(options.fleet, options.nodes)
     print_faults(checked.faults)
@@ -44,17 +44,25 @@
     if options.application and options.application not in applications:
         return usage_error(f'the fleet has no application "{options.application}"')
     names = None if options.all else [options.application]
-    status = 0
-    for file in generate_files(checked.fleet, names):
-        if options.all or options.output:
-            status = max(status, _write_file(options, file))
-        else:
-            sys.stdout.write(file.text)
-    return status
+    return max((_write(options, file) for file in generate_files(checked.fleet, names)), default=0)
+
+
+def _names_one_or_all(options: argparse.Namespace) -> bool:
+    """Return whether either one application is named, or all of them with a directory."""
+    one = bool(options.application) and not options.all and not options.output_dir
+    every = bool(options.all and options.output_dir) and not options.application
+    return one or every
+
+
+def _write(options: argparse.Namespace, file: GeneratedFile) -> int:
+    """Write one application's file, or print it; return the exit status."""
+    if options.all or options.output:
+        return _write_file(options, file)
+    sys.stdout.write(file.text)
+    return 0
 
 
 def _write_file(options: argparse.Namespace, file: GeneratedFile) -> int:
-    """Write one application's file; return the exit status."""
     path = Path(options.output) if options.output else Path(options.output_dir) / f"{file.application}.toml"
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
