--- a/runloft/config/platform_config.py
+++ b/runloft/config/platform_config.py
@@ -128,7 +128,7 @@
             path = f"settings.Classes.{index}"
             if row.deadline_ns <= 0:
                 self._faults.append(f"{path}.HardLimit: a positive time is wanted")
-            if row.aim_ns <= 0:
+            if row.latency_objective_ns <= 0:
                 self._faults.append(f"{path}.Target: a positive time is wanted")
             if pairs.get(f"Classes.{index}.Effect") not in (*EFFECTS, "fragile", None):
                 self._faults.append(f"{path}.Effect: one of {', '.join(EFFECTS)}, fragile is wanted")
--- a/runloft/config/settings_records.py
+++ b/runloft/config/settings_records.py
@@ -29,7 +29,7 @@
     deadline: int = setting("HardLimit", duration(1), description="deadline: a client waits no longer")
     priority_weight: float = setting("Importance", POSITIVE, 1.0, "worth of a request in time")
     late_fraction: float = setting("LateValue", FRACTION, 0.0, "part of the worth that a late answer earns")
-    effect: str = setting("Effect", Text((*EFFECTS, "fragile")), "fragile", "what a repeat may do")
+    idempotency: str = setting("Effect", Text((*EFFECTS, "fragile")), "fragile", "what a repeat may do")
     idempotency_scope: str = setting("Group", Text((*GROUPS, "cell")), "cell", "which nodes discard repeats")
     idempotency_window: int = setting("Window", duration(), 0, "how long repeats are discarded")
     in_order: bool = setting("InTurn", Boolean(), False, "whether requests on one key keep their order")
@@ -48,8 +48,8 @@
         ),
         Constraint(
             "window-missing",
-            ("idempotency_window", "effect"),
-            lambda window, effect: effect != "dedup" or window > 0,
+            ("idempotency_window", "idempotency"),
+            lambda window, idempotency: idempotency != "dedup" or window > 0,
             "repeats of a dedup class are discarded for a time, and it is 0",
             "a Window above 0",
         ),
--- a/runloft/config/wire_settings.py
+++ b/runloft/config/wire_settings.py
@@ -11,8 +11,8 @@
 
 from runloft.decisions import contract
 
-EFFECTS = {"retryable": contract.Effect.SAFE, "dedup": contract.Effect.KEYED}
-GROUPS = {"all": contract.Group.ALL, "zone": contract.Group.ZONE}
+EFFECTS = {"retryable": contract.Idempotency.IDEMPOTENT, "dedup": contract.Idempotency.IDEMPOTENT_WITH_KEY}
+GROUPS = {"all": contract.IdempotencyScope.ALL, "zone": contract.IdempotencyScope.ZONE}
 REPORT_FIELDS = {
     "rif": "inflight",
     "q": "queue",
@@ -90,27 +90,27 @@
         tick_ns=reader.integer("Tick", 1_000_000),
         mean_units=reader.number("Extra.UsualUnits", 1.0),
         max_units=reader.number("Extra.MaxUnits", 1.0),
-        share_worth=reader.number("Extra.WithinShare", 1.0),
-        spare_worth=reader.number("Extra.BeyondShare", 1.0),
-        cold_units=reader.number("Extra.ColdUnits"),
-        cold_from=reader.number("Safety.ColdFrom", 1.0),
-        cold_ns=reader.integer("Safety.Cold"),
-        fall_multiple=reader.number("Safety.FallMultiple", 1.0),
-        fall_ns=reader.integer("Safety.Fall"),
-        settle_ns=reader.integer("Safety.SettleAfterDoubt"),
-        budget_free=reader.number("Safety.ExtraFloor"),
-        budget_share=reader.number("Safety.ResendRatio"),
-        budget_window_ns=reader.integer("Safety.LookBack"),
+        within_quota_factor=reader.number("Extra.WithinShare", 1.0),
+        beyond_quota_factor=reader.number("Extra.BeyondShare", 1.0),
+        slow_start_units=reader.number("Extra.ColdUnits"),
+        slow_start_initial_fraction=reader.number("Safety.ColdFrom", 1.0),
+        slow_start_ns=reader.integer("Safety.Cold"),
+        overload_multiple=reader.number("Safety.FallMultiple", 1.0),
+        overload_window_ns=reader.integer("Safety.Fall"),
+        ambiguity_wait_ns=reader.integer("Safety.SettleAfterDoubt"),
+        retry_budget_base=reader.number("Safety.ExtraFloor"),
+        retry_budget_ratio=reader.number("Safety.ResendRatio"),
+        retry_budget_window_ns=reader.integer("Safety.LookBack"),
         max_attempts=reader.integer("Limits.AttemptsCap", 1),
         connect_timeout_ns=reader.integer("Limits.ConnectTimeout"),
         max_retry_after_ns=reader.integer("Limits.MaxRetryAfter"),
         may_cancel=reader.flag("Limits.Cancel"),
-        may_probe=reader.flag("Limits.MayProbe"),
-        may_duplicate=reader.flag("Limits.MayDuplicate"),
-        list_is_asked_for=reader.text("Discovery") == "subscribe",
-        ask_every_ns=reader.integer("Safety.AskEvery"),
-        meter_ns=reader.integer("Extra.UsePeriod"),
-        tells_elsewhere=reader.flag("Extra.TellsElsewhere"),
+        may_health_check=reader.flag("Limits.MayProbe"),
+        may_hedge=reader.flag("Limits.MayDuplicate"),
+        list_is_polled=reader.text("Discovery") == "subscribe",
+        poll_interval_ns=reader.integer("Safety.AskEvery"),
+        load_report_interval_ns=reader.integer("Extra.UsePeriod"),
+        reports_load_elsewhere=reader.flag("Extra.TellsElsewhere"),
         report_fields=_report_fields(reader),
     )
 
@@ -130,13 +130,13 @@
 def _class(row: _Reader, writes: bool) -> contract.ClassSettings:
     deadline_ns = row.integer("HardLimit")
     return contract.ClassSettings(
-        aim_ns=row.integer("Target", deadline_ns),
+        latency_objective_ns=row.integer("Target", deadline_ns),
         deadline_ns=deadline_ns,
-        worth=row.number("Importance", 1.0),
-        late_worth=row.number("LateValue"),
-        effect=EFFECTS.get(row.text("Effect"), contract.Effect.UNSAFE),
-        group=GROUPS.get(row.text("Group"), contract.Group.SHARD),
-        window_ns=row.integer("Window"),
+        priority_weight=row.number("Importance", 1.0),
+        late_priority_weight=row.number("LateValue"),
+        idempotency=EFFECTS.get(row.text("Effect"), contract.Idempotency.NOT_IDEMPOTENT),
+        idempotency_scope=GROUPS.get(row.text("Group"), contract.IdempotencyScope.SHARD),
+        idempotency_window_ns=row.integer("Window"),
         in_order=row.flag("InTurn"),
         streamed=row.flag("Streamed"),
         writes=writes,
--- a/tests/accounts/test_unchanged_totals.py
+++ b/tests/accounts/test_unchanged_totals.py
@@ -5,11 +5,11 @@
 import random
 
 from runloft.accounts.ledger import Ledger
-from runloft.decisions.contract import Ending
+from runloft.decisions.contract import AttemptOutcome
 from tests.support.driver import settings
 
 EXPECTED = "8ad36c56d86b38a5af01c6aefb99ab2a98ac36a29a8ce828c0e75070441c9341"
-ENDINGS = (Ending.OK, Ending.ERROR, Ending.MOOT)
+OUTCOMES = (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.NOT_SENT)
 
 
 def rendered(totals):
@@ -51,7 +51,7 @@
             case 5:
                 ledger.written(attempt, now)
             case 6:
-                ledger.returned(attempt, now, generator.choice(ENDINGS))
+                ledger.returned(attempt, now, generator.choice(OUTCOMES))
             case 7:
                 ledger.reading(attempt, now)
             case _:
--- a/tests/core/test_any_settings.py
+++ b/tests/core/test_any_settings.py
@@ -11,25 +11,25 @@
 from runloft.config.platform_config import config_from_json
 from runloft.core.model import (
     AbortAttempt,
-    Answer,
+    AttemptFinished,
+    ClientDisconnected,
     Dispatch,
-    Ended,
     Failed,
-    Left,
+    InvalidRequest,
     NodeListUpdate,
     NodeUpdate,
-    Refused,
-    Rejected,
+    RequestReceived,
+    SendResponse,
     Served,
-    Taken,
+    Shed,
 )  # fmt: skip
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Effect, Ending, Group, ListKind, NodeState
+from runloft.decisions.contract import AttemptOutcome, Idempotency, IdempotencyScope, ListKind, NodeState
 from runloft.listeners.grammar import Translator
 from tests.support.driver import MS, SECOND
 
-DOUBTFUL = (Ending.ERROR, Ending.RESET, Ending.TIMEOUT)
+DOUBTFUL = (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)
 TIMES = st.sampled_from([5, 20, 60, 150, 400, 1300, 5000, 30_000, 240_000])  # ms
 LETTER = st.characters(codec="utf-8", exclude_categories=("C", "Z"), exclude_characters=",")
 NAME = st.text(LETTER, min_size=1)
@@ -46,7 +46,7 @@
         "HardLimit": TIMES.map(lambda t: t * MS),
         "Effect": st.sampled_from(["retryable", "dedup", "fragile"]),
     },
-    Group=st.sampled_from(["all", "zone", "cell"]),
+    IdempotencyScope=st.sampled_from(["all", "zone", "cell"]),
     Window=TIMES.map(lambda t: t * MS),
     InTurn=st.booleans(),
     Importance=st.sampled_from([0, 0.5, 7]),
@@ -76,7 +76,7 @@
             table(
                 {},
                 AttemptsCap=st.integers(1, 4),
-                Cancel=st.booleans(),
+                CancelAttempt=st.booleans(),
                 MaxRetryAfter=st.sampled_from([0, 2 * SECOND]),
                 ConnectTimeout=TIMES.map(lambda t: t * MS),
             )
@@ -107,7 +107,7 @@
 
     def run(self):
         self.step(NodeListUpdate(ListKind.CACHED, tuple(self.nodes.values())))
-        span = max(klass.deadline_ns for klass in self.settings.classes)
+        span = max(request_class.deadline_ns for request_class in self.settings.classes)
         for _ in range(40):
             self.at(self.now + int(self.random.random() * min(span, 3 * SECOND)), self.ask)
         for _ in range(4):
@@ -127,8 +127,8 @@
         assert not self.open, "no final answer"
 
     def ask(self):
-        name, klass = self.random.choice(self.names)
-        facts = self.settings.classes[klass]
+        name, request_class = self.random.choice(self.names)
+        facts = self.settings.classes[request_class]
         time = max(30, facts.deadline_ns // MS)
         piece = self.random.randrange(3)  # 0: no key
         plan = self.random.choice(self.plans)  # each plan has a volume of its own
@@ -138,19 +138,19 @@
         asker = ResponseSink()
         ask = self.translator.ask(words)
         self.open[asker] = self.now + ask.time_left_ns
-        asker.ask, asker.klass = ask, facts
+        asker.ask, asker.request_class = ask, facts
         self.taken_at.append(self.now)
         if facts.in_order and ask.key:
             self.lines[ask.key].append(asker)
         if self.random.random() < 0.2:
             self.at(self.now + int(self.random.random() * ask.time_left_ns), lambda: self.leave(asker))
-        return Taken(asker, ask)
+        return RequestReceived(asker, ask)
 
     def leave(self, asker):
         if self.open.pop(asker, None) is None:
             return None
         asker.over = True
-        return Left(asker)
+        return ClientDisconnected(asker)
 
     def news(self):
         uid = self.random.choice(list(self.nodes))
@@ -162,62 +162,65 @@
 
     def step(self, *events):
         for event in events:
-            if isinstance(event, Ended):
-                self.ended(event.attempt, event.ending)
+            if isinstance(event, AttemptFinished):
+                self.ended(event.attempt, event.outcome)
         for effect in self.core.step(self.now, events):
             if isinstance(effect, Dispatch):
                 self.dispatched(effect)
             elif isinstance(effect, AbortAttempt):
-                self.ended(effect.attempt, Ending.TIMEOUT)
-            elif isinstance(effect, Answer):
+                self.ended(effect.attempt, AttemptOutcome.TIMEOUT)
+            elif isinstance(effect, SendResponse):
                 self.answered(effect.asker, effect.reply)
 
     def answered(self, asker, reply):
         assert self.now <= self.open.pop(asker) + self.settings.tick_ns
-        assert not isinstance(reply, Rejected)
+        assert not isinstance(reply, InvalidRequest)
         asker.over = True
-        keyed = asker.klass.effect is Effect.KEYED and asker.klass.group is Group.ALL
-        if isinstance(reply, Refused):
-            harmless = asker.klass.effect is Effect.SAFE or keyed
+        keyed = (
+            asker.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and asker.request_class.idempotency_scope is IdempotencyScope.ALL
+        )
+        if isinstance(reply, Shed):
+            harmless = asker.request_class.idempotency is Idempotency.IDEMPOTENT or keyed
             assert harmless or (asker.doubt_at is None and not asker.out)
-        assert isinstance(reply, Served | Failed | Refused)
+        assert isinstance(reply, Served | Failed | Shed)
 
-    def ended(self, number, ending):
+    def ended(self, number, outcome):
         if number not in self.attempts:
             return
         asker, at = self.attempts.pop(number)
         asker.out.discard(number)
-        if ending in DOUBTFUL and asker.doubt_at is None:
+        if outcome in DOUBTFUL and asker.doubt_at is None:
             asker.doubt_at = at
-        if ending in (Ending.TIMEOUT, Ending.RESET):
-            self.rest[asker.ask.key] = (self.now + self.settings.settle_ns, asker)
+        if outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET):
+            self.rest[asker.ask.key] = (self.now + self.settings.ambiguity_wait_ns, asker)
 
     def dispatched(self, order):
         attempt = self.core.attempts[order.attempt]
-        asker, klass, conf = attempt.request.asker, attempt.request.asker.klass, self.settings
+        asker, request_class, conf = attempt.request.asker, attempt.request.asker.request_class, self.settings
         assert not asker.over and not asker.out and asker.sends < conf.max_attempts
         assert self.nodes[order.node.uid].state is NodeState.READY
         assert asker.ask.shard in (None, order.node.shard)
         assert 0 < order.wait_ns <= self.open[asker] - self.now
         if asker.doubt_at is not None:
-            assert klass.effect is not Effect.UNSAFE
-            if klass.effect is Effect.KEYED:
-                assert self.now < asker.doubt_at + klass.window_ns
+            assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+            if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+                assert self.now < asker.doubt_at + request_class.idempotency_window_ns
                 first = self.nodes[asker.first]
-                same = {Group.ALL: True, Group.ZONE: first.zone == order.node.zone}
-                assert same.get(klass.group, first.shard == order.node.shard)
-        if klass.in_order and asker.ask.key:
+                same = {IdempotencyScope.ALL: True, IdempotencyScope.ZONE: first.zone == order.node.zone}
+                assert same.get(request_class.idempotency_scope, first.shard == order.node.shard)
+        if request_class.in_order and asker.ask.key:
             ahead = self.lines[asker.ask.key][: self.lines[asker.ask.key].index(asker)]
             assert all(other.over and not other.out for other in ahead)
             until, owner = self.rest.get(asker.ask.key, (0, asker))
-            if owner.klass.in_order and owner is not asker:
+            if owner.request_class.in_order and owner is not asker:
                 assert self.now >= until
         if asker.sends:
             self.extra_at.append(self.now)
-            if window := conf.budget_window_ns:
+            if window := conf.retry_budget_window_ns:
                 both = (self.extra_at, self.taken_at)
                 extra, taken = (sum(t > self.now - window for t in at) for at in both)
-                assert extra <= conf.budget_free + conf.budget_share * taken
+                assert extra <= conf.retry_budget_base + conf.retry_budget_ratio * taken
         elif (plan := conf.plans[asker.ask.plan]).limit:
             level, at = self.stores.get(asker.ask.plan, (plan.limit_burst, self.now))
             level = min(plan.limit_burst, level + plan.limit * (self.now - at) / SECOND) - asker.ask.units
@@ -229,10 +232,20 @@
         asker.out.add(order.attempt)
         self.attempts[order.attempt] = (asker, self.now)
         self.core.begin_attempt(order.attempt, order.wait_ns, self.now)
-        endings = [Ending.OK, Ending.ERROR, Ending.FULL, Ending.CONNECT_FAILED, Ending.RESET, None]
-        if (ending := self.random.choice(endings)) is not None:
-            delay = int(self.random.random() ** 3 * 2 * klass.aim_ns)
-            self.at(self.now + delay, Ended(order.attempt, ending, b"v" if ending is Ending.OK else None))
+        outcomes = [
+            AttemptOutcome.OK,
+            AttemptOutcome.ERROR,
+            AttemptOutcome.FULL,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.RESET,
+            None,
+        ]
+        if (outcome := self.random.choice(outcomes)) is not None:
+            delay = int(self.random.random() ** 3 * 2 * request_class.latency_objective_ns)
+            self.at(
+                self.now + delay,
+                AttemptFinished(order.attempt, outcome, b"v" if outcome is AttemptOutcome.OK else None),
+            )
 
 
 class ResponseSink:
--- a/tests/service/test_winding_down.py
+++ b/tests/service/test_winding_down.py
@@ -6,14 +6,21 @@
 import anyio
 import pytest
 
-from runloft.core.model import Answer, Closing, NodeListUpdate, NodeUpdate, Refused, Taken
+from runloft.core.model import (
+    NodeListUpdate,
+    NodeUpdate,
+    RequestReceived,
+    SendResponse,
+    Shed,
+    ShutdownStarted,
+)
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
-from runloft.decisions.contract import Effect, Ending, Fail, ListKind, Refuse
+from runloft.decisions.contract import AttemptOutcome, FailRequest, Idempotency, ListKind, ShedRequest
 from runloft.service.runner import FINISH_NS, Runner, wind_down
 from tests.core.test_core import Turns
-from tests.support.driver import MS, SECOND, Host, klass, settings
+from tests.support.driver import MS, SECOND, Host, request_class, settings
 
 KILL_NS = 700 * MS  # PROTOCOL: SIGKILL comes so long after the longest deadline, counted as 3 s at most
 
@@ -44,7 +51,7 @@
             self.next_at = self.scene.now + self.every
             payload = SimpleNamespace(wire="resp", held_bytes=1)
             ask = SimpleNamespace(payload=payload, time_left_ns=self.busy, **ASK)
-            self.scene.runner.post(Taken(ResponseSink(self), ask))
+            self.scene.runner.post(RequestReceived(ResponseSink(self), ask))
 
 
 class ResponseSink:
@@ -57,7 +64,7 @@
             self.front.scene.runner.deadlines.add(self.front.scene.now, self.front.close_if_idle)
 
 
-ASK = {"klass": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0, "key": 0, "volume_hosts": 1.0}
+ASK = {"request_class": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0, "key": 0, "volume_hosts": 1.0}
 ASK |= {"is_write": False, "is_client_retry": False, "id": b""}
 
 
@@ -66,7 +73,7 @@
 
     def __init__(self, deadline, every):
         self.now, deadlines = SECOND, TimerQueue()
-        self.core = Core(settings(klass(deadline=deadline)), 1, self.now, deadlines)
+        self.core = Core(settings(request_class(deadline=deadline)), 1, self.now, deadlines)
         self.runner = Runner(self.core, deadlines, lambda: self.now)
         self.runner.links["resp"] = SimpleNamespace(
             dispatch=lambda order: None, abandon=lambda n: None, listed=lambda n: None
@@ -132,25 +139,30 @@
 def test_closing_is_told_to_the_module_and_its_answers_go_out():
     turns = Turns()
     asker, _ = turns.take([])
-    effects = turns.step(Closing(), plan=[Refuse(1, SECOND)])
-    assert turns.script.told[-1] == contract.Closing()
-    assert effects == [Answer(asker, Refused(SECOND))]
+    effects = turns.step(ShutdownStarted(), plan=[ShedRequest(1, SECOND)])
+    assert turns.script.told[-1] == contract.ShutdownStarted()
+    assert effects == [SendResponse(asker, Shed(SECOND))]
 
 
 @pytest.mark.parametrize(
-    "effect, answer", [(Effect.SAFE, Refuse), (Effect.UNSAFE, Fail), (Effect.KEYED, Fail)]
+    "effect, answer",
+    [
+        (Idempotency.IDEMPOTENT, ShedRequest),
+        (Idempotency.NOT_IDEMPOTENT, FailRequest),
+        (Idempotency.IDEMPOTENT_WITH_KEY, FailRequest),
+    ],
 )
 def test_what_is_open_at_the_end_has_one_answer_that_fits_what_may_have_run(effect, answer):
-    host = Host(settings(klass(effect, aim=1000, deadline=9000)), at=SECOND)
+    host = Host(settings(request_class(effect, aim=1000, deadline=9000)), at=SECOND)
     sent = host.ask()
     held = host.ask(shard=7)  # no node has it
     done = host.ask()
     host.end(done)
-    host.see(contract.Closing())
-    host.see(contract.Closing())
+    host.see(contract.ShutdownStarted())
+    host.see(contract.ShutdownStarted())
     assert [type(a) for _, a in host.answers(sent)] == [answer]
-    assert [type(a) for _, a in host.answers(held)] == [Refuse]
+    assert [type(a) for _, a in host.answers(held)] == [ShedRequest]
     assert host.answers(held)[0][1].retry_after_ns > 0 and not host.answers(done)
-    host.end(sent, Ending.RESET)
+    host.end(sent, AttemptOutcome.RESET)
     host.wait(20_000)
     assert len(host.answers(sent)) == 1 and not host.scheduler.tickets
--- a/tests/upstream/test_crossings.py
+++ b/tests/upstream/test_crossings.py
@@ -10,17 +10,17 @@
 from runloft.config.platform_config import config_from_json
 from runloft.core.model import (
     AttemptWithdrawn,
+    ClientDisconnected,
     Failed,
-    Left,
     NodeListUpdate,
     NodeUpdate,
-    Refused,
+    RequestReceived,
     RequestSpec,
-    Taken,
+    Shed,
 )
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
-from runloft.decisions.contract import Ending, ListKind, NodeState
+from runloft.decisions.contract import AttemptOutcome, ListKind, NodeState
 from runloft.net.sockets import close, connect, connecting
 from runloft.service.runner import Runner
 from runloft.upstream import links
@@ -39,7 +39,7 @@
     def answer(self, reply):
         self.replies.append(reply)
 
-    def has_left(self):
+    def has_disconnected(self):
         return self.left
 
 
@@ -88,7 +88,7 @@
     def take(self, deadline=2000, id_=ID, *body):
         asker = ResponseSink()
         payload = RespPayload((b"IO.IN", b"7f3a9c21e0b4d655", id_, *body), b"d=", b"")
-        self.runner.post(Taken(asker, RequestSpec(0, 0, 1, 1.0, deadline * MS, 0, payload, id=id_)))
+        self.runner.post(RequestReceived(asker, RequestSpec(0, 0, 1, 1.0, deadline * MS, 0, payload, id=id_)))
         self.runner.turn()
         return asker
 
@@ -124,7 +124,7 @@
 
 LIMITS = {"Limits": settings()["Limits"] | {"Cancel": False}}
 CROSSINGS = {
-    "its client leaves": lambda scene, asker: scene.runner.post(Left(asker)),
+    "its client leaves": lambda scene, asker: scene.runner.post(ClientDisconnected(asker)),
     "its node is to drain": lambda scene, _: scene.tell(ListKind.DELTA, state=NodeState.DRAINING),
     "its node is gone": lambda scene, _: scene.tell(uid="s-2", endpoint="127.0.0.1:1"),
     "its node starts anew": lambda scene, _: scene.tell(ListKind.DELTA, started_ns=scene.now),
@@ -206,7 +206,9 @@
         scene.up.set()
         body = b"x" * (8 << 20)  # more than the system takes before the node reads
         payload = RespPayload((b"IO.OUT", b"7f3a9c21e0b4d655", ID, body), b"d=", b"")
-        scene.runner.post(Taken(ResponseSink(), RequestSpec(0, 0, 1, 1.0, 2000 * MS, 0, payload, id=ID)))
+        scene.runner.post(
+            RequestReceived(ResponseSink(), RequestSpec(0, 0, 1, 1.0, 2000 * MS, 0, payload, id=ID))
+        )
         scene.turn()
         conn = await scene.node()
         connection = next(iter(scene.link.open))
@@ -268,7 +270,7 @@
         asker = scene.take()
         assert scene.link.waiting
         scene.link.most = 8
-        scene.runner.post(Left(asker))
+        scene.runner.post(ClientDisconnected(asker))
         scene.turn()
         scene.turn(10)
         assert not scene.link.waiting and not scene.link.open
@@ -350,7 +352,7 @@
         assert len(scene.link.open) == 1 and not scene.runner.events
         scene.turn(20)
         await until(lambda: scene.runner.events)
-        assert scene.runner.events[0].ending is Ending.CONNECT_FAILED
+        assert scene.runner.events[0].outcome is AttemptOutcome.CONNECT_FAILED
         assert not scene.link.open and not scene.link.out
         scene.turn()
         scene.turn(100)
@@ -365,11 +367,13 @@
     play(monkeypatch, story)
 
 
-UNSAFE = {"Classes": [c | {"Effect": "fragile"} for c in settings()["Classes"]]}
+NOT_IDEMPOTENT = {"Classes": [c | {"Effect": "fragile"} for c in settings()["Classes"]]}
 
 
-@pytest.mark.parametrize("size, sends, ending", [(0, 1, Ending.RESET), (8 << 20, 2, Ending.CONNECT_FAILED)])
-def test_a_reset_before_the_last_byte_proves_that_nothing_ran(monkeypatch, size, sends, ending):
+@pytest.mark.parametrize(
+    "size, sends, ending", [(0, 1, AttemptOutcome.RESET), (8 << 20, 2, AttemptOutcome.CONNECT_FAILED)]
+)
+def test_a_reset_before_the_last_byte_proves_that_nothing_ran(monkeypatch, size, sends, outcome):
     """A class that may not be repeated is sent again then, and fails where all of it had left."""
 
     async def story(scene):
@@ -381,13 +385,13 @@
         scene.up = anyio.Event()
         reset(conn)
         await until(lambda: scene.runner.events)
-        assert scene.runner.events[0].ending is ending
+        assert scene.runner.events[0].outcome is outcome
         scene.turn()
         scene.turn(100)
         assert (not asker.replies) == (sends == 2) == bool(scene.core.attempts)
         assert all(isinstance(reply, Failed) for reply in asker.replies)
 
-    play(monkeypatch, story, **UNSAFE)
+    play(monkeypatch, story, **NOT_IDEMPOTENT)
 
 
 def test_a_further_attempt_tells_its_node_no_more_than_is_left_to_the_client(monkeypatch):
@@ -433,7 +437,7 @@
                 scene.up = anyio.Event()
             askers.append(scene.take(400, b"%016x" % number))
             if number % 7 == 0:
-                scene.runner.post(Left(askers[-1]))
+                scene.runner.post(ClientDisconnected(askers[-1]))
             for _ in range(10):
                 await anyio.sleep(0)
                 look()
@@ -493,7 +497,7 @@
         monkeypatch.setattr(links, "connect", failing)
         asker = scene.take()
         await until(lambda: scene.link.waiting)
-        scene.runner.post(Left(asker))
+        scene.runner.post(ClientDisconnected(asker))
         scene.turn()
         assert not (scene.link.waiting or scene.link.open or scene.core.attempts)
 
@@ -554,7 +558,7 @@
         assert scene.core.attempts  # its connection is not up
         scene.turn(198)
         scene.turn(5)
-        assert [type(reply) for reply in asker.replies] == [Refused]
+        assert [type(reply) for reply in asker.replies] == [Shed]
 
     rows = settings()["Classes"]
     classes = [rows[0] | {"Effect": "fragile"}, rows[1]]
