--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -30,10 +30,10 @@
 )
 from runloft.agreement.store import AgreementStore, StoreError
 from runloft.config.faults import blocking_faults
-from runloft.config.fleet_check import check_fleet_file
-from runloft.config.output import print_faults, print_table, usage_error
 from runloft.config.platform_config import agreement_settings
 from runloft.config.settings import FENCE_LEASES, AgreementSettings
+from runloft.config.tool.fleet_check import check_fleet_file
+from runloft.config.tool.output import print_faults, print_table, usage_error
 
 HASTE = 10  # after a lost reply it looks so many times sooner
 ASKS = 10  # looks at the store in the time of a lease
@@ -61,7 +61,7 @@
             {"store": options.store, "directory": "", "prefix": options.prefix, "lease_ms": options.lease_ms}
         )
     if not raws and getattr(options, "config", None):
-        from runloft.config.operator_file import check_file
+        from runloft.config.operator.file import check_file
 
         raws = [check_file(options.config).document]
     for raw in raws:
@@ -95,8 +95,8 @@
 
 def _out(options: argparse.Namespace) -> int:
     from runloft.agreement.planning import wanted, ways
-    from runloft.config.comparison import compare_files
-    from runloft.config.operator_file import check_file
+    from runloft.config.comparison.files import compare_files
+    from runloft.config.operator.file import check_file
 
     directory = Path(options.directory)
     fleet_file = options.fleet or str(directory / "fleet.toml")
--- a/runloft/agreement/content.py
+++ b/runloft/agreement/content.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from runloft.config.faults import Fault, blocking_faults
-from runloft.config.operator_file import read_operator
-from runloft.config.reader import Reader
-from runloft.config.settings_records import SHARED_KEYS
+from runloft.config.operator.file import read_operator
+from runloft.config.operator.settings_records import SHARED_KEYS
+from runloft.config.schema.reader import Reader
 
 FORMAT = 1
 VOLUME = ("id", "plan", "hosts")
--- a/runloft/agreement/planning.py
+++ b/runloft/agreement/planning.py
@@ -6,10 +6,10 @@
 from runloft.agreement.content import Content, between, content_of, joined
 from runloft.agreement.rollout import CanNotError
 from runloft.config.faults import Fault, blocking_faults
-from runloft.config.feasibility import check_feasibility
-from runloft.config.fleet import Fleet, Volume
-from runloft.config.records import settings_of
-from runloft.config.settings_records import PlanRecord
+from runloft.config.feasibility.check import check_feasibility
+from runloft.config.fleet.model import Fleet, Volume
+from runloft.config.operator.settings_records import PlanRecord
+from runloft.config.schema.records import settings_of
 
 KEYS = {one.key: name for name, one in settings_of(PlanRecord).items()}
 
--- a/runloft/config/commands.py
+++ b/runloft/config/commands.py
@@ -6,7 +6,7 @@
 import argparse
 from typing import Any
 
-from runloft.config.output import usage_error
+from runloft.config.tool.output import usage_error
 
 
 def add_parsers(actions: Any) -> None:
@@ -65,19 +65,19 @@
     try:
         match options.action:
             case "write":
-                from runloft.config import write_command
+                from runloft.config.tool import write_command
 
                 return write_command.run(options)
             case "check":
-                from runloft.config import check_command
+                from runloft.config.tool import check_command
 
                 return check_command.run(options)
             case "explain":
-                from runloft.config import explain_command
+                from runloft.config.tool import explain_command
 
                 return explain_command.run(options)
             case "diff":
-                from runloft.config import diff_command
+                from runloft.config.tool import diff_command
 
                 return diff_command.run(options)
     except ModuleNotFoundError as error:
--- /dev/null
+++ b/runloft/config/comparison/__init__.py
@@ -0,0 +1,1 @@
+"""Several files side by side, and what a change does."""
--- a/runloft/config/claims.py
+++ b/runloft/config/comparison/claims.py
@@ -6,12 +6,12 @@
 
 from runloft.config.documents import KeyPath
 from runloft.config.faults import Fault, Severity
-from runloft.config.fleet import Fleet
-from runloft.config.generator import Generator
-from runloft.config.operator_file import CheckedFile
-from runloft.config.operator_records import AgreementRecord, ObjectsRecord, OperatorRecord
-from runloft.config.records import Record, settings_of
-from runloft.config.settings_records import SHARED_KEYS, ClassRecord, PlanRecord, SettingsRecord
+from runloft.config.fleet.generator import Generator
+from runloft.config.fleet.model import Fleet
+from runloft.config.operator.file import CheckedFile
+from runloft.config.operator.records import AgreementRecord, ObjectsRecord, OperatorRecord
+from runloft.config.operator.settings_records import SHARED_KEYS, ClassRecord, PlanRecord, SettingsRecord
+from runloft.config.schema.records import Record, settings_of
 
 OWN_AGREEMENT_FIELDS = ("store", "directory", "cut_off")  # a machine's own matter
 FLEET_TABLES = {"Classes": "classes", "ServiceLevels": "plans"}  # of an operator's file -> of the fleet's
--- a/runloft/config/diff.py
+++ b/runloft/config/comparison/diff.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from fractions import Fraction
 
-from runloft.config.fleet import Fleet
-from runloft.config.operator_records import OperatorRecord
-from runloft.config.reserve_assignment import SCALE, assign_reserves, reserve_demands, shard_capacities
-from runloft.config.settings_records import PlanRecord
+from runloft.config.feasibility.assignment import SCALE, assign_reserves, reserve_demands, shard_capacities
+from runloft.config.fleet.model import Fleet
+from runloft.config.operator.records import OperatorRecord
+from runloft.config.operator.settings_records import PlanRecord
 
 COMPARED_FIGURES = ("plan", "reserve", "weight", "limit", "hosts")  # these names are printed
 MIN_SHARE_CHANGE = 0.01  # of the larger share; smaller changes are not reported
--- a/runloft/config/comparison.py
+++ b/runloft/config/comparison/files.py
@@ -7,14 +7,14 @@
 from collections import defaultdict
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 
-from runloft.config.claims import Claim, Topic, statements_of_fleet, statements_of_operator
+from runloft.config.comparison.claims import Claim, Topic, statements_of_fleet, statements_of_operator
+from runloft.config.comparison.volumes import compare_volumes
 from runloft.config.faults import Fault, Severity
-from runloft.config.fleet import Fleet
-from runloft.config.kinds import quote_value
-from runloft.config.machine_checks import check_node_connections
-from runloft.config.operator_file import CheckedFile
-from runloft.config.operator_records import OperatorRecord
-from runloft.config.volume_comparison import compare_volumes
+from runloft.config.fleet.model import Fleet
+from runloft.config.operator.file import CheckedFile
+from runloft.config.operator.machine_checks import check_node_connections
+from runloft.config.operator.records import OperatorRecord
+from runloft.config.schema.kinds import quote_value
 
 
 def compare_files(files: Iterable[CheckedFile], fleet: Fleet | None = None) -> list[Fault]:
--- a/runloft/config/volume_comparison.py
+++ b/runloft/config/comparison/volumes.py
@@ -3,11 +3,11 @@
 from collections import defaultdict
 from collections.abc import Iterator, Mapping, Sequence
 
-from runloft.config.claims import Claim
+from runloft.config.comparison.claims import Claim
 from runloft.config.faults import Fault, Severity
-from runloft.config.fleet import Fleet
-from runloft.config.operator_file import CheckedFile
-from runloft.config.operator_records import VolumeRecord
+from runloft.config.fleet.model import Fleet
+from runloft.config.operator.file import CheckedFile
+from runloft.config.operator.records import VolumeRecord
 
 
 def compare_volumes(files: Sequence[CheckedFile], fleet: Fleet | None) -> Iterator[Fault]:
--- /dev/null
+++ b/runloft/config/feasibility/__init__.py
@@ -0,0 +1,1 @@
+"""Whether a fleet's nodes can serve its volumes' reserves."""
--- a/runloft/config/reserve_assignment.py
+++ b/runloft/config/feasibility/assignment.py
@@ -9,8 +9,8 @@
 from fractions import Fraction
 from math import ceil, floor
 
-from runloft.config.fleet import NodeRate, Volume
-from runloft.config.flow_solver import ShardGroup, max_flow
+from runloft.config.feasibility.flow_solver import ShardGroup, max_flow
+from runloft.config.fleet.model import NodeRate, Volume
 
 SCALE = 1000  # figures are thousandths of a unit a second
 
--- a/runloft/config/feasibility.py
+++ b/runloft/config/feasibility/check.py
@@ -10,9 +10,7 @@
 from fractions import Fraction
 
 from runloft.config.faults import Fault, Severity
-from runloft.config.fleet import Fleet, NodeRate, Volume
-from runloft.config.reader import Reader
-from runloft.config.reserve_assignment import (
+from runloft.config.feasibility.assignment import (
     SCALE,
     Assignment,
     Demand,
@@ -20,7 +18,9 @@
     reserve_demands,
     shard_capacities,
 )
-from runloft.config.reserve_conflicts import find_conflicts
+from runloft.config.feasibility.conflicts import find_conflicts
+from runloft.config.fleet.model import Fleet, NodeRate, Volume
+from runloft.config.schema.reader import Reader
 
 
 def check_feasibility(fleet: Fleet, other_volumes: Iterable[Volume] = ()) -> list[Fault]:
--- a/runloft/config/reserve_conflicts.py
+++ b/runloft/config/feasibility/conflicts.py
@@ -6,8 +6,8 @@
 from itertools import combinations
 from typing import TypeVar
 
-from runloft.config.kinds import join_names
-from runloft.config.reserve_assignment import SCALE, Assignment, Demand
+from runloft.config.feasibility.assignment import SCALE, Assignment, Demand
+from runloft.config.schema.kinds import join_names
 
 MAX_SHARDS_SEARCHED = 8  # of a volume, for which all their subsets are looked at
 MAX_CONFLICTS = 20  # that are reported
--- /dev/null
+++ b/runloft/config/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""A fleet file: its records, its checks, and the operators' files that it generates."""
--- a/runloft/config/fleet_checks.py
+++ b/runloft/config/fleet/checks.py
@@ -5,17 +5,17 @@
 
 from runloft.config.documents import KeyPath
 from runloft.config.faults import nearest_word
-from runloft.config.fleet import Fleet, Node, Volume
-from runloft.config.fleet_records import (
+from runloft.config.fleet.model import Fleet, Node, Volume
+from runloft.config.fleet.records import (
     RESTATABLE_PLAN_KEYS,
     ApplicationRecord,
     FleetRecord,
     FleetVolumeRecord,
     NodeRecord,
 )
-from runloft.config.layers import Layer, unify
-from runloft.config.records import document_of
-from runloft.config.settings_records import ClassRecord, PlanRecord
+from runloft.config.operator.settings_records import ClassRecord, PlanRecord
+from runloft.config.schema.layers import Layer, unify
+from runloft.config.schema.records import document_of
 
 MAX_SHARDS_LISTED = 8
 SHARE_TOLERANCE = 1e-9  # of rounding, in a sum that may be 1
--- a/runloft/config/fleet_file.py
+++ b/runloft/config/fleet/file.py
@@ -12,12 +12,12 @@
 
 from runloft.config.documents import Document
 from runloft.config.faults import Fault, Severity
-from runloft.config.fleet import Fleet
-from runloft.config.fleet_checks import check_fleet
-from runloft.config.fleet_records import FleetRecord, ServiceRecord
-from runloft.config.generated_checks import check_generated_files
-from runloft.config.node_list import read_node_list
-from runloft.config.toml_file import TomlFile, parse_toml, read_toml
+from runloft.config.fleet.checks import check_fleet
+from runloft.config.fleet.generated_checks import check_generated_files
+from runloft.config.fleet.model import Fleet
+from runloft.config.fleet.node_list import read_node_list
+from runloft.config.fleet.records import FleetRecord, ServiceRecord
+from runloft.config.schema.toml_file import TomlFile, parse_toml, read_toml
 
 LAYER_KEYS = ("settings", "limits")  # tables that become layers of each application's file
 
--- a/runloft/config/generated_checks.py
+++ b/runloft/config/fleet/generated_checks.py
@@ -6,11 +6,11 @@
 
 from runloft.config.documents import Document, KeyPath
 from runloft.config.faults import Fault, Violation
-from runloft.config.fleet import Fleet
-from runloft.config.generator import Generator
-from runloft.config.operator_checks import check_record
-from runloft.config.operator_records import OperatorRecord
-from runloft.config.reader import Reader
+from runloft.config.fleet.generator import Generator
+from runloft.config.fleet.model import Fleet
+from runloft.config.operator.checks import check_record
+from runloft.config.operator.records import OperatorRecord
+from runloft.config.schema.reader import Reader
 
 
 def check_generated_files(fleet: Fleet) -> None:
--- a/runloft/config/generated_file.py
+++ b/runloft/config/fleet/generated_file.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 
 from runloft.config.documents import Document
-from runloft.config.fleet import Fleet
-from runloft.config.generator import Generator
-from runloft.config.reader import Reader
+from runloft.config.fleet.generator import Generator
+from runloft.config.fleet.model import Fleet
+from runloft.config.schema.reader import Reader
 from runloft.errors import RunloftError
 
 DIGEST_PREFIX = "# content "
--- a/runloft/config/generator.py
+++ b/runloft/config/fleet/generator.py
@@ -3,12 +3,12 @@
 from typing import Any
 
 from runloft.config.documents import Document
-from runloft.config.fleet import Fleet, Volume
-from runloft.config.fleet_records import ApplicationRecord
-from runloft.config.layers import Layer, unify
-from runloft.config.operator_records import OperatorRecord
-from runloft.config.reader import Reader
-from runloft.config.records import document_of
+from runloft.config.fleet.model import Fleet, Volume
+from runloft.config.fleet.records import ApplicationRecord
+from runloft.config.operator.records import OperatorRecord
+from runloft.config.schema.layers import Layer, unify
+from runloft.config.schema.reader import Reader
+from runloft.config.schema.records import document_of
 
 FLEET_CLASS_KEYS = ("work_ms", "share", "writes")  # of the fleet's classes alone
 
--- a/runloft/config/fleet.py
+++ b/runloft/config/fleet/model.py
@@ -5,9 +5,9 @@
 from fractions import Fraction
 
 from runloft.config.faults import Fault
-from runloft.config.fleet_records import FleetRecord, MachineRecord
-from runloft.config.reader import Reader
-from runloft.config.settings_records import PlanRecord
+from runloft.config.fleet.records import FleetRecord, MachineRecord
+from runloft.config.operator.settings_records import PlanRecord
+from runloft.config.schema.reader import Reader
 
 MS_PER_S = 1000
 
--- a/runloft/config/node_list.py
+++ b/runloft/config/fleet/node_list.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from runloft.config.faults import Fault, Severity, nearest_word
-from runloft.config.fleet import Node
-from runloft.config.fleet_records import NODE_STATES, MachineRecord
-from runloft.config.kinds import quote_value
-from runloft.config.reader import Reader
+from runloft.config.fleet.model import Node
+from runloft.config.fleet.records import NODE_STATES, MachineRecord
+from runloft.config.schema.kinds import quote_value
+from runloft.config.schema.reader import Reader
 
 LIST_FORM = "a list in discovery's form"
 
--- a/runloft/config/fleet_records.py
+++ b/runloft/config/fleet/records.py
@@ -2,12 +2,22 @@
 
 import attrs
 
-from runloft.config import kinds
 from runloft.config.documents import Document
-from runloft.config.kinds import Address, Boolean, HexNumber, ListOf, Number, Range, Text, count, milliseconds
-from runloft.config.operator_records import STORE_URL, AgreementRecord
-from runloft.config.records import Named, Record, Rows, Table, setting
-from runloft.config.settings_records import POSITIVE, ClassRecord, PlanRecord
+from runloft.config.operator.records import STORE_URL, AgreementRecord
+from runloft.config.operator.settings_records import POSITIVE, ClassRecord, PlanRecord
+from runloft.config.schema import kinds
+from runloft.config.schema.kinds import (
+    Address,
+    Boolean,
+    HexNumber,
+    ListOf,
+    Number,
+    Range,
+    Text,
+    count,
+    milliseconds,
+)
+from runloft.config.schema.records import Named, Record, Rows, Table, setting
 
 NODE_STATES = ("in_service", "terminating", "terminated")
 RESTATABLE_PLAN_KEYS = ("BaseRate", "Guaranteed", "Parts", "ValueFactor", "Limit")  # by a volume
--- a/runloft/config/loading.py
+++ b/runloft/config/loading.py
@@ -43,7 +43,7 @@
 def _load_toml(path: str, data: bytes | None) -> Config:
     """Load an operator's file; None stands for a file that is read again for the reason."""
     # Loaded here: the platform's JSON needs neither the records' memory nor their start-up time.
-    from runloft.config.operator_file import check_file, check_text
+    from runloft.config.operator.file import check_file, check_text
 
     checked = check_file(path) if data is None else check_text(path, data)
     if faults := blocking_faults(checked.faults):
--- a/runloft/config/operator_checks.py
+++ b/runloft/config/operator/checks.py
@@ -5,19 +5,24 @@
 
 from collections.abc import Iterator
 
-from runloft.config.agreement_checks import check_agreement
 from runloft.config.documents import KeyPath
 from runloft.config.faults import Severity, Violation
-from runloft.config.machine_checks import (
+from runloft.config.operator.agreement_checks import check_agreement
+from runloft.config.operator.machine_checks import (
     check_clients,
     check_descriptors,
     check_memory,
     check_node_connections,
     request_memory_mb,
 )
-from runloft.config.object_checks import check_objects
-from runloft.config.operator_records import OperatorRecord
-from runloft.config.settings_records import ExtraRecord, PermissionsRecord, PlanRecord, SettingsRecord
+from runloft.config.operator.object_checks import check_objects
+from runloft.config.operator.records import OperatorRecord
+from runloft.config.operator.settings_records import (
+    ExtraRecord,
+    PermissionsRecord,
+    PlanRecord,
+    SettingsRecord,
+)
 
 ANY_ADDRESS = frozenset(("0.0.0.0", "[::]"))
 SECONDS_PER_MINUTE = 60
--- a/runloft/config/operator_file.py
+++ b/runloft/config/operator/file.py
@@ -6,11 +6,11 @@
 
 from runloft.config.documents import Document
 from runloft.config.faults import Fault
-from runloft.config.operator_checks import check_record
-from runloft.config.operator_records import OperatorRecord
-from runloft.config.reader import Reader
-from runloft.config.records import document_of
-from runloft.config.toml_file import TomlFile, parse_toml, read_toml
+from runloft.config.operator.checks import check_record
+from runloft.config.operator.records import OperatorRecord
+from runloft.config.schema.reader import Reader
+from runloft.config.schema.records import document_of
+from runloft.config.schema.toml_file import TomlFile, parse_toml, read_toml
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/config/machine_checks.py
+++ b/runloft/config/operator/machine_checks.py
@@ -10,7 +10,7 @@
 
 from runloft.config.documents import KeyPath
 from runloft.config.faults import Severity, Violation
-from runloft.config.operator_records import MachineLimitsRecord, OperatorRecord
+from runloft.config.operator.records import MachineLimitsRecord, OperatorRecord
 from runloft.config.settings import MEMORY_MB, PROGRAM_MB
 
 # Descriptors.
--- a/runloft/config/object_checks.py
+++ b/runloft/config/operator/object_checks.py
@@ -4,10 +4,10 @@
 
 from runloft.config.documents import KeyPath
 from runloft.config.faults import Severity, Violation, nearest_word
-from runloft.config.machine_checks import MIN_REQUEST_MEMORY_MB
-from runloft.config.operator_records import ObjectsRecord, VolumeRecord
+from runloft.config.operator.machine_checks import MIN_REQUEST_MEMORY_MB
+from runloft.config.operator.records import ObjectsRecord, VolumeRecord
+from runloft.config.operator.settings_records import SettingsRecord
 from runloft.config.settings import OPERATIONS
-from runloft.config.settings_records import SettingsRecord
 
 WRITE_OPERATIONS = ("put", "part")
 BODY_MEMORY_DIVISOR = 8  # a body is held whole, to be sent again: it may take this part of the memory
--- a/runloft/config/operator_records.py
+++ b/runloft/config/operator/records.py
@@ -4,10 +4,10 @@
 
 import attrs
 
-from runloft.config import kinds
-from runloft.config.kinds import Address, HexNumber, Number, Text, count, milliseconds, size
-from runloft.config.records import Named, Record, Table, setting
-from runloft.config.settings_records import POSITIVE, SettingsRecord
+from runloft.config.operator.settings_records import POSITIVE, SettingsRecord
+from runloft.config.schema import kinds
+from runloft.config.schema.kinds import Address, HexNumber, Number, Text, count, milliseconds, size
+from runloft.config.schema.records import Named, Record, Table, setting
 
 STORE_URL = Text(pattern=re.compile(r"redis://[^\s/]+:\d{1,5}(/\d+)?"), form="redis://host:port/0")
 FENCED_MODES = Text(pattern=re.compile("unreserved|hold"), form='"unreserved" or "hold"')
--- a/runloft/config/settings_records.py
+++ b/runloft/config/operator/settings_records.py
@@ -2,9 +2,9 @@
 
 import attrs
 
-from runloft.config import kinds
-from runloft.config.kinds import Boolean, ListOf, Number, Text, count, duration
-from runloft.config.records import Constraint, Record, Rows, Table, setting
+from runloft.config.schema import kinds
+from runloft.config.schema.kinds import Boolean, ListOf, Number, Text, count, duration
+from runloft.config.schema.records import Constraint, Record, Rows, Table, setting
 from runloft.config.wire_settings import EFFECTS, GROUPS, REPORT_FIELDS
 
 POSITIVE = Number(above=0.0, maximum=1e9)
--- a/runloft/config/layers.py
+++ b/runloft/config/schema/layers.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from runloft.config.documents import Document, KeyPath
-from runloft.config.kinds import quote_value
-from runloft.config.reader import Reader
+from runloft.config.schema.kinds import quote_value
+from runloft.config.schema.reader import Reader
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/config/records.py
+++ b/runloft/config/schema/records.py
@@ -13,7 +13,7 @@
 
 from runloft.config.documents import Document
 from runloft.config.faults import Severity
-from runloft.config.kinds import Kind
+from runloft.config.schema.kinds import Kind
 
 REQUIRED = object()
 
--- a/runloft/config/toml_file.py
+++ b/runloft/config/schema/toml_file.py
@@ -6,7 +6,7 @@
 
 from runloft.config.documents import Document
 from runloft.config.faults import Fault
-from runloft.config.reader import Reader
+from runloft.config.schema.reader import Reader
 
 MAX_FILE_BYTES = 8 << 20
 BYTE_ORDER_MARKS = (b"\xef\xbb\xbf", b"\xff\xfe", b"\xfe\xff")
--- /dev/null
+++ b/runloft/config/tool/__init__.py
@@ -0,0 +1,1 @@
+"""The actions of ``runloft config`` and what they print."""
--- a/runloft/config/check_command.py
+++ b/runloft/config/tool/check_command.py
@@ -3,13 +3,13 @@
 import argparse
 import json
 
-from runloft.config.comparison import compare_files
+from runloft.config.comparison.files import compare_files
 from runloft.config.faults import ConfigError, Fault, blocking_faults
-from runloft.config.fleet import Fleet
-from runloft.config.fleet_check import check_fleet_file
+from runloft.config.fleet.model import Fleet
 from runloft.config.loading import load_config
-from runloft.config.operator_file import check_file
-from runloft.config.output import print_faults, usage_error
+from runloft.config.operator.file import check_file
+from runloft.config.tool.fleet_check import check_fleet_file
+from runloft.config.tool.output import print_faults, usage_error
 
 
 def run(options: argparse.Namespace) -> int:
--- a/runloft/config/diff_command.py
+++ b/runloft/config/tool/diff_command.py
@@ -5,12 +5,18 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import asdict, dataclass
 
-from runloft.config.diff import Change, VolumeFigures, figures_of_fleet, figures_of_operator, find_changes
+from runloft.config.comparison.diff import (
+    Change,
+    VolumeFigures,
+    figures_of_fleet,
+    figures_of_operator,
+    find_changes,
+)
 from runloft.config.faults import Fault, Severity, blocking_faults
-from runloft.config.fleet_check import check_fleet_file
-from runloft.config.operator_file import check_file
-from runloft.config.output import print_faults, print_table, usage_error
-from runloft.config.toml_file import read_toml
+from runloft.config.operator.file import check_file
+from runloft.config.schema.toml_file import read_toml
+from runloft.config.tool.fleet_check import check_fleet_file
+from runloft.config.tool.output import print_faults, print_table, usage_error
 
 COLUMNS = ("volume", "figure", "old", "new", "on")
 # Reserves that can't be served don't keep a fleet from being compared.
--- a/runloft/config/explain_command.py
+++ b/runloft/config/tool/explain_command.py
@@ -2,9 +2,9 @@
 
 import argparse
 
-from runloft.config.explanation import explain, find_keys, known_keys
 from runloft.config.faults import nearest_word
-from runloft.config.output import print_error
+from runloft.config.tool.explanation import explain, find_keys, known_keys
+from runloft.config.tool.output import print_error
 
 LABEL_WIDTH = 11
 
--- a/runloft/config/explanation.py
+++ b/runloft/config/tool/explanation.py
@@ -3,9 +3,18 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from runloft.config.fleet_records import FleetRecord
-from runloft.config.operator_records import OperatorRecord
-from runloft.config.records import REQUIRED, Constraint, Named, Record, Rows, Setting, Table, settings_of
+from runloft.config.fleet.records import FleetRecord
+from runloft.config.operator.records import OperatorRecord
+from runloft.config.schema.records import (
+    REQUIRED,
+    Constraint,
+    Named,
+    Record,
+    Rows,
+    Setting,
+    Table,
+    settings_of,
+)
 
 FLEET_PREFIX = "fleet."
 
--- a/runloft/config/fleet_check.py
+++ b/runloft/config/tool/fleet_check.py
@@ -1,7 +1,7 @@
 """Reading of a fleet with every check, the feasibility of its reserves among them."""
 
 from runloft.config.faults import blocking_faults
-from runloft.config.fleet_file import CheckedFleet, read_fleet
+from runloft.config.fleet.file import CheckedFleet, read_fleet
 
 
 def check_fleet_file(path: str, nodes: str | None) -> CheckedFleet:
@@ -13,6 +13,6 @@
     if checked.fleet is None or blocking_faults(checked.faults):
         return checked
     # Loaded here: the solver takes long to load, and is needed by no fleet that is at fault otherwise.
-    from runloft.config.feasibility import check_feasibility
+    from runloft.config.feasibility.check import check_feasibility
 
     return CheckedFleet(checked.fleet, checked.faults + check_feasibility(checked.fleet))
--- a/runloft/config/write_command.py
+++ b/runloft/config/tool/write_command.py
@@ -5,10 +5,15 @@
 from pathlib import Path
 
 from runloft.config.faults import blocking_faults
-from runloft.config.fleet_check import check_fleet_file
-from runloft.config.generated_file import GeneratedFile, HandEditedError, generate_files, write_generated
-from runloft.config.output import print_error, print_faults, usage_error
-from runloft.config.template import operator_template
+from runloft.config.fleet.generated_file import (
+    GeneratedFile,
+    HandEditedError,
+    generate_files,
+    write_generated,
+)
+from runloft.config.operator.template import operator_template
+from runloft.config.tool.fleet_check import check_fleet_file
+from runloft.config.tool.output import print_error, print_faults, usage_error
 
 
 def run(options: argparse.Namespace) -> int:
--- a/runloft/lab/commands.py
+++ b/runloft/lab/commands.py
@@ -8,7 +8,7 @@
 import anyio
 
 from runloft.config.faults import ConfigError
-from runloft.config.output import print_table
+from runloft.config.tool.output import print_table
 from runloft.lab.reporting import COLUMNS, plot, rows
 from runloft.lab.running import ArmReport, play
 from runloft.lab.scenario import read_scenario
--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -18,9 +18,9 @@
 from runloft.agreement.commands import roll_out
 from runloft.agreement.content import Content
 from runloft.agreement.store import AgreementStore
-from runloft.config.output import print_table
 from runloft.config.platform_config import config_from_json
 from runloft.config.settings import AgreementSettings, Config
+from runloft.config.tool.output import print_table
 from runloft.lab.redis import RedisStandIn
 
 MOST_S = 60.0
--- a/runloft/lab/running.py
+++ b/runloft/lab/running.py
@@ -24,9 +24,9 @@
 from runloft.agreement.planning import wanted, ways
 from runloft.agreement.records import View
 from runloft.agreement.store import AgreementStore, StoreError
-from runloft.config.generator import Generator
-from runloft.config.reader import Reader
-from runloft.config.records import document_of
+from runloft.config.fleet.generator import Generator
+from runloft.config.schema.reader import Reader
+from runloft.config.schema.records import document_of
 from runloft.lab.discovery import LabDiscovery
 from runloft.lab.load import Load, Tally, arrivals
 from runloft.lab.node import LabNode, NodeKind
--- a/runloft/lab/scale/commands.py
+++ b/runloft/lab/scale/commands.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from runloft.config.output import print_table, usage_error
+from runloft.config.tool.output import print_table, usage_error
 from runloft.lab.scale.bounds import lacking, machine
 from runloft.lab.scale.engine import DATA_PATH, Order, Run, joined, sized
 from runloft.lab.scale.events import EVENTS
--- a/runloft/lab/scale/roles.py
+++ b/runloft/lab/scale/roles.py
@@ -9,8 +9,8 @@
 from math import ceil, exp
 
 from runloft.accounts.ledger import MAX_VOLUMES
-from runloft.config.agreement_checks import FENCE_WITH_DRIFT, LEASES_AFTER_FENCE, MAX_CHANGE_MS
-from runloft.config.machine_checks import BASE_MEMORY_WITH_TOOLS_MB, CLIENT_MEMORY_KB
+from runloft.config.operator.agreement_checks import FENCE_WITH_DRIFT, LEASES_AFTER_FENCE, MAX_CHANGE_MS
+from runloft.config.operator.machine_checks import BASE_MEMORY_WITH_TOOLS_MB, CLIENT_MEMORY_KB
 from runloft.config.settings import FENCE_LEASES, MEMORY_MB, AgreementSettings
 from runloft.core.model import Bounds
 from runloft.lab.scale.records import Sizes
@@ -327,11 +327,12 @@
         Need("a node connection's mean rest, s", sizes.nodes / sizes.statements,
              f"nodes / statements; idle ones are closed after {IDLE_PART:g} of ConnIdle"),
         Need("limits.memory_mb: the program and its clients", own_mb,
-             f"config/machine_checks.py: {CLIENT_MEMORY_KB:g} KiB a client, "
+             f"config/operator/machine_checks.py: {CLIENT_MEMORY_KB:g} KiB a client, "
              f"{BASE_MEMORY_WITH_TOOLS_MB:g} MB without any",
              budget="memory"),
         Need("agreement.lease_ms: at most, with the fence that follows", MAX_CHANGE_MS / change,
-             f"config/agreement_checks.py: {MAX_CHANGE_MS / 1e3:g} s for a change while one is silent"),
+             f"config/operator/agreement_checks.py: {MAX_CHANGE_MS / 1e3:g} s for a change "
+             "while one is silent"),
         Need(f"a change with a lease of {LEASE_S:g} s, one silent, s", LEASE_S * change,
              "its fence and a sixteenth, a lease to the moment, a look"),
     )  # fmt: skip
--- a/runloft/lab/scenario.py
+++ b/runloft/lab/scenario.py
@@ -5,13 +5,13 @@
 
 import attrs
 
-from runloft.config import kinds
 from runloft.config.faults import ConfigError, blocking_faults
-from runloft.config.fleet import Fleet
-from runloft.config.fleet_file import read_fleet
-from runloft.config.kinds import Boolean, ListOf, Number, Text, count
-from runloft.config.records import Record, Rows, setting
-from runloft.config.toml_file import read_toml
+from runloft.config.fleet.file import read_fleet
+from runloft.config.fleet.model import Fleet
+from runloft.config.schema import kinds
+from runloft.config.schema.kinds import Boolean, ListOf, Number, Text, count
+from runloft.config.schema.records import Record, Rows, setting
+from runloft.config.schema.toml_file import read_toml
 from runloft.lab.load import LoadClass, LoadVolume
 
 SECONDS = Number("seconds", 0.0, 600.0)
--- a/runloft/lab/soak/commands.py
+++ b/runloft/lab/soak/commands.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from runloft.config.output import usage_error
+from runloft.config.tool.output import usage_error
 from runloft.lab.soak.oracles import Violation, check
 from runloft.lab.soak.records import Ending
 from runloft.lab.soak.running import SoakRun
--- a/tests/agreement/test_agreement.py
+++ b/tests/agreement/test_agreement.py
@@ -52,7 +52,7 @@
     PutStage,
     RollOut,
 )
-from runloft.config.operator_file import check_file
+from runloft.config.operator.file import check_file
 
 LEASE, FENCE, TICK, BEARS = 400, 600, 20, 10
 TEN_S = 10 * LEASE // 3  # at a lease of 3 s
--- a/tests/config/test_config_tool.py
+++ b/tests/config/test_config_tool.py
@@ -9,8 +9,8 @@
 import pytest
 
 from runloft.cli import main
-from runloft.config.comparison import compare_files
-from runloft.config.operator_file import check_file
+from runloft.config.comparison.files import compare_files
+from runloft.config.operator.file import check_file
 
 ROOT = Path(__file__).parents[2]
 FLEET = ROOT / "tests" / "config" / "files" / "fleet.toml"
--- a/tests/config/test_configs.py
+++ b/tests/config/test_configs.py
@@ -7,17 +7,17 @@
 
 import pytest
 
-from runloft.config import machine_checks
-from runloft.config.comparison import compare_files
-from runloft.config.explanation import known_keys
+from runloft.config.comparison.files import compare_files
 from runloft.config.faults import Severity
-from runloft.config.fleet_check import check_fleet_file
-from runloft.config.generated_file import generate_files
+from runloft.config.fleet.generated_file import generate_files
 from runloft.config.loading import load_config
-from runloft.config.operator_file import check_file, check_text
+from runloft.config.operator import machine_checks
+from runloft.config.operator.file import check_file, check_text
 from runloft.config.platform_config import config_from_json
-from runloft.config.records import Named, Rows, Table
-from runloft.config.toml_file import MAX_FILE_BYTES
+from runloft.config.schema.records import Named, Rows, Table
+from runloft.config.schema.toml_file import MAX_FILE_BYTES
+from runloft.config.tool.explanation import known_keys
+from runloft.config.tool.fleet_check import check_fleet_file
 from runloft.lab.scale.records import result_from
 from runloft.listeners import objects as objects_front
 from runloft.listeners import resp
@@ -221,7 +221,7 @@
 def test_every_code_is_explained_to_operators():
     page = (HERE.parents[2] / "docs" / "operators" / "configuration.md").read_text()
     codes = set(re.findall(r"^! \d+ ~?(\S+)", (HERE / "broken.txt").read_text(), re.M))
-    for path in (HERE.parents[2] / "runloft" / "config").glob("*.py"):
+    for path in (HERE.parents[2] / "runloft" / "config").rglob("*.py"):
         codes |= set(codes_in(ast.parse(path.read_text())))
     assert len(codes) > 50
     assert [code for code in sorted(codes) if f"`{code}`" not in page] == []
--- a/tests/config/test_honouring.py
+++ b/tests/config/test_honouring.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from runloft.config.feasibility import check_feasibility, merge_generations
-from runloft.config.fleet_file import parse_fleet
-from runloft.config.reserve_assignment import Demand, assign_reserves
-from runloft.config.reserve_conflicts import find_conflicts
+from runloft.config.feasibility.assignment import Demand, assign_reserves
+from runloft.config.feasibility.check import check_feasibility, merge_generations
+from runloft.config.feasibility.conflicts import find_conflicts
+from runloft.config.fleet.file import parse_fleet
 
 FLEET = (Path(__file__).parent / "files" / "fleet.toml").read_text()
 SHARDS = range(4)
