--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -50,7 +50,7 @@
         },
     }
     made = config_from_json(raw)
-    object.__setattr__(made, "raw", raw)
+    object.__setattr__(made, "document", raw)
     return made
 
 
