--- a/runloft/config/comparison/diff.py
+++ b/runloft/config/comparison/diff.py
@@ -39,7 +39,7 @@
 
 def figures_of_fleet(fleet: Fleet) -> dict[str, VolumeFigures]:
     """Return each volume's figures over the fleet's nodes."""
-    spare = _spare_by_shard(fleet)
+    unreserved = _unreserved_by_shard(fleet)
     weights: dict[int, float] = defaultdict(float)
     for volume in fleet.volumes:
         for shard in volume.shards:
@@ -53,13 +53,13 @@
         shares = {}
         for shard in volume.shards:
             for uid in holders[shard]:
-                share = spare.get(shard, 0.0) * volume.plan.weight / weights[shard]
+                share = unreserved.get(shard, 0.0) * volume.plan.weight / weights[shard]
                 shares[uid] = share / len(holders[shard])
         figures[volume.name] = _figures(volume.plan, float(len(volume.sidecars)), shares)
     return figures
 
 
-def _spare_by_shard(fleet: Fleet) -> Mapping[int, float]:
+def _unreserved_by_shard(fleet: Fleet) -> Mapping[int, float]:
     """Return the units a second that the reserves leave on each shard."""
     capacities = shard_capacities(fleet.node_rates(), Fraction(str(fleet.record.usable_fraction)))
     load = assign_reserves(reserve_demands(fleet.volumes), capacities).load
--- a/runloft/config/feasibility/assignment.py
+++ b/runloft/config/feasibility/assignment.py
@@ -70,12 +70,12 @@
     shards = sorted({shard for group in reserves for shard in group})
     groups = [ShardGroup(group, reserve) for group, reserve in reserves.items()]
     flows = max_flow(groups, shards, capacities)
-    left = {group.shards: flow for group, flow in zip(groups, flows, strict=True)}
+    remaining = {group.shards: flow for group, flow in zip(groups, flows, strict=True)}
     load = dict.fromkeys(shards, 0)
     assigned = []
     unassigned = 0
     for demand in demands:
-        portions = _take(demand, left[demand.shards])
+        portions = _take(demand, remaining[demand.shards])
         for portion in portions:
             load[portion.shard] += portion.amount
         unassigned += demand.reserve - sum(portion.amount for portion in portions)
@@ -83,14 +83,14 @@
     return Assignment(tuple(assigned), unassigned, load)
 
 
-def _take(demand: Demand, left: dict[int, int]) -> tuple[Portion, ...]:
+def _take(demand: Demand, remaining: dict[int, int]) -> tuple[Portion, ...]:
     """Take a demand out of what is left of its group's flow, from the largest flow first."""
     portions = []
     missing = demand.reserve
-    for shard in sorted(demand.shards, key=lambda shard: (-left[shard], shard)):
-        amount = min(missing, left[shard])
+    for shard in sorted(demand.shards, key=lambda shard: (-remaining[shard], shard)):
+        amount = min(missing, remaining[shard])
         if amount:
             portions.append(Portion(shard, amount))
-            left[shard] -= amount
+            remaining[shard] -= amount
             missing -= amount
     return tuple(portions)
--- a/runloft/config/feasibility/check.py
+++ b/runloft/config/feasibility/check.py
@@ -99,9 +99,9 @@
             }
             shard = min(missing, key=lambda shard: (-missing[shard], shard))
             if missing[shard] > 0:
-                whole = demand.reserve / SCALE
+                reserve = demand.reserve / SCALE
                 reason = (
-                    f"{demand.name}'s whole reserve of {whole:g} units/s on shard {shard} is "
+                    f"{demand.name}'s whole reserve of {reserve:g} units/s on shard {shard} is "
                     f"{missing[shard] / SCALE:g} more than it bears beside the volumes that lie on it alone"
                 )
                 remedy = "a smaller reserve, or more even use"
--- a/runloft/config/fleet/file.py
+++ b/runloft/config/fleet/file.py
@@ -116,8 +116,8 @@
 
 def _with_layers(record: FleetRecord, layers: _Layers) -> FleetRecord:
     applications = [
-        attrs.evolve(application, settings=own.settings, limits=own.limits)
-        for application, own in zip(record.applications or (), layers.applications, strict=False)
+        attrs.evolve(application, settings=tables.settings, limits=tables.limits)
+        for application, tables in zip(record.applications or (), layers.applications, strict=False)
     ]
     service = attrs.evolve(record.service or ServiceRecord(), operations=layers.operations)
     return attrs.evolve(
--- a/runloft/config/fleet/generated_checks.py
+++ b/runloft/config/fleet/generated_checks.py
@@ -50,18 +50,18 @@
 def _fleet_path(fleet: Fleet, index: int, path: KeyPath) -> KeyPath:
     """Return the key of the fleet that a key of an application's file comes from."""
     match path:
-        case ("settings", "Classes", *rest):
-            return ("classes", *rest)
-        case ("settings", "ServiceLevels", *rest):
-            return ("plans", *rest)
+        case ("settings", "Classes", *tail):
+            return ("classes", *tail)
+        case ("settings", "ServiceLevels", *tail):
+            return ("plans", *tail)
         case ("settings", "Extra", "ClassWrites", *_):
             return ("classes",)
         case ("settings" | "limits", *_):
             return _layer_path(fleet, index, path)
-        case ("objects", "volumes", name, *rest):
-            return _volume_path(fleet, index, name, tuple(rest))
-        case ("objects", key, *rest) if key != "listen":
-            return ("service", key, *rest)
+        case ("objects", "volumes", name, *tail):
+            return _volume_path(fleet, index, name, tuple(tail))
+        case ("objects", key, *tail) if key != "listen":
+            return ("service", key, *tail)
         case ("agreement", *_):
             return path
         case ("objects", *_):
@@ -79,8 +79,8 @@
     return ("applications", str(index), *path) if value is not None else path
 
 
-def _volume_path(fleet: Fleet, index: int, name: str, rest: KeyPath) -> KeyPath:
+def _volume_path(fleet: Fleet, index: int, name: str, tail: KeyPath) -> KeyPath:
     names = [volume.name for volume in fleet.record.volumes]
     if name not in names:
         return ("applications", str(index))
-    return ("volumes", str(names.index(name)), *rest)
+    return ("volumes", str(names.index(name)), *tail)
--- a/runloft/config/fleet/generator.py
+++ b/runloft/config/fleet/generator.py
@@ -63,22 +63,24 @@
         return reader.record(OperatorRecord, self.document(index, Reader(self.fleet.file)))
 
     def _settings(self, index: int, application: ApplicationRecord, reader: Reader) -> Document:
-        own = Layer(
+        application_layer = Layer(
             f'application "{application.name}"',
             application.settings or {},
             ("applications", str(index), "settings"),
         )
         shared = Layer("the fleet", self._shared_settings | {"SlotNo": index}, ())
         fleet = Layer("the fleet's settings", self.fleet.record.settings, ("settings",))
-        return unify((shared, fleet, own), reader)
+        return unify((shared, fleet, application_layer), reader)
 
     def _limits(self, index: int, application: ApplicationRecord, reader: Reader) -> Document:
-        own = Layer(
+        application_layer = Layer(
             f'application "{application.name}"',
             application.limits or {},
             ("applications", str(index), "limits"),
         )
-        return unify((Layer("the fleet's limits", self.fleet.record.limits, ("limits",)), own), reader)
+        return unify(
+            (Layer("the fleet's limits", self.fleet.record.limits, ("limits",)), application_layer), reader
+        )
 
     def _objects(self, application: ApplicationRecord) -> Document:
         service = self.fleet.record.service
--- a/runloft/config/operator/machine_checks.py
+++ b/runloft/config/operator/machine_checks.py
@@ -52,9 +52,9 @@
 
 def check_memory(record: OperatorRecord) -> Iterator[Violation]:
     """Check that the memory limit leaves anything for requests."""
-    left = request_memory_mb(record)
-    if left < MIN_REQUEST_MEMORY_MB:
-        reason = f"the program takes {PROGRAM_MB} MB, which leaves {max(0.0, left):g} for requests"
+    remaining_mb = request_memory_mb(record)
+    if remaining_mb < MIN_REQUEST_MEMORY_MB:
+        reason = f"the program takes {PROGRAM_MB} MB, which leaves {max(0.0, remaining_mb):g} for requests"
         remedy = f"at least {PROGRAM_MB + MIN_REQUEST_MEMORY_MB}"
         yield Violation(MEMORY_PATH, "memory-too-small", reason, remedy)
 
--- a/runloft/config/schema/positions.py
+++ b/runloft/config/schema/positions.py
@@ -128,10 +128,10 @@
             self._depth -= 1
 
 
-def _skip_value(lines: list[str], index: int, rest: str) -> int:
+def _skip_value(lines: list[str], index: int, value_text: str) -> int:
     """Return the index of the line behind a value, which may span several."""
     scanner = _ValueScanner()
-    scanner.scan(rest)
+    scanner.scan(value_text)
     while not scanner.complete and index < len(lines):
         scanner.scan(lines[index])
         index += 1
--- a/runloft/config/tool/check_command.py
+++ b/runloft/config/tool/check_command.py
@@ -50,8 +50,8 @@
     try:
         load_config(path)
     except ConfigError as error:
-        parts = [fault.partition(": ") for fault in error.faults]
-        return [Fault(path, 0, key, "bad-json", reason) for key, _, reason in parts]
+        fields = [fault.partition(": ") for fault in error.faults]
+        return [Fault(path, 0, key, "bad-json", reason) for key, _, reason in fields]
     return []
 
 
--- a/runloft/config/tool/explanation.py
+++ b/runloft/config/tool/explanation.py
@@ -55,17 +55,17 @@
 
 def find_keys(word: str) -> list[Key]:
     """Find keys by their whole path or by their last pieces; numbers and names match ``*``."""
-    wanted = word.split(".")
-    found = [key for key in known_keys().values() if _ends_with(key.path.split("."), wanted)]
-    exact = [key for key in found if key.path == word]
-    return exact or found
+    suffix = word.split(".")
+    matching = [key for key in known_keys().values() if _ends_with(key.path.split("."), suffix)]
+    exact = [key for key in matching if key.path == word]
+    return exact or matching
 
 
-def _ends_with(pieces: Sequence[str], wanted: Sequence[str]) -> bool:
-    tail = pieces[-len(wanted) :]
-    if len(tail) != len(wanted):
+def _ends_with(pieces: Sequence[str], suffix: Sequence[str]) -> bool:
+    tail = pieces[-len(suffix) :]
+    if len(tail) != len(suffix):
         return False
-    return all(piece in (word, "*") for piece, word in zip(tail, wanted, strict=True))
+    return all(piece in (word, "*") for piece, word in zip(tail, suffix, strict=True))
 
 
 def explain(key: Key) -> list[ExplanationLine]:
