--- a/runloft/config/operator/machine_checks.py
+++ b/runloft/config/operator/machine_checks.py
@@ -1,7 +1,7 @@
 """Checks that the machine's limits, descriptors and memory, suffice for clients, nodes and the store.
 
 The listeners and the upstream connections go by figures of their own, which
-``tests/config/test_configs.py`` holds against those here.
+``tests/config/test_machine_checks.py`` holds against those here.
 """
 
 from collections.abc import Iterator
--- /dev/null
+++ b/tests/accounts/test_ledger.py
@@ -0,0 +1,137 @@
+"""The ledger beside the reducer: where requests' time went, and whose work they waited for."""
+
+import pytest
+
+from runloft.accounts.ledger import Ledger
+from runloft.accounts.totals import OTHERS
+from runloft.core.model import (
+    AttemptFinished,
+    ClientDisconnected,
+    NodeListUpdate,
+    NodeUpdate,
+    RequestWritten,
+    ResponseBuffered,
+    StreamStarted,
+)
+from runloft.decisions.contract import (
+    AttemptOutcome,
+    FailRequest,
+    ForgetNode,
+    ListKind,
+    NodeState,
+    SendAttempt,
+    ShedRequest,
+)
+from tests.core.test_core import Turns
+from tests.support.driver import MS
+from tests.support.driver import settings as driver_settings
+
+
+def test_volumes_beyond_the_bound_share_one_entry():
+    ledger = Ledger(driver_settings(), max_volumes=100)
+    for number in range(100_000):
+        ledger.taken(number, number, number, 0, 0, 1.0)
+        ledger.held(number, number, 1, "bound")
+        ledger.over(number, number + 5, True)
+    assert len(ledger.totals) == 101
+    assert sum(t.requests for t in ledger.totals.values()) == 100_000
+    assert sum(t.total_ns for t in ledger.totals.values()) == 500_000
+    assert ledger.totals[OTHERS].requests == 99_900
+    assert not ledger.open and not ledger._waits and not ledger.nodes[1].credits
+
+
+NUDGE = NodeListUpdate(ListKind.DELTA)  # something has come: the module is asked
+
+
+def observed_core(state=NodeState.READY, **more):
+    """A reducer that is watched by a ledger, with one node in this state."""
+    turns = Turns(**more)
+    turns.core.observer = Ledger(turns.core.settings)
+    turns.step(NodeListUpdate(ListKind.FULL, (NodeUpdate("s-1", "127.0.0.1:1", 0, state),)))
+    return turns, turns.core.observer
+
+
+def components_ms(ledger, volume=1):
+    return {component.value: amount // MS for component, amount in ledger.totals[volume].components.items()}
+
+
+def test_a_retried_request_counts_from_its_first_attempt():
+    turns, ledger = observed_core()
+    turns.take()
+    turns.step(NUDGE, after=30, plan=[SendAttempt(1, 1, 50 * MS)])
+    turns.step(RequestWritten(1), after=5)
+    turns.step(after=45)  # given up
+    turns.step(NUDGE, after=10, plan=[SendAttempt(1, 1)])
+    turns.step(RequestWritten(2), after=2)
+    turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=40)
+    assert components_ms(ledger) == {"held_bound": 30, "connecting": 7, "out": 85, "between": 10}
+    totals = ledger.totals[1]
+    assert (totals.requests, totals.served, totals.late, totals.total_ns) == (1, 1, 1, 132 * MS)
+    waited = totals.waited_for.total + totals.stalled_ns + totals.unattributed_ns
+    assert waited == totals.total_ns and not ledger.open and not ledger._attempts
+
+
+def test_requests_behind_a_flood_wait_for_its_volume():
+    turns, ledger = observed_core()
+    turns.take([SendAttempt(1, 1)], volume=7)
+    turns.take([SendAttempt(2, 1)], volume=7)
+    turns.take([SendAttempt(3, 1)], volume=1)
+    for attempt in (1, 2, 3):
+        turns.step(AttemptFinished(attempt, AttemptOutcome.OK, b"v"), after=20)
+    assert ledger.totals[1].waited_for.amounts == {7: 40 * MS, 1: 20 * MS}
+    assert ledger.totals[7].waited_for.amounts == {7: 60 * MS}
+
+
+@pytest.mark.parametrize(
+    ("state", "shard", "part"),
+    [
+        (NodeState.READY, 0, "held_bound"),
+        (NodeState.DRAINING, 0, "held_drain"),
+        (NodeState.READY, 5, "held_no_node"),
+    ],
+)
+def test_a_request_that_is_never_sent_says_why_it_was_queued(state, shard, part):
+    turns, ledger = observed_core(state)
+    turns.take(shard=shard)
+    turns.step(NUDGE, after=80, plan=[ShedRequest(1, 5)])
+    assert components_ms(ledger) == {part: 80}
+    assert ledger.totals[1].unattributed_ns == (80 * MS if shard == 0 else 0)
+
+
+def test_a_slow_client_is_not_attributed_to_the_node():
+    turns, ledger = observed_core()
+    turns.take([SendAttempt(1, 1)])
+    turns.step(RequestWritten(1))
+    turns.step(StreamStarted(1, "head"), after=10)
+    turns.step(ResponseBuffered(1))
+    turns.step(AttemptFinished(1, AttemptOutcome.OK, "stream"), after=500)
+    assert components_ms(ledger) == {"out": 10, "reader": 500}
+    assert ledger.totals[1].waited_for.amounts == {1: 10 * MS}
+
+
+def test_an_attempt_that_outlives_its_client_is_still_work_of_the_node():
+    turns, ledger = observed_core()
+    sink, _ = turns.take([SendAttempt(1, 1)], volume=7)
+    turns.step(ClientDisconnected(sink), after=5)
+    turns.take([SendAttempt(2, 1)], volume=1)
+    turns.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=20)
+    turns.step(AttemptFinished(2, AttemptOutcome.OK, b"v"), after=10)
+    assert ledger.totals[1].waited_for.amounts == {7: 20 * MS, 1: 10 * MS}
+    assert ledger.totals[7].total_ns == 5 * MS and not ledger._attempts
+
+
+def test_a_client_that_disconnects_leaves_nothing_open():
+    turns, ledger = observed_core()
+    sink, _ = turns.take([SendAttempt(1, 1)])
+    turns.step(StreamStarted(1, "head"), after=10)
+    turns.step(ClientDisconnected(sink), after=10)
+    assert not ledger.open and not ledger._attempts and not ledger._waits
+    assert ledger.nodes[1].outstanding == 0
+
+
+def test_forgetting_a_node_ends_the_waits_for_it():
+    turns, ledger = observed_core()
+    turns.take()
+    turns.step(NUDGE, after=10, plan=[ForgetNode(1)])
+    turns.step(NUDGE, after=10, plan=[FailRequest(1)])
+    assert ledger.totals[1].unattributed_ns == 20 * MS and not ledger.nodes
--- a/tests/config/test_honouring.py
+++ b/tests/config/test_feasibility.py
@@ -1,4 +1,4 @@
-"""Whether reserves can be honoured: against all ways to cut, and right at the edge."""
+"""Feasibility of reserves: against all subsets of shards, and at exact capacity."""
 
 import re
 from fractions import Fraction
@@ -14,10 +14,19 @@
 from runloft.config.feasibility.conflicts import find_conflicts
 from runloft.config.fleet.file import parse_fleet
 
-FLEET = (Path(__file__).parent / "files" / "fleet.toml").read_text()
 SHARDS = range(4)
 
 
+def fits(wanted, bears):
+    """Say by Hall's condition, over all sets of shards, whether it fits."""
+    for size in range(len(SHARDS) + 1):
+        for some in combinations(SHARDS, size):
+            inside = sum(d.reserve for d in wanted if set(d.shards) <= set(some))
+            if inside > sum(bears[shard] for shard in some):
+                return False
+    return True
+
+
 @st.composite
 def worlds(draw):
     bears = {shard: draw(st.integers(0, 30)) for shard in SHARDS}
@@ -29,19 +38,9 @@
     return wanted, bears
 
 
-def fits(wanted, bears):
-    """Say by Hall's condition, over all sets of shards, whether it fits."""
-    for size in range(len(SHARDS) + 1):
-        for some in combinations(SHARDS, size):
-            inside = sum(d.reserve for d in wanted if set(d.shards) <= set(some))
-            if inside > sum(bears[shard] for shard in some):
-                return False
-    return True
-
-
 @given(worlds())
 @settings(max_examples=150, deadline=None)
-def test_the_programme_finds_what_fits_and_a_smallest_conflict_where_it_does_not(world):
+def test_assignment_finds_what_fits_and_conflicts_are_minimal(world):
     wanted, bears = world
     found = assign_reserves(wanted, bears)
     assert (found.unassigned == 0) == fits(wanted, bears)
@@ -59,7 +58,7 @@
                 assert fits([d for d in inside if d is not one], bears)
 
 
-def test_figures_right_at_the_edge_are_decided_the_same_way():
+def test_reserves_at_exact_capacity_are_decided_consistently():
     wanted = [Demand(f"v{n}", 333_333, (0, 1, 2)) for n in range(3)]
     for extra in (-2, -1, 0, 1):
         bears = {0: 333_333, 1: 333_333, 2: 333_333 + extra}
@@ -70,7 +69,10 @@
         assert got == {max(0, -extra)}
 
 
-def test_a_reserve_honourable_by_assignment_but_on_no_single_shard_is_honoured_with_a_warning():
+FLEET = (Path(__file__).parent / "files" / "fleet.toml").read_text()
+
+
+def test_a_reserve_that_needs_two_shards_is_feasible_with_a_warning():
     text = FLEET.replace("BaseRate = 20.0", "BaseRate = 60").replace("Guaranteed = 10.0", "Guaranteed = 52.0")
     text = text.replace("shards = [1, 3]", "shards = [2]").replace('plan = "standard"', 'plan = "basic"', 2)
     text = text.replace('plan = "basic"\nshards = [1, 2]', 'plan = "standard"\nshards = [1, 2]')
@@ -92,7 +94,7 @@
 
 
 @pytest.mark.parametrize(("old", "new"), [("Guaranteed = 10.0", "Guaranteed = 6.0"), ("[1, 3]", "[1, 2]")])
-def test_while_two_generations_are_served_the_larger_of_both_has_to_fit(old, new):
+def test_the_larger_reserve_of_two_generations_has_to_fit(old, new):
     before = parse_fleet("a.toml", FLEET.encode()).fleet
     after = parse_fleet("b.toml", FLEET.replace(old, new).encode()).fleet
     both = merge_generations(after.volumes, before.volumes)
@@ -101,7 +103,7 @@
     assert next(v for v in both if v.name == "ships").shards == ((1,) if "3" in old else (1, 3))
 
 
-def test_power_is_that_of_the_kinds_least_speed():
+def test_the_rate_of_a_node_is_that_of_its_least_speed():
     fleet = parse_fleet("f.toml", FLEET.encode()).fleet
     assert [fleet.min_rate(node) for node in fleet.nodes] == [50, 50, 20]
     assert [fleet.max_rate(node) for node in fleet.nodes] == [75, 75, Fraction(25)]
--- /dev/null
+++ b/tests/config/test_machine_checks.py
@@ -0,0 +1,56 @@
+"""The checks of descriptors and memory, against the program's own figures and what was measured."""
+
+from pathlib import Path
+
+from runloft.config.operator import machine_checks
+from runloft.config.operator.file import check_file
+from runloft.config.platform_config import config_from_json
+from runloft.lab.scale.records import result_from
+from runloft.listeners import objects as objects_front
+from runloft.listeners import resp
+from runloft.listeners.accepting import AcceptingFront
+from runloft.upstream import links
+
+HERE = Path(__file__).parent / "files"
+
+
+def test_descriptor_checks_agree_with_listeners_and_upstream_pools():
+    """The checks can't import what they speak of: layers lie the other way."""
+    raw = check_file(str(HERE / "sidecar.toml")).document | {"limits": {"sockets": 1024}}
+    for objects, parts in machine_checks.NODE_SOCKET_DIVISORS.items():
+        held = raw if objects else {key: value for key, value in raw.items() if key != "objects"}
+        front = AcceptingFront(None, None, None, None, config_from_json(held))
+        fronts = 2 if objects else 1
+        assert (front.crowd, front.most_clients) == (
+            int(1024 * machine_checks.EVICTION_FRACTION) // fronts,
+            int(1024 * machine_checks.MAX_CLIENT_FRACTION) // fronts,
+        )
+        for part in parts:
+            link = links.NodeLink(None, None, None, None, config_from_json(held), kind=None, permit=None,
+                                  begin=None, part=part)  # fmt: skip
+            assert link.most == (1024 - machine_checks.RESERVED_SOCKETS) // part
+    runner = (HERE.parents[2] / "runloft" / "service" / "runner.py").read_text()
+    assert "part=4 if config.objects else 2," in runner and "part=8," in runner
+    assert (machine_checks.IDLE_TIMEOUT_MS, machine_checks.CROWDED_IDLE_TIMEOUT_MS) == (
+        resp.IDLE_NS / 1e6,
+        resp.CROWD_NS / 1e6,
+    )
+    assert machine_checks.IDLE_TIMEOUT_MS == objects_front.IDLE_S * 1e3
+
+
+def test_checked_memory_is_no_less_than_measured():
+    path = HERE.parents[2] / "docs" / "capacity" / "datapath.json"
+    events = result_from(path.read_text()).events
+    rests = [one for one in events if one.name == "clients-rest-uncrowded"]
+    used = [
+        (e.figures["scheduler.resident_mb"] - e.figures["scheduler.before.resident_mb"]) / e.sizes.clients
+        for e in rests
+    ]
+    assert machine_checks.CLIENT_MEMORY_KB * 0.9 < max(used) * 1024 <= machine_checks.CLIENT_MEMORY_KB
+    starts = [one for one in events if one.name.startswith("starts:")]
+    for most, some in (
+        (machine_checks.BASE_MEMORY_MB, ("starts:platform", "starts:operator")),
+        (machine_checks.BASE_MEMORY_WITH_TOOLS_MB, [one.name for one in starts]),
+    ):
+        own = [one.figures["scheduler.resident_mb"] for one in starts if one.name in some]
+        assert most * 0.9 < max(own) <= most
--- a/tests/support/config_cases.py
+++ b/tests/support/config_cases.py
@@ -42,3 +42,10 @@
         new = text.replace("\\n", "\n").split("\n")
         lines[at - (what != "+") : at] = [] if what == "-" else new
     return "\n".join(lines)
+
+
+def replace_in_file(path: Path, old: str, new: str) -> None:
+    """Replace the first occurrence of a text in a file, which must hold it."""
+    text = path.read_text()
+    assert old in text
+    path.write_text(text.replace(old, new, 1))
