--- a/runloft/config/faults.py
+++ b/runloft/config/faults.py
@@ -5,7 +5,7 @@
 from difflib import get_close_matches
 from enum import Enum
 
-from runloft.config.documents import Document, KeyPath
+from runloft.config.documents import Document
 from runloft.errors import RunloftError
 
 SIMILARITY = 0.6  # from which on a word counts as a misspelling of another, by difflib's ratio
@@ -19,17 +19,6 @@
     WARNING = "warning"
 
 
-@dataclass(frozen=True, slots=True)
-class Violation:
-    """A fault at a path of keys, whose file and line are not known here."""
-
-    path: KeyPath
-    code: str
-    reason: str
-    remedy: str = ""
-    severity: Severity = Severity.FAULT
-
-
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One thing that is wrong in a file.
--- a/runloft/config/fleet/generated_checks.py
+++ b/runloft/config/fleet/generated_checks.py
@@ -5,12 +5,13 @@
 from typing import Any
 
 from runloft.config.documents import Document, KeyPath
-from runloft.config.faults import Fault, Violation
+from runloft.config.faults import Fault
 from runloft.config.fleet.generator import Generator
 from runloft.config.fleet.model import Fleet
 from runloft.config.operator.checks import check_record
 from runloft.config.operator.records import OperatorRecord
 from runloft.config.schema.reader import Reader
+from runloft.config.schema.violations import Violation
 
 
 def check_generated_files(fleet: Fleet) -> None:
--- a/runloft/config/object_settings.py
+++ b/runloft/config/object_settings.py
@@ -1,8 +1,7 @@
 """Translation of the ``objects`` table, the settings of the object API."""
 
 from collections.abc import Sequence
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from runloft.config.documents import Document
 from runloft.config.settings import OPERATIONS, ObjectSettings, SocketAddress, VolumeSettings, parse_address
@@ -11,8 +10,7 @@
 MAX_PORT = 65535
 
 
-@dataclass(frozen=True, slots=True)
-class _WholeNumber:
+class _WholeNumber(NamedTuple):
     """A number's default and bounds."""
 
     default: int
--- a/runloft/config/operator/agreement_checks.py
+++ b/runloft/config/operator/agreement_checks.py
@@ -3,8 +3,9 @@
 from collections.abc import Iterator
 
 from runloft.config.documents import KeyPath
-from runloft.config.faults import Severity, Violation
+from runloft.config.faults import Severity
 from runloft.config.operator.records import AgreementRecord, OperatorRecord
+from runloft.config.schema.violations import Violation
 from runloft.config.settings import FENCE_DRIFT_DIVISOR, FENCE_LEASES
 
 MAX_CHANGE_MS = 10_000.0  # within which a change is to be in force everywhere
--- a/runloft/config/operator/checks.py
+++ b/runloft/config/operator/checks.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from runloft.config.documents import KeyPath
-from runloft.config.faults import Severity, Violation
+from runloft.config.faults import Severity
 from runloft.config.operator.agreement_checks import check_agreement
 from runloft.config.operator.machine_checks import (
     check_clients,
@@ -23,6 +23,7 @@
     PlanRecord,
     SettingsRecord,
 )
+from runloft.config.schema.violations import Violation
 
 ANY_ADDRESS = frozenset(("0.0.0.0", "[::]"))
 SECONDS_PER_MINUTE = 60
--- a/runloft/config/operator/machine_checks.py
+++ b/runloft/config/operator/machine_checks.py
@@ -9,8 +9,9 @@
 from math import ceil
 
 from runloft.config.documents import KeyPath
-from runloft.config.faults import Severity, Violation
+from runloft.config.faults import Severity
 from runloft.config.operator.records import MachineLimitsRecord, OperatorRecord
+from runloft.config.schema.violations import Violation
 from runloft.config.settings import MEMORY_MB, PROGRAM_MB
 
 # Descriptors.
--- a/runloft/config/operator/object_checks.py
+++ b/runloft/config/operator/object_checks.py
@@ -3,10 +3,11 @@
 from collections.abc import Iterator, Sequence
 
 from runloft.config.documents import KeyPath
-from runloft.config.faults import Severity, Violation, nearest_word
+from runloft.config.faults import Severity, nearest_word
 from runloft.config.operator.machine_checks import MIN_REQUEST_MEMORY_MB
 from runloft.config.operator.records import ObjectsRecord, VolumeRecord
 from runloft.config.operator.settings_records import SettingsRecord
+from runloft.config.schema.violations import Violation
 from runloft.config.settings import OPERATIONS
 
 WRITE_OPERATIONS = ("put", "part")
--- a/runloft/config/platform_config.py
+++ b/runloft/config/platform_config.py
@@ -4,8 +4,7 @@
 """
 
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from runloft.config.documents import Document
 from runloft.config.faults import ConfigError
@@ -39,8 +38,7 @@
     return _Translation(document).config()
 
 
-@dataclass(frozen=True, slots=True)
-class _Limits:
+class _Limits(NamedTuple):
     """What the program may take of its machine."""
 
     sockets: int
--- a/runloft/config/schema/reader.py
+++ b/runloft/config/schema/reader.py
@@ -9,10 +9,11 @@
 from typing import Any, TypeVar
 
 from runloft.config.documents import KeyPath
-from runloft.config.faults import SIMILARITY, Fault, Severity, Violation, nearest_word
+from runloft.config.faults import SIMILARITY, Fault, Severity, nearest_word
 from runloft.config.schema.kinds import InvalidValueError, Kind, quote_value
 from runloft.config.schema.positions import Positions
 from runloft.config.schema.records import REQUIRED, Named, Record, Rows, Setting, Table, settings_of
+from runloft.config.schema.violations import Violation
 
 RecordType = TypeVar("RecordType", bound=Record)
 
--- a/runloft/config/wire_settings.py
+++ b/runloft/config/wire_settings.py
@@ -6,7 +6,6 @@
 
 import math
 from collections.abc import Mapping
-from dataclasses import dataclass
 from typing import Any
 
 from runloft.decisions import contract
@@ -49,12 +48,14 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-@dataclass(frozen=True, slots=True)
 class _Reader:
     """Reads typed values; absent ones, and those that are no finite number, have the default."""
 
-    pairs: Mapping[str, str]
-    prefix: str = ""
+    __slots__ = ("pairs", "prefix")
+
+    def __init__(self, pairs: Mapping[str, str], prefix: str = "") -> None:
+        self.pairs = pairs
+        self.prefix = prefix
 
     def number(self, path: str, default: float = 0.0) -> float:
         try:
