--- a/runloft/accounts/ledger.py
+++ b/runloft/accounts/ledger.py
@@ -10,13 +10,15 @@
 from runloft.accounts.latency import LatencyComponent, RequestLatency
 from runloft.accounts.service_log import ServiceLog
 from runloft.accounts.totals import OTHERS, VolumeTotals
+from runloft.core.model import QueueReason
 from runloft.decisions.contract import AttemptOutcome, Settings
 
 MAX_VOLUMES = 10_000
 COMPONENT_BY_REASON = {
-    "cold": LatencyComponent.QUEUED_IN_SLOW_START,
-    "drain": LatencyComponent.QUEUED_WHILE_DRAINING,
-    "no node": LatencyComponent.QUEUED_WITHOUT_NODE,
+    QueueReason.CAPACITY: LatencyComponent.QUEUED_AT_CAPACITY,
+    QueueReason.SLOW_START: LatencyComponent.QUEUED_IN_SLOW_START,
+    QueueReason.DRAINING: LatencyComponent.QUEUED_WHILE_DRAINING,
+    QueueReason.NO_NODE: LatencyComponent.QUEUED_WITHOUT_NODE,
 }
 
 
@@ -51,23 +53,25 @@
         self._waits: dict[int, _Wait] = {}
         self._attempts: dict[int, _Attempt] = {}
 
-    def configured(self, settings: Settings) -> None:
+    def settings_changed(self, settings: Settings) -> None:
         """Use these classes' latency objectives; classes keep their numbers, more may come."""
         self.objectives_ns = _objectives_ns(settings)
 
-    def taken(self, request: int, now: int, volume: int, request_class: int, plan: int, units: float) -> None:
+    def request_received(
+        self, request: int, now: int, volume: int, request_class: int, plan: int, units: float
+    ) -> None:
         """Record that a request was received."""
         self.open[request] = RequestLatency(volume, request_class, plan, units, now)
 
-    def held(self, request: int, now: int, node: int | None, why: str) -> None:
+    def request_queued(self, request: int, now: int, node: int | None, reason: QueueReason) -> None:
         """Record that a request is queued, for this node if it is known for which."""
         latency = self.open.get(request)
         if latency is None:
             return
-        latency.switch(now, COMPONENT_BY_REASON.get(why, LatencyComponent.QUEUED_AT_CAPACITY))
+        latency.switch(now, COMPONENT_BY_REASON[reason])
         self._wait_for(request, node, now)
 
-    def sent(self, request: int, attempt: int, now: int, node: int) -> None:
+    def attempt_sent(self, request: int, attempt: int, now: int, node: int) -> None:
         """Record that an attempt of a request is sent."""
         latency = self.open.get(request)
         if latency is None:
@@ -78,14 +82,14 @@
         self._attempts[attempt] = _Attempt(request, node, latency.volume, latency.units)
         self.nodes.setdefault(node, ServiceLog()).attempt_sent(now)
 
-    def written(self, attempt: int, now: int) -> None:
+    def attempt_written(self, attempt: int, now: int) -> None:
         """Record that an attempt's last byte has left: from here on its time is the node's."""
         known = self._attempts.get(attempt)
         latency = self.open.get(known.request) if known else None
         if latency is not None and latency.component is LatencyComponent.CONNECTING:
             latency.switch(now, LatencyComponent.AT_NODE)
 
-    def reading(self, attempt: int, now: int) -> None:
+    def response_buffered(self, attempt: int, now: int) -> None:
         """Record that the node has served an attempt, whose client is still reading."""
         known = self._attempts.pop(attempt, None)
         if known is None:
@@ -94,7 +98,7 @@
         if (latency := self.open.get(known.request)) is not None:
             latency.switch(now, LatencyComponent.CLIENT_READING)
 
-    def returned(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
+    def attempt_finished(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
         """Record that an attempt is over, whether its request still waits or not."""
         known = self._attempts.pop(attempt, None)
         if known is None:
@@ -107,7 +111,7 @@
         next_component = LatencyComponent.CLIENT_READING if answered else LatencyComponent.BETWEEN_ATTEMPTS
         latency.switch(now, next_component)
 
-    def over(self, request: int, now: int, served: bool) -> None:
+    def request_completed(self, request: int, now: int, served: bool) -> None:
         """Record that a request has its final response, or that its client is gone."""
         latency = self.open.pop(request, None)
         if latency is None:
@@ -117,7 +121,7 @@
         self._totals(latency.volume).add(latency, served, late)
         self._end_wait(request, latency, latency.measured_until_ns)
 
-    def forget(self, node: int) -> None:
+    def node_forgotten(self, node: int) -> None:
         """Record that a node is gone for good."""
         self.nodes.pop(node, None)
 
--- a/tests/accounts/test_unchanged_totals.py
+++ b/tests/accounts/test_unchanged_totals.py
@@ -5,10 +5,12 @@
 import random
 
 from runloft.accounts.ledger import Ledger
+from runloft.core.model import QueueReason
 from runloft.decisions.contract import AttemptOutcome
 from tests.support.driver import settings
 
 EXPECTED = "95bf1ddd0077b109a5c3d225e01d7b0b9e62166d441a380bd1542fb83dcf0fc2"
+REASONS = (QueueReason.SLOW_START, QueueReason.DRAINING, QueueReason.NO_NODE, QueueReason.CAPACITY)
 OUTCOMES = (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.NOT_SENT)
 
 
@@ -42,22 +44,22 @@
         match generator.randrange(9):
             case 0 | 1:
                 volume = int(generator.paretovariate(0.7)) % 40
-                ledger.taken(request, now, volume, 0, 0, generator.choice((0.0, 1.0, 3.5)))
+                ledger.request_received(request, now, volume, 0, 0, generator.choice((0.0, 1.0, 3.5)))
             case 2:
-                why = generator.choice(("cold", "drain", "no node", "bound"))
-                ledger.held(request, now, generator.choice((node, None)), why)
+                reason = generator.choice(REASONS)
+                ledger.request_queued(request, now, generator.choice((node, None)), reason)
             case 3 | 4:
-                ledger.sent(request, attempt, now, node)
+                ledger.attempt_sent(request, attempt, now, node)
             case 5:
-                ledger.written(attempt, now)
+                ledger.attempt_written(attempt, now)
             case 6:
-                ledger.returned(attempt, now, generator.choice(OUTCOMES))
+                ledger.attempt_finished(attempt, now, generator.choice(OUTCOMES))
             case 7:
-                ledger.reading(attempt, now)
+                ledger.response_buffered(attempt, now)
             case _:
-                ledger.over(request, now, generator.random() < 0.8)
+                ledger.request_completed(request, now, generator.random() < 0.8)
         if generator.random() < 0.001:
-            ledger.forget(node)
+            ledger.node_forgotten(node)
         if generator.random() < 0.002:
             seen.append(rendered(ledger.take_totals()))
     seen.append(rendered(ledger.take_totals()))
