--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -19,8 +19,9 @@
 from runloft.discovery.watch import Watch
 from runloft.lab.scale.messages import ConfigDocument
 from runloft.lab.scale.scheduler_config import read_config
+from runloft.service.clock import MonotonicClock
 from runloft.service.reload import Reload
-from runloft.service.runner import Clock, Runner
+from runloft.service.runner import Runner
 
 
 class HollowRunner(Runner):
@@ -34,9 +35,9 @@
         self.awaited_uid = uid
         self.node_seen_at = 0.0
 
-    def _turn(self) -> None:
+    def _process_events(self) -> None:
         has_list_update = any(isinstance(event, NodeListUpdate) for event in self.events)
-        super()._turn()
+        super()._process_events()
         if has_list_update and self.awaited_uid and not self.node_seen_at and self.has(self.awaited_uid):
             self.node_seen_at = time.monotonic()
 
@@ -99,7 +100,7 @@
         """Return when it first served by a generation above this one; None where it does not yet."""
         return next((change.at for change in self.changes if change.generation > above), None)
 
-    async def run(self, clock: Clock, agree: bool) -> None:
+    async def run(self, clock: MonotonicClock, agree: bool) -> None:
         """Serve until it is stopped."""
         config = read_config(self.document)
         if agree:
@@ -120,7 +121,7 @@
         finally:
             await self._close()
 
-    def _start_agreement(self, config: Config, clock: Clock) -> Config:
+    def _start_agreement(self, config: Config, clock: MonotonicClock) -> Config:
         """Return what is served by with the local snapshot."""
         assert config.agreement
         self.agreement = Agreeing(config.agreement, config, clock)
@@ -130,12 +131,12 @@
     def _apply_config(self, config: Config) -> None:
         self.record_generation()
         if self.reload:
-            self.reload.take(config)
+            self.reload.apply(config)
 
-    def join_agreement(self, clock: Clock) -> None:
+    def join_agreement(self, clock: MonotonicClock) -> None:
         """Join the agreement, where it served without."""
         assert self.reload and self.group
-        self.reload.take(self._start_agreement(self.reload.config, clock))
+        self.reload.apply(self._start_agreement(self.reload.config, clock))
         assert self.agreement
         self.group.start_soon(self.agreement.run)
 
--- a/tests/config/test_machine_checks.py
+++ b/tests/config/test_machine_checks.py
@@ -29,8 +29,8 @@
             link = links.NodeLink(None, None, None, None, config_from_json(held), kind=None, permit=None,
                                   begin=None, part=part)  # fmt: skip
             assert link.most == (1024 - machine_checks.RESERVED_SOCKETS) // part
-    runner = (HERE.parents[2] / "runloft" / "service" / "runner.py").read_text()
-    assert "part=4 if config.objects else 2," in runner and "part=8," in runner
+    server = (HERE.parents[2] / "runloft" / "service" / "server.py").read_text()
+    assert "part=4 if config.objects else 2," in server and "part=8," in server
     assert (machine_checks.IDLE_TIMEOUT_MS, machine_checks.CROWDED_IDLE_TIMEOUT_MS) == (
         resp.IDLE_NS / 1e6,
         resp.CROWD_NS / 1e6,
