--- a/runloft/listeners/objects.py
+++ b/runloft/listeners/objects.py
@@ -38,10 +38,12 @@
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome
 from runloft.listeners.accepting import FRESH_NS, AcceptingFront
-from runloft.net.sockets import Budget, close, half_closed, nothing_to_read
+from runloft.net.memory_budget import MemoryBudget
+from runloft.net.socket_state import close, half_closed, nothing_to_read
 from runloft.net.timing import Clock, pause, within
-from runloft.sharing.places import Place, SharedStore, StoreDownError
-from runloft.upstream.http_link import HttpPayload, Stream
+from runloft.placement.store import Placement, PlacementStore, StoreUnavailableError
+from runloft.upstream.payloads import HttpPayload
+from runloft.upstream.response_stream import ResponseStream
 
 log = structlog.get_logger()
 HEAD_LIMIT = 16 << 10
@@ -145,13 +147,13 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.event, self.sock = anyio.Event(), sock
-        self.stream: Stream | None = None
+        self.stream: ResponseStream | None = None
         self.reply: Reply | None = None
         self.shard = -1
 
     def begin(self, value: object, node: str, shard: int) -> None:
         """Take the head of the answer."""
-        assert isinstance(value, Stream)
+        assert isinstance(value, ResponseStream)
         self.stream, self.shard = value, shard
         self.event.set()
 
@@ -166,7 +168,7 @@
         if isinstance(reply, Served):
             self.shard = reply.shard
         elif self.stream:
-            self.stream.end(False)
+            self.stream.finish(False)
         self.event.set()
 
 
@@ -297,7 +299,7 @@
             # The core holds its own account of bodies; this one keeps them from being read at all.
             try:
                 with self.front.within(BODY_S):
-                    await self.front.bodies.take(length)
+                    await self.front.bodies.acquire(length)
             except TimeoutError:
                 raise Problem(503, "SlowDown", "too many bodies are held", 1_000_000_000, True) from None
             held = length
@@ -314,7 +316,7 @@
         finally:
             self.busy, self.used_at = False, self.front.clock()
             if held:
-                self.front.bodies.give(held)
+                self.front.bodies.release(held)
         done = self.protocol.our_state is h11.DONE and self.protocol.their_state is h11.DONE
         return done and not self.ended
 
@@ -358,7 +360,7 @@
         arrived_at = self.front.clock()
         try:
             ask, upload = await self.front.ask(asked, headers, body)
-        except StoreDownError as error:
+        except StoreUnavailableError as error:
             raise self._store_down(error) from None
         exchange, failure = Exchange(self.sock), None
         if exchange.has_disconnected():  # while the store was asked: nothing of it is begun
@@ -411,17 +413,17 @@
         scope.cancel()
 
     async def _pass_on(
-        self, asked: Operation, exchange: Exchange, stream: Stream, upload: str, size: int
+        self, asked: Operation, exchange: Exchange, stream: ResponseStream, upload: str, size: int
     ) -> None:
         """Pass an answer on as it comes; one that breaks ends the connection short."""
         if asked.name == "create":
-            while await stream.next() is not None:
+            while await stream.next_chunk() is not None:
                 pass
             if stream.broken:
                 raise problem_of(exchange.reply or Failed(AttemptOutcome.RESET))
         try:
             await self.front.note(asked, stream, exchange.shard, upload, size)
-        except StoreDownError as error:
+        except StoreUnavailableError as error:
             raise self._store_down(error) from None
         if asked.name == "create" and stream.status < 300:
             await self._document(200, _created(asked, upload))
@@ -430,14 +432,14 @@
         if self.front.stopping:
             headers.append((b"Connection", b"close"))
         await self._write(h11.Response(status_code=stream.status, headers=headers))
-        while (piece := await stream.next()) is not None:
+        while (piece := await stream.next_chunk()) is not None:
             await self._write(h11.Data(data=piece))
         if stream.broken:
             # Nothing can take the head back: the client sees fewer bytes than it was promised.
             raise ConnectionAbortedError("the answer broke off")
         await self._write(h11.EndOfMessage())
 
-    def _store_down(self, error: StoreDownError) -> Problem:
+    def _store_down(self, error: StoreUnavailableError) -> Problem:
         log.warning("shared store down", error=str(error))
         return Problem(503, "ServiceUnavailable", "the shared store is down", 1_000_000_000)
 
@@ -517,9 +519,9 @@
         clock: Clock,
         config: Config,
         settings: ObjectSettings,
-        store: SharedStore,
+        store: PlacementStore,
     ) -> None:
-        self.bodies = Budget(0)
+        self.bodies = MemoryBudget(0)
         self.config, self.settings, self.store = config, settings, store
         super().__init__(group, post, deadlines, clock, config)
 
@@ -607,29 +609,31 @@
             is_write=asked.name in ("put", "part", "complete"),
         ), upload
 
-    async def note(self, asked: Operation, stream: Stream, shard: int, upload: str, size: int) -> None:
+    async def note(
+        self, asked: Operation, stream: ResponseStream, shard: int, upload: str, size: int
+    ) -> None:
         """Keep the shared store in step with what a node has done."""
         if stream.status >= 300:
             return
         store = self.store
         item = store.object_key(asked.volume, asked.key)
         if asked.name == "put":
-            await store.put(item, Place(shard, size))
+            await store.put(item, Placement(shard, size))
         elif asked.name == "create":
-            await store.put(store.upload_key(asked.volume, asked.key, upload), Place(shard), upload=True)
+            await store.put(store.upload_key(asked.volume, asked.key, upload), Placement(shard), upload=True)
         elif asked.name == "complete":
-            await store.put(item, Place(shard))
-            await store.forget(store.upload_key(asked.volume, asked.key, upload))
+            await store.put(item, Placement(shard))
+            await store.delete(store.upload_key(asked.volume, asked.key, upload))
         elif asked.name == "abort":
-            await store.forget(store.upload_key(asked.volume, asked.key, upload))
+            await store.delete(store.upload_key(asked.volume, asked.key, upload))
         elif asked.name == "delete":
-            await store.forget(item)
+            await store.delete(item)
         elif asked.name in ("get", "head") and stream.status == 200:
             # An assembled object's size is first known from an answer; it makes later units right.
             length = next((v for n, v in stream.headers if n.lower() == b"content-length"), b"")
             place = await store.get(item)
             if length.isdigit() and place and place.size < 0:
-                await store.put(item, Place(place.shard, int(length)))
+                await store.put(item, Placement(place.shard, int(length)))
 
     def stop(self, last: bool = False) -> None:
         """Close clients between requests; busy ones end after their answer."""
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -42,7 +42,7 @@
         self.timers = timers
         self.clock = clock
         self.clock_error_ns = clock_error_ns
-        self.links: dict[str, Upstream] = {}
+        self.pools: dict[str, Upstream] = {}
         self.events: list[Event] = []
         self._wake = anyio.Event()
         # A timer may be added between two iterations: without a wake-up it would wait for the next event.
@@ -91,18 +91,18 @@
 
     def _announce_nodes(self, update: NodeListUpdate) -> None:
         self.core.endpoints.wall_clock_is_unreliable |= abs(self.clock_error_ns()) > MAX_CLOCK_ERROR_NS
-        for link in self.links.values():
-            link.listed(update.nodes)
+        for pool in self.pools.values():
+            pool.update_nodes(update.nodes)
 
     def carry_out(self, effects: Iterable[Effect]) -> None:
         """Carry out the reducer's effects, in their order."""
         for effect in effects:
             match effect:
                 case Dispatch():
-                    self.links[effect.payload.wire].dispatch(effect)
+                    self.pools[effect.payload.wire].dispatch(effect)
                 case AbortAttempt(attempt):
-                    for link in self.links.values():
-                        link.abandon(attempt)
+                    for pool in self.pools.values():
+                        pool.abandon(attempt)
                 case SendResponse(sink, reply):
                     sink.answer(reply)
                 case StartResponse(sink, value, node, shard):
--- a/tests/config/test_machine_checks.py
+++ b/tests/config/test_machine_checks.py
@@ -9,7 +9,7 @@
 from runloft.listeners import objects as objects_front
 from runloft.listeners import resp
 from runloft.listeners.accepting import AcceptingFront
-from runloft.upstream import links
+from runloft.upstream.pool import ConnectionPool
 
 HERE = Path(__file__).parent / "files"
 
@@ -26,11 +26,20 @@
             int(1024 * machine_checks.MAX_CLIENT_FRACTION) // fronts,
         )
         for part in parts:
-            link = links.NodeLink(None, None, None, None, config_from_json(held), kind=None, permit=None,
-                                  begin=None, part=part)  # fmt: skip
-            assert link.most == (1024 - machine_checks.RESERVED_SOCKETS) // part
+            pool = ConnectionPool(
+                None,
+                None,
+                None,
+                None,
+                config_from_json(held),
+                connection_type=None,
+                permit=None,
+                begin_attempt=None,
+                descriptors_divisor=part,
+            )
+            assert pool.max_connections == (1024 - machine_checks.RESERVED_SOCKETS) // part
     server = (HERE.parents[2] / "runloft" / "service" / "server.py").read_text()
-    assert "part=4 if config.objects else 2," in server and "part=8," in server
+    assert "descriptors_divisor=4 if config.objects else 2," in server and "descriptors_divisor=8," in server
     assert (machine_checks.IDLE_TIMEOUT_MS, machine_checks.CROWDED_IDLE_TIMEOUT_MS) == (
         resp.IDLE_NS / 1e6,
         resp.CROWD_NS / 1e6,
