--- a/runloft/lab/program_log.py
+++ b/runloft/lab/program_log.py
@@ -2,5 +2,5 @@
 
 import re
 
-SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespFront")
+SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=RespListener")
 ADMIN_SERVING = re.compile(r"serving .*at=(127\.0\.0\.1:\d+) front=admin")
--- a/tests/config/test_machine_checks.py
+++ b/tests/config/test_machine_checks.py
@@ -6,9 +6,9 @@
 from runloft.config.operator.file import check_file
 from runloft.config.platform_config import config_from_json
 from runloft.lab.scale.records import result_from
-from runloft.listeners import objects as objects_front
-from runloft.listeners import resp
-from runloft.listeners.accepting import AcceptingFront
+from runloft.listeners.accepting import ListenerBase
+from runloft.listeners.objects.limits import IDLE_TIMEOUT_S
+from runloft.listeners.resp import limits as resp_limits
 from runloft.upstream.pool import ConnectionPool
 
 HERE = Path(__file__).parent / "files"
@@ -19,9 +19,9 @@
     raw = check_file(str(HERE / "sidecar.toml")).document | {"limits": {"sockets": 1024}}
     for objects, parts in machine_checks.NODE_SOCKET_DIVISORS.items():
         held = raw if objects else {key: value for key, value in raw.items() if key != "objects"}
-        front = AcceptingFront(None, None, None, None, config_from_json(held))
+        listener = ListenerBase(None, None, None, None, config_from_json(held))
         fronts = 2 if objects else 1
-        assert (front.crowd, front.most_clients) == (
+        assert (listener.pressure_threshold, listener.max_clients) == (
             int(1024 * machine_checks.EVICTION_FRACTION) // fronts,
             int(1024 * machine_checks.MAX_CLIENT_FRACTION) // fronts,
         )
@@ -41,10 +41,10 @@
     server = (HERE.parents[2] / "runloft" / "service" / "server.py").read_text()
     assert "descriptors_divisor=4 if config.objects else 2," in server and "descriptors_divisor=8," in server
     assert (machine_checks.IDLE_TIMEOUT_MS, machine_checks.CROWDED_IDLE_TIMEOUT_MS) == (
-        resp.IDLE_NS / 1e6,
-        resp.CROWD_NS / 1e6,
+        resp_limits.IDLE_TIMEOUT_NS / 1e6,
+        resp_limits.PRESSURE_IDLE_TIMEOUT_NS / 1e6,
     )
-    assert machine_checks.IDLE_TIMEOUT_MS == objects_front.IDLE_S * 1e3
+    assert machine_checks.IDLE_TIMEOUT_MS == IDLE_TIMEOUT_S * 1e3
 
 
 def test_checked_memory_is_no_less_than_measured():
