--- a/runloft/agreement/client.py
+++ b/runloft/agreement/client.py
@@ -29,7 +29,8 @@
 from runloft.agreement.status import AgreementStatus
 from runloft.agreement.store import AgreementStore
 from runloft.config.faults import ConfigError
-from runloft.config.settings import AgreementSettings, Config, config_from_json
+from runloft.config.platform_config import config_from_json
+from runloft.config.settings import AgreementSettings, Config
 from runloft.core.model import SuspendedVolumes
 
 log = structlog.get_logger()
@@ -69,7 +70,7 @@
         self.replica = Replica(
             file_config.name,
             uuid.uuid4().hex[:INCARNATION_DIGITS],
-            content_of_file(file_config.raw or {}),
+            content_of_file(file_config.document or {}),
             settings.lease_ns,
             settings.fence_ns,
             self._refusals,
@@ -79,7 +80,7 @@
         self._logged_differences: tuple[Difference, ...] = ()
 
     def _refusals(self, content: Content) -> list[str]:
-        return refusals(self.file_config.raw or {}, content)
+        return refusals(self.file_config.document or {}, content)
 
     # Configuration
 
@@ -110,10 +111,10 @@
 
     def with_committed(self, file_config: Config) -> Config:
         """Return the sidecar's file's configuration with the committed figures in place of its own."""
-        if file_config.raw is not self.file_config.raw:
+        if file_config.document is not self.file_config.document:
             self.file_config = file_config
-            self.replica.set_file_content(content_of_file(file_config.raw or {}))
-        raw = file_config.raw or {}
+            self.replica.set_file_content(content_of_file(file_config.document or {}))
+        raw = file_config.document or {}
         result = effective(raw, self.content) if self.content else Effective(raw)
         if not self.status.holds_reserves:
             result = replace(result, raw=without_reserves(result.raw))
@@ -129,7 +130,7 @@
         plans = result.suspended_plans
         volumes = result.suspended_volumes
         try:
-            config = replace(config_from_json(result.raw), raw=file_config.raw)
+            config = replace(config_from_json(result.raw), document=file_config.document)
         except ConfigError as error:
             # Protects the volumes: what this sidecar can't serve as committed it doesn't serve otherwise.
             log.error("committed generation can't be served here: suspended", faults=error.faults)
@@ -140,7 +141,9 @@
         known_volumes = config.objects.volumes if config.objects else {}
         volume_ids = {volume.id for name, volume in known_volumes.items() if name in volumes}
         plan_indexes = {index for index, name in enumerate(config.plan_names) if name in plans}
-        return replace(config, held=SuspendedVolumes(frozenset(plan_indexes), frozenset(volume_ids)))
+        return replace(
+            config, suspended_volumes=SuspendedVolumes(frozenset(plan_indexes), frozenset(volume_ids))
+        )
 
     def _set_divergence(self, result: Effective) -> None:
         if result.differences != self._logged_differences:  # each once, and again when a figure has changed
--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -20,10 +20,12 @@
 from runloft.agreement.rollout import Plan
 from runloft.agreement.rollout_driver import POLLS_PER_LEASE, run_rollout
 from runloft.agreement.store import AgreementStore
-from runloft.config.commands import checked_fleet, misused, tell
-from runloft.config.faults import serious
-from runloft.config.operator import Checked, check_file
-from runloft.config.settings import AgreementSettings, agreement_of
+from runloft.config.faults import blocking_faults
+from runloft.config.operator.file import CheckedFile, check_file
+from runloft.config.platform_config import agreement_settings
+from runloft.config.settings import AgreementSettings
+from runloft.config.tool.fleet_check import check_fleet_file
+from runloft.config.tool.output import print_faults, usage_error
 
 FLEET_FILE = "fleet.toml"
 CAPACITY_FAULT = "reserve-not-borne"
@@ -48,48 +50,50 @@
                 return _status(options)
         return _forget(options)
     except ModuleNotFoundError as error:
-        return misused(f"{error.name} is missing: pip install -r requirements-tools.txt")
+        return usage_error(f"{error.name} is missing: pip install -r requirements-tools.txt")
 
 
 def _roll_out(options: argparse.Namespace) -> int:
     # Loaded here: they need requirements-tools.txt, which ``status`` and ``forget`` do without.
     from runloft.agreement.planning import content_of_fleet, rollout_plan
-    from runloft.config.comparing import compared
+    from runloft.config.comparison.files import compare_files
 
     directory = Path(options.directory)
     paths = sorted(path for path in directory.glob("*.toml") if path.name != FLEET_FILE)
     if not paths:
-        return misused(f"{directory} holds no operator's file")
-    fleet, fleet_faults = checked_fleet(options.fleet or str(directory / FLEET_FILE), options.nodes)
+        return usage_error(f"{directory} holds no operator's file")
+    checked = check_fleet_file(options.fleet or str(directory / FLEET_FILE), options.nodes)
+    fleet = checked.fleet
     files = [check_file(str(path)) for path in paths]
     file_faults = [fault for file in files for fault in file.faults]
-    comparable_fleet = fleet if fleet and not serious(fleet.faults) else None
-    faults = [*fleet_faults, *file_faults, *compared(files, comparable_fleet)]
-    tell(faults)
-    if serious(faults):
+    comparable_fleet = fleet if fleet and not blocking_faults(fleet.faults) else None
+    faults = [*checked.faults, *file_faults, *compare_files(files, comparable_fleet)]
+    print_faults(faults)
+    if fleet is None or blocking_faults(faults):
         return FAILED
-    plan = rollout_plan(fleet, content_of_fleet(fleet, _raw_values(files)))
+    plan = rollout_plan(fleet, content_of_fleet(fleet, _documents(files)))
 
     async def act(store: AgreementStore, settings: AgreementSettings) -> int:
         return await _carry_out(store, settings, plan, options.json)
 
-    return _with_store(options, act, _raw_values(files))
+    return _with_store(options, act, _documents(files))
 
 
-def _raw_values(files: Sequence[Checked]) -> list[Json]:
-    return [file.raw for file in files]
+def _documents(files: Sequence[CheckedFile]) -> list[Json]:
+    return [file.document for file in files]
 
 
 def _roll_back(options: argparse.Namespace) -> int:
     from runloft.agreement.planning import rollout_plan  # needs requirements-tools.txt
 
-    fleet, faults = checked_fleet(options.fleet, None)
+    checked = check_fleet_file(options.fleet, None)
+    fleet = checked.fleet
     if fleet is None:
-        tell(faults)
+        print_faults(checked.faults)
         return FAILED
     # A fleet that can't bear its own figures may still bear the previous generation's.
-    if other := [fault for fault in serious(faults) if fault.code != CAPACITY_FAULT]:
-        tell(other)
+    if other := [fault for fault in blocking_faults(checked.faults) if fault.code != CAPACITY_FAULT]:
+        print_faults(other)
         return FAILED
 
     async def act(store: AgreementStore, settings: AgreementSettings) -> int:
@@ -153,7 +157,7 @@
     """Run an action with a client of the store that the options or the files name."""
     settings = _settings(options, files)
     if settings is None:
-        return misused("no store is named: give --store URL, or --config FILE with an [agreement]")
+        return usage_error("no store is named: give --store URL, or --config FILE with an [agreement]")
     return anyio.run(_run_with_store, act, settings)
 
 
@@ -172,7 +176,7 @@
 def _settings(options: argparse.Namespace, files: Sequence[Json]) -> AgreementSettings | None:
     """Return the store's settings: as the options have them, or as operators' files do."""
     if options.store:
-        return agreement_of(
+        return agreement_settings(
             {
                 "store": options.store,
                 "directory": "",
@@ -181,8 +185,8 @@
             }
         )
     if not files and getattr(options, "config", None):
-        files = [check_file(options.config).raw]
+        files = [check_file(options.config).document]
     for raw in files:
         if named := raw.get("agreement"):
-            return agreement_of(named)
+            return agreement_settings(named)
     return None
--- a/runloft/agreement/content.py
+++ b/runloft/agreement/content.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from runloft.agreement.errors import ContentError
-from runloft.config.operator import SHARED
+from runloft.config.operator.settings_records import SHARED_KEYS
 
 FORMAT = 1
 VOLUME_KEYS = ("id", "plan", "hosts")
@@ -75,7 +75,7 @@
         volumes={name: {key: row[key] for key in VOLUME_KEYS if key in row} for name, row in volumes.items()},
         shared={
             table: {key: settings.get(table, {})[key] for key in keys if key in settings.get(table, {})}
-            for table, keys in SHARED.items()
+            for table, keys in SHARED_KEYS.items()
         },
     )
 
--- a/runloft/agreement/effective.py
+++ b/runloft/agreement/effective.py
@@ -10,9 +10,9 @@
 from typing import Any, NamedTuple
 
 from runloft.agreement.content import VOLUME_KEYS, Content, Json, Row, without_name
-from runloft.config.faults import Fault, serious
-from runloft.config.operator import read_operator
-from runloft.config.records import Reader
+from runloft.config.faults import Fault, blocking_faults
+from runloft.config.operator.file import read_operator
+from runloft.config.schema.reader import Reader
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,7 +136,7 @@
     result = effective(raw, content)
     for name in sorted(result.suspended_volumes):
         reasons.append(f"volume {name} is served here and does not stand there")
-    return reasons + [str(fault) for fault in serious(faults_of(result.raw))]
+    return reasons + [str(fault) for fault in blocking_faults(faults_of(result.raw))]
 
 
 def faults_of(raw: Json) -> list[Fault]:
--- a/runloft/agreement/planning.py
+++ b/runloft/agreement/planning.py
@@ -5,11 +5,11 @@
 from runloft.agreement.content import Content, Json, content_of_file, intermediate, merged
 from runloft.agreement.errors import NoSafePathError
 from runloft.agreement.rollout import Plan
-from runloft.config.faults import Fault, serious
-from runloft.config.fleet import Fleet, Volume
-from runloft.config.honouring import honourable
-from runloft.config.operator import PlanRecord
-from runloft.config.records import settings_of
+from runloft.config.faults import Fault, blocking_faults
+from runloft.config.feasibility.check import check_feasibility
+from runloft.config.fleet.model import Fleet, Volume
+from runloft.config.operator.settings_records import PlanRecord
+from runloft.config.schema.records import settings_of
 
 PLAN_FIELDS = {setting.key: name for name, setting in settings_of(PlanRecord).items()}
 
@@ -51,7 +51,7 @@
         """Return why the fleet can't serve both contents at once."""
         volumes = volumes_of(one)
         capacity = Fleet(fleet.file, fleet.record, fleet.reader, fleet.nodes, volumes)
-        return serious(honourable(capacity, volumes_of(other)))
+        return blocking_faults(check_feasibility(capacity, volumes_of(other)))
 
     def plan(old: Content | None) -> Sequence[Content]:
         if faults := overload(new, Content()):
--- a/runloft/agreement/rendering.py
+++ b/runloft/agreement/rendering.py
@@ -6,7 +6,7 @@
 
 from runloft.agreement.records import CommittedGeneration, Lease, StoreView
 from runloft.agreement.rollout_driver import RolloutReport
-from runloft.config.commands import table
+from runloft.config.tool.output import print_table
 
 NS_PER_S = 1e9
 STATUS_COLUMNS = ("sidecar", "state", "generation", "since", "differs", "held")
@@ -71,7 +71,7 @@
 
 
 def print_status(view: StoreView, lease_ns: int) -> None:
-    """Print a view as lines and a table."""
+    """Print a view as lines and a print_table."""
     if view.committed is None:
         print("nothing is in force")
     else:
@@ -82,7 +82,7 @@
         (status.name, status.state, status.generation, status.since, status.differences, status.suspended)
         for status in sidecar_statuses(view, lease_ns)
     ]
-    table("Sidecars", STATUS_COLUMNS, rows)
+    print_table("Sidecars", STATUS_COLUMNS, rows)
 
 
 def _committed_line(committed: CommittedGeneration, now_ns: int) -> str:
--- a/runloft/arguments.py
+++ b/runloft/arguments.py
@@ -31,7 +31,7 @@
     config = commands.add_parser("config", help="write, check, explain or compare configurations")
     actions = config.add_subparsers(dest="action", required=True)
     config_commands.add_parsers(actions)
-    config_commands.add_rolling_parsers(actions)
+    config_commands.add_rollout_parsers(actions)
 
 
 def _add_lab_parser(commands: Subparsers) -> None:
--- a/runloft/cli.py
+++ b/runloft/cli.py
@@ -12,7 +12,8 @@
 from runloft import __version__
 from runloft.arguments import build_parser
 from runloft.config.faults import ConfigError
-from runloft.config.settings import Config, UnreadableConfigError, load_config
+from runloft.config.loading import UnreadableConfigError, load_config
+from runloft.config.settings import Config
 from runloft.core.trace import trace
 from runloft.service.errors import StartupError
 from runloft.service.server import run_server
--- a/runloft/lab/commands.py
+++ b/runloft/lab/commands.py
@@ -8,8 +8,8 @@
 
 import anyio
 
-from runloft.config.commands import table
 from runloft.config.faults import ConfigError
+from runloft.config.tool.output import print_table
 from runloft.lab.errors import builtin_name
 from runloft.lab.playing import ArmReport, play
 from runloft.lab.reporting import COLUMNS, plot, rows
@@ -42,7 +42,7 @@
         print(json.dumps([dict(zip(COLUMNS, line, strict=True)) for line in lines], indent=1))
     else:
         title = f"{scenario.record.name}, {scenario.record.seconds:g} s, seed {options.seed}"
-        table(title, COLUMNS, lines)
+        print_table(title, COLUMNS, lines)
 
 
 def _print_violations(reports: Sequence[ArmReport]) -> int:
--- a/runloft/lab/config_files.py
+++ b/runloft/lab/config_files.py
@@ -7,8 +7,8 @@
 
 import tomli_w
 
-from runloft.config.generating import Generator
-from runloft.config.records import Reader
+from runloft.config.fleet.generator import Generator
+from runloft.config.schema.reader import Reader
 from runloft.lab.scenario import ArmRecord, EditRecord, Scenario
 from runloft.lab.stand_in_fleet import StandInFleet
 
@@ -26,7 +26,7 @@
     edits = [scenario.record.edits[number] for number in arm.edits]
     paths = {}
     for index, application in enumerate(scenario.fleet.record.applications):
-        document = generator.values(index, Reader(scenario.fleet.file))
+        document = generator.document(index, Reader(scenario.fleet.file))
         document |= {"listen": "127.0.0.1:0", "discovery": fleet.discovery.address}
         for table in OMITTED_TABLES:
             document.pop(table, None)
--- a/runloft/lab/fleet_rollout.py
+++ b/runloft/lab/fleet_rollout.py
@@ -8,8 +8,8 @@
 from runloft.agreement.records import StoreView
 from runloft.agreement.rollout_driver import run_rollout
 from runloft.agreement.store import AgreementStore
-from runloft.config.generating import Generator
-from runloft.config.records import raw_of
+from runloft.config.fleet.generator import Generator
+from runloft.config.schema.records import document_of
 from runloft.lab.errors import LaboratoryError
 from runloft.lab.scenario import Scenario
 
@@ -53,7 +53,7 @@
     for index in range(sidecars):
         record = generator.record(index)
         assert record is not None
-        documents.append(raw_of(record))
+        documents.append(document_of(record))
     return content_of_fleet(scenario.fleet, documents)
 
 
--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -18,8 +18,9 @@
 from runloft.agreement.content import Content
 from runloft.agreement.rollout_driver import run_rollout
 from runloft.agreement.store import AgreementStore
-from runloft.config.commands import table
-from runloft.config.settings import AgreementSettings, Config, config_from_json
+from runloft.config.platform_config import config_from_json
+from runloft.config.settings import AgreementSettings, Config
+from runloft.config.tool.output import print_table
 from runloft.lab.redis import RedisStandIn
 
 TIMEOUT_S = 60.0
@@ -58,7 +59,7 @@
         },
     }
     config = config_from_json(document)
-    object.__setattr__(config, "raw", document)
+    object.__setattr__(config, "document", document)
     return config
 
 
@@ -149,7 +150,7 @@
             timer = RolloutTimer(sidecars, loss, options.lease_ms, options.seed)
             times.append(anyio.run(timer.measure))
     rows = [_row(one, options.lease_ms) for one in times]
-    table(f"Roll-outs, lease {options.lease_ms:g} ms, seed {options.seed}", COLUMNS, rows)
+    print_table(f"Roll-outs, lease {options.lease_ms:g} ms, seed {options.seed}", COLUMNS, rows)
     return 0 if all(one.done for one in times) else 1
 
 
--- a/runloft/lab/scale/capacity_page/settings_needed.py
+++ b/runloft/lab/scale/capacity_page/settings_needed.py
@@ -3,10 +3,16 @@
 from dataclasses import dataclass
 from math import ceil, exp
 
-from runloft.config.operator import BEHIND_FENCE, CHANGE_MS, CLIENT_KB, FENCE_OVER, WITH_TOOLS_MB
+from runloft.config.operator.agreement_checks import FENCE_WITH_DRIFT, LEASES_AFTER_FENCE, MAX_CHANGE_MS
+from runloft.config.operator.machine_checks import BASE_MEMORY_WITH_TOOLS_MB, CLIENT_MEMORY_KB
 from runloft.config.settings import FENCE_LEASES, AgreementSettings
 from runloft.lab.scale.capacity_page.budgets import BudgetName
-from runloft.lab.scale.capacity_page.mechanisms import LISTENER_FILES, OPERATOR_CONFIG_FILE, POOL_LIMIT_FILE
+from runloft.lab.scale.capacity_page.mechanisms import (
+    AGREEMENT_CHECKS_FILE,
+    LISTENER_FILES,
+    MACHINE_CHECKS_FILE,
+    POOL_LIMIT_FILE,
+)
 from runloft.lab.scale.capacity_page.sources import Source
 from runloft.lab.scale.records import Sizes
 from runloft.listeners.accepting import CLIENT_FRACTION, PRESSURE_FRACTION
@@ -19,7 +25,9 @@
 IDLE_TIMEOUT_S = IDLE_TIMEOUT_NS / NS_PER_S
 CROWDED_IDLE_TIMEOUT_S = PRESSURE_IDLE_TIMEOUT_NS / NS_PER_S
 DEFAULT_LEASE_S = AgreementSettings("", "").lease_ns / NS_PER_S
-LEASES_PER_CHANGE = FENCE_LEASES * FENCE_OVER + BEHIND_FENCE  # of a change while one scheduler is silent
+LEASES_PER_CHANGE = (
+    FENCE_LEASES * FENCE_WITH_DRIFT + LEASES_AFTER_FENCE
+)  # of a change while one scheduler is silent
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,8 +99,9 @@
 def _memory_need(sizes: Sizes) -> Need:
     return Need(
         "limits.memory_mb: the program and its clients",
-        WITH_TOOLS_MB + sizes.clients * CLIENT_KB / KB_PER_MB,
-        f"{OPERATOR_CONFIG_FILE}: {CLIENT_KB:g} KiB a client, {WITH_TOOLS_MB:g} MB without any",
+        BASE_MEMORY_WITH_TOOLS_MB + sizes.clients * CLIENT_MEMORY_KB / KB_PER_MB,
+        f"{MACHINE_CHECKS_FILE}: {CLIENT_MEMORY_KB:g} KiB a client, "
+        f"{BASE_MEMORY_WITH_TOOLS_MB:g} MB without any",
         budget=BudgetName.MEMORY,
     )
 
@@ -101,8 +110,8 @@
     return (
         Need(
             "agreement.lease_ms: at most, with the fence that follows",
-            CHANGE_MS / LEASES_PER_CHANGE,
-            f"{OPERATOR_CONFIG_FILE}: {CHANGE_MS / MS_PER_S:g} s for a change while one is silent",
+            MAX_CHANGE_MS / LEASES_PER_CHANGE,
+            f"{AGREEMENT_CHECKS_FILE}: {MAX_CHANGE_MS / MS_PER_S:g} s for a change while one is silent",
         ),
         Need(
             f"a change with a lease of {DEFAULT_LEASE_S:g} s, one silent, s",
--- a/runloft/lab/scale/capacity_page/state.py
+++ b/runloft/lab/scale/capacity_page/state.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from runloft.accounts.ledger import MOST_VOLUMES
+from runloft.accounts.ledger import MAX_VOLUMES
 from runloft.core.model import Bounds
 from runloft.lab.scale.capacity_page import mechanisms
 from runloft.service.metrics import MAX_ACCOUNTS_SHOWN
@@ -72,7 +72,7 @@
     StateItem(
         role="scheduler, accounts",
         title="volumes by name at most",
-        count=MOST_VOLUMES,
+        count=MAX_VOLUMES,
         dimension=None,
         mechanism=mechanisms.VOLUME_LEDGER,
         growth="constant",
--- a/runloft/lab/scale/commands.py
+++ b/runloft/lab/scale/commands.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from runloft.config.commands import misused
+from runloft.config.tool.output import usage_error
 from runloft.lab.scale.command_line import UsageError, plan_from
 from runloft.lab.scale.engine import Run, merged
 from runloft.lab.scale.output import draw_plot, print_tables
@@ -19,7 +19,7 @@
         plan = plan_from(options)
         earlier = _earlier_result(options)
     except UsageError as error:
-        return misused(str(error))
+        return usage_error(str(error))
     result = anyio.run(Run(plan).run)
     if earlier:
         result = merged(earlier, result)
--- a/runloft/lab/scale/datapath/load_measurement.py
+++ b/runloft/lab/scale/datapath/load_measurement.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from runloft.config.settings import address
+from runloft.config.settings import parse_address
 from runloft.lab.scale.datapath.launching import Launch, Progress, launch_with_operator_file
 from runloft.lab.scale.datapath.messages import (
     ClientsConnected,
@@ -144,7 +144,7 @@
 
 async def _scrape(admin_address: str) -> bytes:
     """Return the body of one answer to GET /metrics."""
-    async with await anyio.connect_tcp(*address(admin_address)) as stream:
+    async with await anyio.connect_tcp(*parse_address(admin_address)) as stream:
         await stream.send(b"GET /metrics HTTP/1.0\r\nHost: localhost\r\n\r\n")
         data = bytearray()
         async for chunk in stream:
--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -106,7 +106,7 @@
             config = self._start_agreement(config, clock)
         timers = TimerQueue()
         core = Core(config.settings, config.seed, clock(), timers, config.bounds)
-        core.suspended = config.held
+        core.suspended = config.suspended_volumes
         self.runner = runner = HollowRunner(core, timers, clock)
         is_polled = config.settings.list_is_polled
         watch = Watch(config.discovery, 0, config.zones, runner.post, timers, clock, polled=is_polled)
--- a/runloft/lab/scale/output.py
+++ b/runloft/lab/scale/output.py
@@ -3,7 +3,7 @@
 import sys
 from pathlib import Path
 
-from runloft.config.commands import table
+from runloft.config.tool.output import print_table
 from runloft.lab.scale.records import Result
 
 PLOT_COLUMNS = 4
@@ -36,11 +36,11 @@
         for name, value in event.figures.items()
     ]
     if points:
-        table("Points", ("dimension", "size", "repeat", "figure", "value"), points)
+        print_table("Points", ("dimension", "size", "repeat", "figure", "value"), points)
     if slopes:
-        table("Slopes", ("dimension", "figure", "for each", "at none", "residual", "spread"), slopes)
+        print_table("Slopes", ("dimension", "figure", "for each", "at none", "residual", "spread"), slopes)
     if events:
-        table("Events", ("event", "repeat", "figure", "value"), events)
+        print_table("Events", ("event", "repeat", "figure", "value"), events)
 
 
 def draw_plot(result: Result, path: Path) -> None:
--- a/runloft/lab/scale/scheduler_config.py
+++ b/runloft/lab/scale/scheduler_config.py
@@ -2,7 +2,8 @@
 
 from typing import TypeAlias
 
-from runloft.config.settings import OPERATIONS, Config, config_from_json
+from runloft.config.platform_config import config_from_json
+from runloft.config.settings import OPERATIONS, Config
 from runloft.lab.scale.messages import ConfigDocument
 
 VolumeRows: TypeAlias = dict[str, dict[str, str | int]]  # of the file, by name
@@ -41,5 +42,5 @@
 def read_config(document: ConfigDocument) -> Config:
     """Read a scheduler's file as ``serve`` does."""
     config = config_from_json(document)
-    object.__setattr__(config, "raw", document)
+    object.__setattr__(config, "document", document)
     return config
--- a/runloft/lab/soak/commands.py
+++ b/runloft/lab/soak/commands.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from runloft.config.commands import misused
+from runloft.config.tool.output import usage_error
 from runloft.lab.soak.playing import MAX_SHOWN_VIOLATIONS, Player
 from runloft.lab.soak.records import RequestOutcome
 from runloft.lab.soak.schedule import Schedule, ScheduleError, draw, read_kinds, read_schedule
@@ -21,7 +21,7 @@
     try:
         schedules = schedules_from(options)
     except ScheduleError as error:
-        return misused(str(error))
+        return usage_error(str(error))
     player = Player(Path(options.keep) if options.keep else None)
     results = _play_all(schedules, player, shrinks=options.shrink)
     verdicts = Counter(result.verdict for result in results)
--- a/runloft/lab/stand_in_fleet.py
+++ b/runloft/lab/stand_in_fleet.py
@@ -5,7 +5,7 @@
 import anyio
 import anyio.abc
 
-from runloft.config.fleet import Fleet, Node
+from runloft.config.fleet.model import Fleet, Node
 from runloft.lab.discovery import LabDiscovery
 from runloft.lab.node import LabNode, NodeKind, Pause
 from runloft.lab.redis import RedisStandIn
@@ -61,8 +61,8 @@
     return NodeKind(
         cores=max(1, round(machine.cores)),
         speed=machine.speed[0],
-        unit_ms=record.unit_ms,
-        slow_start_from=machine.cold,
-        slow_start_s=machine.warm_ms / MS_PER_S,
+        unit_ms=record.unit_work_ms,
+        slow_start_from=machine.cold_fraction,
+        slow_start_s=machine.warm_up_ms / MS_PER_S,
         overload_multiple=float(safety.get("FallMultiple", DEFAULT_OVERLOAD_MULTIPLE)),
     )
--- a/runloft/service/metrics.py
+++ b/runloft/service/metrics.py
@@ -10,7 +10,8 @@
 
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
-from runloft.accounts.ledger import OTHERS, Ledger, VolumeTotals
+from runloft.accounts.ledger import Ledger
+from runloft.accounts.totals import OTHERS, VolumeTotals
 from runloft.core.counters import COUNTERS
 from runloft.core.invariants import INVARIANTS, Violation
 from runloft.core.reducer import Core
@@ -143,13 +144,13 @@
         label = accounts.label
         totals = accounts.totals
         # The event loop writes meanwhile: each table is copied in one step of the interpreter first.
-        for part, amount_ns in tuple(totals.parts.items()):
-            durations.add_metric([label, part.name.lower()], amount_ns / NS_PER_S)
+        for component, amount_ns in tuple(totals.components.items()):
+            durations.add_metric([label, component.value], amount_ns / NS_PER_S)
         for other, amount_ns in tuple(totals.waited_for.amounts.items()):
             other_label = "others" if other == OTHERS else f"{other:016x}"
             waits.add_metric([label, other_label], amount_ns / NS_PER_S)
-        waits.add_metric([label, "standing still"], totals.still_ns / NS_PER_S)
-        waits.add_metric([label, "not told"], totals.idle_ns / NS_PER_S)
+        waits.add_metric([label, "standing still"], totals.stalled_ns / NS_PER_S)
+        waits.add_metric([label, "not told"], totals.unattributed_ns / NS_PER_S)
     yield durations
     yield waits
 
@@ -157,5 +158,5 @@
 def _slowest_volumes(ledger: Ledger) -> list[VolumeAccounts]:
     """Return the volumes with the longest total time, as many as are shown."""
     accounts = [VolumeAccounts(volume, totals) for volume, totals in tuple(ledger.totals.items())]
-    accounts.sort(key=lambda one: (-one.totals.whole_ns, one.volume))
+    accounts.sort(key=lambda one: (-one.totals.total_ns, one.volume))
     return accounts[:MAX_ACCOUNTS_SHOWN]
--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -9,7 +9,8 @@
 import structlog
 
 from runloft.config.faults import ConfigError
-from runloft.config.settings import Config, UnreadableConfigError, load_config
+from runloft.config.loading import UnreadableConfigError, load_config
+from runloft.config.settings import Config
 from runloft.core.model import Event, Reconfigured
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.decisions.contract import ListKind
@@ -94,8 +95,12 @@
         config = change.config
         self._update_watch(config)
         old = self.config
-        if (config.settings, config.bounds, config.held) != (old.settings, old.bounds, old.held):
-            self.post(Reconfigured(config.settings, config.bounds, config.held))
+        if (config.settings, config.bounds, config.suspended_volumes) != (
+            old.settings,
+            old.bounds,
+            old.suspended_volumes,
+        ):
+            self.post(Reconfigured(config.settings, config.bounds, config.suspended_volumes))
         for component in self.components:
             component.configure(config)
         self.config = config
@@ -103,10 +108,10 @@
     def _update_watch(self, config: Config) -> None:
         self.watch.zones = config.zones
         self.watch.move(config.discovery)
-        rev = config.known.get("rev")
+        rev = config.initial_node_list.get("rev")
         if isinstance(rev, int) and rev > self.watch.rev:  # the file is newer than what the watch has sent
             self.watch.rev = rev
-            self.post(node_list_update(ListKind.FULL, config.known.get("targets"), config.zones))
+            self.post(node_list_update(ListKind.FULL, config.initial_node_list.get("targets"), config.zones))
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -93,11 +93,11 @@
 def new_core(config: Config, clock: Callable[[], int], timers: TimerQueue) -> Core:
     """Return the reducer with its state of the start."""
     core = Core(config.settings, config.seed, clock(), timers, config.bounds)
-    core.suspended = config.held
-    if config.account_volumes:
+    core.suspended = config.suspended_volumes
+    if config.accounted_volumes:
         from runloft.accounts.ledger import Ledger
 
-        core.observer = Ledger(config.settings, config.account_volumes)
+        core.observer = Ledger(config.settings, config.accounted_volumes)
     return core
 
 
@@ -138,7 +138,9 @@
         await self._open_protocols()
         with value_checked_by_use("known.targets"):
             self.runner.post(
-                node_list_update(ListKind.CACHED, self.config.known.get("targets"), self.config.zones)
+                node_list_update(
+                    ListKind.CACHED, self.config.initial_node_list.get("targets"), self.config.zones
+                )
             )
         watch = self._new_watch()
         self._log_endpoints()
@@ -247,7 +249,7 @@
     def _new_watch(self) -> Watch:
         config = self.config
         with value_checked_by_use("known.rev"):
-            rev = int(config.known.get("rev", 0) or 0)
+            rev = int(config.initial_node_list.get("rev", 0) or 0)
         return Watch(
             config.discovery,
             rev,
--- a/runloft/simulator/adapter.py
+++ b/runloft/simulator/adapter.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import BinaryIO
 
-from runloft.config.settings import settings_from_wire
+from runloft.config.wire_settings import settings_from_wire
 from runloft.decisions import contract
 from runloft.decisions.scheduler import Scheduler
 from runloft.simulator import wire
--- a/runloft/upstream/connection.py
+++ b/runloft/upstream/connection.py
@@ -10,7 +10,7 @@
 import anyio.abc
 import structlog
 
-from runloft.config.settings import address
+from runloft.config.settings import parse_address
 from runloft.core.counters import COUNTERS, CounterName, NodeCloseReason
 from runloft.core.model import AttemptFinished, AttemptWithdrawn, Dispatch, Event, RequestWritten
 from runloft.core.timers import TimerHandle, TimerQueue
@@ -193,7 +193,7 @@
     async def _connect(self) -> bool:
         """Connect; return False where this machine could not: the attempt waits for another connection."""
         try:
-            await connect(self.sock, address(self.peer.endpoint))
+            await connect(self.sock, parse_address(self.peer.endpoint))
         except OSError as error:
             effect = self.current
             if self.closed or effect is None or error.errno not in LOCAL_CONNECT_ERRORS:
--- a/runloft/upstream/pool.py
+++ b/runloft/upstream/pool.py
@@ -68,9 +68,9 @@
     def configure(self, config: Config) -> None:
         """Apply the timeouts, the limits and the memory of a configuration from now on."""
         self.connect_timeout_ns = config.settings.connect_timeout_ns or DEFAULT_CONNECT_TIMEOUT_NS
-        self.idle_timeout_ns = int(config.conn_idle_ns * IDLE_FRACTION)
+        self.idle_timeout_ns = int(config.idle_timeout_ns * IDLE_FRACTION)
         self.max_connections = max(1, (config.max_sockets - RESERVED_DESCRIPTORS) // self.descriptors_divisor)
-        self.reports_written_requests = config.account_volumes > 0
+        self.reports_written_requests = config.accounted_volumes > 0
         self.max_reply_bytes = min(MAX_REPLY_BYTES, config.spare_bytes // REPLY_MEMORY_DIVISOR)
         self.reply_memory.resize(config.spare_bytes // REPLIES_MEMORY_DIVISOR)
 
--- a/tests/agreement/test_effective.py
+++ b/tests/agreement/test_effective.py
@@ -5,13 +5,13 @@
 
 from runloft.agreement.content import content_from_json, content_of_file
 from runloft.agreement.effective import Effective, effective, refusals
-from runloft.config.operator import check_file
+from runloft.config.operator.file import check_file
 
 SIDECAR = Path(__file__).parents[1] / "config" / "files" / "sidecar.toml"
 
 
 def test_committed_figures_replace_the_files_and_each_difference_is_reported():
-    raw = check_file(str(SIDECAR)).raw
+    raw = check_file(str(SIDECAR)).document
     file_content = content_of_file(raw)
     assert effective(raw, file_content) == Effective(raw) and refusals(raw, file_content) == []
     other = content_from_json(json.loads(json.dumps(file_content.as_json())))
--- a/tests/listeners/test_resp_commands.py
+++ b/tests/listeners/test_resp_commands.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.listeners.resp.commands import TRAVEL_ALLOWANCE_NS, BadCommandError, CommandTranslator
 from tests.support.driver import MS
 from tests.support.standins import config
--- a/tests/service/test_transient_failures.py
+++ b/tests/service/test_transient_failures.py
@@ -8,9 +8,10 @@
 import pytest
 
 from runloft import cli
-from runloft.config import settings
+from runloft.config import loading
 from runloft.config.faults import ConfigError
-from runloft.config.settings import UnreadableConfigError, config_from_json, load_config
+from runloft.config.loading import UnreadableConfigError, load_config
+from runloft.config.platform_config import config_from_json
 from runloft.core.model import Reconfigured
 from runloft.core.timers import TimerQueue
 from runloft.net import listening
@@ -31,7 +32,7 @@
 def fail_reads(monkeypatch, times, number=errno.EIO):
     """Let reading a configuration fail so often."""
     failures = [times]
-    real = settings.read_file
+    real = loading.read_file
 
     def read(path):
         if failures[0]:
@@ -39,7 +40,7 @@
             raise OSError(number, "for a moment")
         return real(path)
 
-    monkeypatch.setattr(settings, "read_file", read)
+    monkeypatch.setattr(loading, "read_file", read)
 
 
 def write_config(tmp_path, **changes):
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from runloft.config.settings import settings_from_wire
+from runloft.config.wire_settings import settings_from_wire
 from runloft.decisions.contract import Idempotency, IdempotencyScope
 from runloft.simulator import wire
 from runloft.simulator.adapter import Adapter
--- a/tests/support/listener_harness.py
+++ b/tests/support/listener_harness.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from runloft.config.settings import config_from_json
+from runloft.config.platform_config import config_from_json
 from runloft.core.model import ClientDisconnected, RequestReceived, Served
 from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerQueue
