--- a/runloft/listeners/objects/listener.py
+++ b/runloft/listeners/objects/listener.py
@@ -13,7 +13,7 @@
 from runloft.listeners.connection import ClientConnection
 from runloft.listeners.objects.connection import ObjectClient
 from runloft.listeners.objects.limits import BODY_MEMORY_DIVISOR
-from runloft.listeners.objects.placement import PlaceDirectory
+from runloft.listeners.objects.placement import PlacementDirectory
 from runloft.listeners.objects.translation import RequestTranslator
 from runloft.net.memory_budget import MemoryBudget
 from runloft.net.timing import Clock, within
@@ -34,7 +34,7 @@
         store: PlacementStore,
     ) -> None:
         self.bodies = MemoryBudget(0)
-        self.places = PlaceDirectory(store)
+        self.places = PlacementDirectory(store)
         self.translator = RequestTranslator(config, settings)
         self.max_body_bytes = settings.max_body
         super().__init__(task_group, post, timers, clock, config)
--- a/runloft/listeners/objects/placement.py
+++ b/runloft/listeners/objects/placement.py
@@ -6,8 +6,8 @@
 from runloft.upstream.response_stream import ResponseStream
 
 
-class PlaceDirectory:
-    """Places of objects, by operation; the store belongs to the caller. Raise StoreUnavailableError."""
+class PlacementDirectory:
+    """Placements by operation; the store belongs to the caller. Methods raise StoreUnavailableError."""
 
     def __init__(self, store: PlacementStore) -> None:
         self.store = store
--- a/runloft/listeners/objects/services.py
+++ b/runloft/listeners/objects/services.py
@@ -7,7 +7,7 @@
 from runloft.core.model import Event
 from runloft.core.timers import TimerQueue
 from runloft.listeners.connection import ClientConnection
-from runloft.listeners.objects.placement import PlaceDirectory
+from runloft.listeners.objects.placement import PlacementDirectory
 from runloft.listeners.objects.translation import RequestTranslator
 from runloft.net.memory_budget import MemoryBudget
 from runloft.net.timing import Clock
@@ -23,7 +23,7 @@
     bodies: MemoryBudget
     max_body_bytes: int
     translator: RequestTranslator
-    places: PlaceDirectory
+    places: PlacementDirectory
 
     def within(self, seconds: float) -> contextlib.AbstractContextManager[None]:
         """Raise TimeoutError when what is inside takes longer."""
--- a/runloft/listeners/resp/lifetime.py
+++ b/runloft/listeners/resp/lifetime.py
@@ -77,9 +77,8 @@
         super().__init__(sock)
         self.listener = listener
         self.number = next(self._numbers)
-        self.close_reason = (
-            CloseReason.CLIENT_DISCONNECTED
-        )  # why reading ended, unless something else closes it
+        # Why reading ended, unless something else closes the connection.
+        self.close_reason = CloseReason.CLIENT_DISCONNECTED
         self.is_closing = False
         self.errors = 0  # in a row
         self.has_sent_command = False
--- a/runloft/listeners/resp/pipelining.py
+++ b/runloft/listeners/resp/pipelining.py
@@ -72,6 +72,8 @@
 class ResponsePipeline:
     """The responses of one connection that have not been handed to its writer, in order."""
 
+    __slots__ = ("_owner", "_responses", "pending_bytes")
+
     def __init__(self, owner: PipelineOwner) -> None:
         self.pending_bytes = 0  # of complete responses behind an incomplete one
         self._owner = owner
--- a/runloft/listeners/resp/reading.py
+++ b/runloft/listeners/resp/reading.py
@@ -31,6 +31,18 @@
     ``accepted_late``: the first bytes may have waited in the kernel before the connection was accepted.
     """
 
+    __slots__ = (
+        "_accepted_late",
+        "_accounted_bytes",
+        "_arrivals",
+        "_clock",
+        "_memory",
+        "_sock",
+        "_unread_since",
+        "inbox",
+        "partial_since",
+    )
+
     def __init__(self, sock: socket.socket, memory: InputMemory, clock: Clock, accepted_late: bool) -> None:
         self.inbox = ReceiveBuffer(MAX_COMMAND_BYTES)
         self.partial_since: int | None = None  # when the first byte of an incomplete command came
--- a/runloft/listeners/resp/writing.py
+++ b/runloft/listeners/resp/writing.py
@@ -29,6 +29,8 @@
 class ResponseWriter:
     """Writes responses to a connection's socket, which it does not own."""
 
+    __slots__ = ("_clock", "_observer", "_sock", "_task_group", "is_waiting", "outbox", "progress_at")
+
     def __init__(
         self, sock: socket.socket, task_group: anyio.abc.TaskGroup, clock: Clock, observer: WriteObserver
     ) -> None:
--- a/tests/listeners/test_resp_limits.py
+++ b/tests/listeners/test_resp_limits.py
@@ -13,7 +13,7 @@
 def program(tmp_path_factory):
     discovery = Discovery()
     raw = config(discovery.address, []) | {"limits": {"sockets": 64, "memory_mb": 40}}
-    made = Program(raw, tmp_path_factory.mktemp("front") / "config.json")
+    made = Program(raw, tmp_path_factory.mktemp("listener") / "config.json")
     yield made
     made.close()
     discovery.close()
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -257,8 +257,8 @@
     def _drain(self):
         self.log.extend(self.process.stderr)
 
-    def connect(self, front="RespListener"):
-        sock = socket.create_connection(("127.0.0.1", self.ports[front]), timeout=10)
+    def connect(self, listener="RespListener"):
+        sock = socket.create_connection(("127.0.0.1", self.ports[listener]), timeout=10)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
