--- a/tests/listeners/test_grammar.py
+++ b/tests/listeners/test_grammar.py
@@ -23,7 +23,7 @@
     got = ask(GOOD + b",r=1")
     assert (got.volume, got.units, got.shard, got.volume_hosts) == (0x3B4D60021, 2.0, 5, 3.0)
     assert got.time_left_ns == 480 * MS - TRAVEL_NS and got.is_client_retry and got.id == ID
-    assert b"".join(got.payload.parts(7 * MS)).count(b"d=7,volume=00000003b4d60021") == 1
+    assert b"".join(got.payload.encode_attempt(7 * MS)).count(b"d=7,volume=00000003b4d60021") == 1
     assert ask(GOOD.replace(b"shard=5", b"shard=-1")).shard is None
 
 
