--- a/tests/config/test_configs.py
+++ b/tests/config/test_configs.py
@@ -124,8 +124,8 @@
                 descriptors_divisor=part,
             )
             assert pool.max_connections == (1024 - operator.OTHERS) // part
-    runner = (HERE.parents[2] / "runloft" / "service" / "runner.py").read_text()
-    assert "descriptors_divisor=4 if config.objects else 2," in runner and "descriptors_divisor=8," in runner
+    server = (HERE.parents[2] / "runloft" / "service" / "server.py").read_text()
+    assert "descriptors_divisor=4 if config.objects else 2," in server and "descriptors_divisor=8," in server
     assert (operator.IDLE_MS, operator.CROWD_MS) == (resp.IDLE_NS / 1e6, resp.CROWD_NS / 1e6)
     assert operator.IDLE_MS == objects_front.IDLE_S * 1e3
 
