--- a/runloft/lab/scale/datapath/sizing.py
+++ b/runloft/lab/scale/datapath/sizing.py
@@ -8,7 +8,7 @@
 
 from runloft.lab.errors import LaboratoryError
 from runloft.lab.scale.records import Sizes
-from runloft.listeners.accepting import CLIENT_PART
+from runloft.listeners.accepting import CLIENT_FRACTION
 from runloft.upstream.pool import RESERVED_DESCRIPTORS
 
 MAX_BUSY_CONNECTIONS = 64  # connections that carry statements where no idle clients are wanted
@@ -52,7 +52,7 @@
 
 def _check_client_sockets(sizes: Sizes, limits: Limits) -> None:
     clients = connection_count(sizes)
-    capacity = int(limits.sockets * CLIENT_PART)
+    capacity = int(limits.sockets * CLIENT_FRACTION)
     if clients > capacity:
         raise SizeError(f"{clients} clients: limits.sockets of {limits.sockets} has room for {capacity}")
 
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -17,7 +17,7 @@
 from runloft.decisions.contract import ListKind
 from runloft.discovery.node_list import node_list_update
 from runloft.discovery.watch import Watch
-from runloft.listeners.resp import RespFront
+from runloft.listeners.resp import RespListener
 from runloft.net.listening import open_listener_with_retry
 from runloft.service.clock import MonotonicClock
 from runloft.service.errors import (
@@ -161,8 +161,8 @@
 
     async def close(self) -> None:
         """Close all but the listening sockets, which the graceful shutdown has closed."""
-        for link in self.runner.links.values():
-            link.close()
+        for pool in self.runner.pools.values():
+            pool.close()
         if self.store:
             await self.store.close()
         if self.agreement:
@@ -172,13 +172,14 @@
 
     async def _open_protocols(self) -> None:
         config = self.config
-        self._add_link(
+        self._add_pool(
             "resp",
             RespConnection,
             node_endpoint,
-            descriptors_divisor=4 if config.objects else 2,  # the other half is the clients'
+            # The other half of the descriptors is the clients'.
+            descriptors_divisor=4 if config.objects else 2,
         )
-        listener = RespFront(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
+        listener = RespListener(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
         await self._listen(listener, ListenAddress("listen", *config.listen))
         if config.objects:
             await self._open_object_api(config.objects)
@@ -186,40 +187,40 @@
     async def _open_object_api(self, settings: ObjectSettings) -> None:
         # Imported here: the platform, where it is off, needs neither its memory nor its start-up time.
         with packages_required_by("objects"):
-            from runloft.listeners.objects import ObjectFront
+            from runloft.listeners.objects import ObjectListener
             from runloft.placement.store import PlacementStore
             from runloft.upstream.http_connection import HttpConnection
         with value_checked_by_use("objects.store"):
             self.store = PlacementStore(settings.store)
         runner = self.runner
-        listener = ObjectFront(
+        listener = ObjectListener(
             self.tasks, runner.post, runner.timers, runner.clock, self.config, settings, self.store
         )
         await self._listen(listener, ListenAddress("objects.listen", *settings.listen))
-        self._add_link(
+        self._add_pool(
             "http",
             HttpConnection,
             partial(object_endpoint, settings),
             descriptors_divisor=8,
         )
 
-    def _add_link(
+    def _add_pool(
         self,
         wire: str,
-        kind: type[UpstreamConnection],
+        connection_type: type[UpstreamConnection],
         endpoint: Callable[[NodeUpdate], str],
         *,
         descriptors_divisor: int,
     ) -> None:
-        """Add the connections that speak one wire; they get this part of the descriptors, as a divisor."""
+        """Add the connection pool of one protocol, which may use the descriptors over the divisor."""
         runner = self.runner
-        runner.links[wire] = ConnectionPool(
+        runner.pools[wire] = ConnectionPool(
             self.tasks,
             runner.post,
             runner.timers,
             runner.clock,
             self.config,
-            connection_type=kind,
+            connection_type=connection_type,
             permit=runner.core.permit_first_byte,
             begin_attempt=runner.core.begin_attempt,
             descriptors_divisor=descriptors_divisor,
@@ -260,7 +261,7 @@
     def _new_reload(self, config_path: str | None, watch: Watch) -> Reload:
         runner = self.runner
         components: list[Configurable] = [endpoint.listener for endpoint in self.endpoints]
-        components += runner.links.values()
+        components += runner.pools.values()
         reload = Reload(
             config_path, self.config, watch, runner.post, components, timers=runner.timers, clock=runner.clock
         )
--- a/tests/core/test_random_settings.py
+++ b/tests/core/test_random_settings.py
@@ -26,7 +26,7 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import AttemptOutcome, Idempotency, IdempotencyScope, ListKind, NodeState
-from runloft.listeners.grammar import Translator
+from runloft.listeners.resp.commands import CommandTranslator
 from tests.support.driver import MS, SECOND
 
 AMBIGUOUS_OUTCOMES = (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)
@@ -123,7 +123,7 @@
         self.now = 100 * SECOND
         self.class_names = [row["Name"] for row in raw["settings"]["Classes"]]
         self.plan_names = [plan["Name"] for plan in raw["settings"]["ServiceLevels"]]
-        self.translator = Translator(config)
+        self.translator = CommandTranslator(config)
         self.core = Core(config.settings, seed, self.now, TimerQueue())
         self.serial = count()
         self.scheduled = []  # events to come: time, serial, the event or what makes it
@@ -178,7 +178,7 @@
         attributes += f",units={self.random.randint(1, 8)},shard={self.random.randint(-1, 3)},hosts=1"
         words = [b"IO.IN", b"%016x" % key, b"%016x" % next(self.serial), attributes.encode()]
         request = OpenRequest()
-        request.spec = self.translator.ask(words)
+        request.spec = self.translator.translate(words)
         request.request_class = request_class
         time_left_ns = request.spec.time_left_ns
         self.deadlines[request] = self.now + time_left_ns
--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -104,7 +104,7 @@
         timers = TimerQueue()
         self.core = Core(settings(request_class(deadline=deadline)), 1, self.now, timers)
         self.runner = Runner(self.core, timers, lambda: self.now)
-        self.runner.links["resp"] = SimpleNamespace(
+        self.runner.pools["resp"] = SimpleNamespace(
             dispatch=lambda order: None, abandon=lambda n: None, update_nodes=lambda n: None
         )
         self.runner.post(NodeListUpdate(ListKind.CACHED, (NodeUpdate("s-1", "127.0.0.1:1", 0),)))
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from tests.listeners.test_objects import ITEM, World
 from tests.support.commands import OK, read_command
+from tests.support.object_world import ITEM, World
 from tests.support.standins import Discovery, Program, RespNode, config, entry, until
 
 ROOT = Path(__file__).parents[2]
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("cut", [False, True])
 def test_response_without_length_is_complete_at_end_of_stream_but_not_at_a_reset(world, cut):
     """A reset is no end: passed on as one, half an object would be taken for the whole."""
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     server = world.holder()
 
     def serve(conn, lines):
@@ -91,7 +91,7 @@
     server.serve = serve
     for conn in server.connections:
         conn.shutdown(socket.SHUT_RDWR)
-    with world.program.connect("ObjectFront") as sock:
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         got = b""
         while b"a" * 1000 not in got:
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -209,11 +209,11 @@
 def test_dispatch_without_a_free_descriptor_waits_and_reports_no_node_failure():
     deadlines, posted = TimerQueue(), []
     conf = config_from_json(config("127.0.0.1:1", []) | {"limits": {"sockets": 32}})
-    pool = ConnectionPool(
+    link = ConnectionPool(
         None, posted.append, deadlines, lambda: 0, conf, connection_type=None, permit=None, begin_attempt=None
     )
-    pool.max_connections = 0
-    pool.dispatch(Dispatch(1, NodeUpdate("s-1", "127.0.0.1:2", 0), None, SECOND))
-    assert posted == [] and list(pool.waiting) == [1] and len(deadlines) == 1
-    pool.abandon(1)
-    assert not pool.waiting and not len(deadlines)
+    link.max_connections = 0
+    link.dispatch(Dispatch(1, NodeUpdate("s-1", "127.0.0.1:2", 0), None, SECOND))
+    assert posted == [] and list(link.waiting) == [1] and len(deadlines) == 1
+    link.abandon(1)
+    assert not link.waiting and not len(deadlines)
--- a/tests/service/test_transient_failures.py
+++ b/tests/service/test_transient_failures.py
@@ -133,13 +133,13 @@
     async def story():
         real, left = listening.open_listener, [2]
 
-        def held_up(where):
+        def open_slowly(where):
             if left[0]:
                 left[0] -= 1
                 raise OSError(number, "for a moment")
             return real(where)
 
-        monkeypatch.setattr(listening, "open_listener", held_up)
+        monkeypatch.setattr(listening, "open_listener", open_slowly)
 
         async def pause(_):
             pass
--- a/tests/support/upstream_scene.py
+++ b/tests/support/upstream_scene.py
@@ -65,7 +65,7 @@
         configuration = config_from_json(config("127.0.0.1:1", [], **extra))
         self.core = Core(configuration.settings, 1, self.now, deadlines)
         self.runner = Runner(self.core, deadlines, lambda: self.now)
-        self.pool = self.runner.links["resp"] = ConnectionPool(
+        self.pool = self.runner.pools["resp"] = ConnectionPool(
             group,
             self.runner.post,
             deadlines,
