--- a/runloft/core/__init__.py
+++ b/runloft/core/__init__.py
@@ -1,1 +1,1 @@
-"""The reducer: requests, attempts, outcomes and deadlines, with no wire in it."""
+"""The core: the reducer of events, lifecycles of requests and attempts, permissions; no wire in it."""
--- a/runloft/core/attempts.py
+++ b/runloft/core/attempts.py
@@ -29,7 +29,7 @@
 from runloft.core.trace import trace
 from runloft.decisions import contract
 from runloft.decisions.contract import AttemptOutcome
-from runloft.decisions.policy import NEVER_RAN
+from runloft.decisions.outcomes import NEVER_EXECUTED
 
 LOCAL_OUTCOMES = (
     AttemptOutcome.TIMEOUT,
@@ -263,7 +263,7 @@
     def _record_ambiguity(attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Record that the request may have executed, from its first attempt on that may have."""
         request = attempt.request
-        may_have_executed = outcome not in NEVER_RAN and not _never_started(attempt, outcome)
+        may_have_executed = outcome not in NEVER_EXECUTED and not _never_started(attempt, outcome)
         if may_have_executed and request.ambiguous_since is None:
             request.ambiguous_since = attempt.dispatched_at
 
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -68,7 +68,7 @@
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
 from runloft.decisions.contract import Settings
-from runloft.decisions.policy import Scheduler
+from runloft.decisions.scheduler import Scheduler
 
 
 class Core:
