--- a/tests/listeners/test_standing_objects.py
+++ b/tests/listeners/test_standing_objects.py
@@ -207,7 +207,7 @@
             assert not scene.posted
         else:
             await scene.until(scene.asked)
-            assert scene.posted[0].ask.time_left_ns == 500 * MS
+            assert scene.posted[0].spec.time_left_ns == 500 * MS
             sock.close()
             await scene.until(lambda: client.ended)
 
