--- a/runloft/lab/scale/capacity_page/state.py
+++ b/runloft/lab/scale/capacity_page/state.py
@@ -5,7 +5,7 @@
 from runloft.accounts.ledger import MOST_VOLUMES
 from runloft.core.model import Bounds
 from runloft.lab.scale.capacity_page import mechanisms
-from runloft.service.admin import MOST_SHOWN
+from runloft.service.metrics import MAX_ACCOUNTS_SHOWN
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
     StateItem(
         role="scheduler, metrics",
         title="volumes shown at most",
-        count=MOST_SHOWN,
+        count=MAX_ACCOUNTS_SHOWN,
         dimension=None,
         mechanism=mechanisms.SCRAPE,
         growth="constant",
