--- a/runloft/lab/scale/capacity_page/settings_needed.py
+++ b/runloft/lab/scale/capacity_page/settings_needed.py
@@ -11,7 +11,7 @@
 from runloft.lab.scale.records import Sizes
 from runloft.listeners.accepting import CLIENT_PART, CROWD_PART
 from runloft.listeners.resp import CROWD_NS, IDLE_NS
-from runloft.upstream.links import IDLE_PART, OTHERS
+from runloft.upstream.pool import IDLE_FRACTION, RESERVED_DESCRIPTORS
 
 NS_PER_S = 1e9
 MS_PER_S = 1e3
@@ -58,8 +58,8 @@
         ),
         Need(
             "limits.sockets: one connection to each node",
-            2 * sizes.nodes + OTHERS,
-            f"{POOL_LIMIT_FILE}: half of them less {OTHERS / 2:g} go to nodes",
+            2 * sizes.nodes + RESERVED_DESCRIPTORS,
+            f"{POOL_LIMIT_FILE}: half of them less {RESERVED_DESCRIPTORS / 2:g} go to nodes",
         ),
     )
 
@@ -83,7 +83,7 @@
         Need(
             "a node connection's mean rest, s",
             sizes.nodes / sizes.statements,
-            f"nodes / statements; idle ones are closed after {IDLE_PART:g} of ConnIdle",
+            f"nodes / statements; idle ones are closed after {IDLE_FRACTION:g} of ConnIdle",
         ),
     )
 
--- a/runloft/service/interfaces.py
+++ b/runloft/service/interfaces.py
@@ -25,7 +25,7 @@
     def abandon(self, attempt: int) -> None:
         """Close an attempt's connection, if this upstream has it."""
 
-    def listed(self, nodes: tuple[NodeUpdate, ...]) -> None:
+    def update_nodes(self, nodes: tuple[NodeUpdate, ...]) -> None:
         """Handle changes of the node list."""
 
     def close(self) -> None:
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -15,9 +15,10 @@
 from runloft.core.reducer import Core
 from runloft.core.timers import TimerQueue
 from runloft.decisions.contract import ListKind
-from runloft.discovery.watch import Watch, listed
+from runloft.discovery.node_list import node_list_update
+from runloft.discovery.watch import Watch
 from runloft.listeners.resp import RespFront
-from runloft.net.sockets import listening_when_possible
+from runloft.net.listening import open_listener_with_retry
 from runloft.service.clock import MonotonicClock
 from runloft.service.errors import (
     InvalidSettingError,
@@ -32,12 +33,14 @@
 from runloft.service.runner import Runner
 from runloft.service.shutdown import graceful_shutdown
 from runloft.service.signals import handle_signals, received_signals
-from runloft.upstream.links import Connection, NodeLink, RespConnection
+from runloft.upstream.connection import UpstreamConnection
+from runloft.upstream.pool import ConnectionPool
+from runloft.upstream.resp_connection import RespConnection
 
 if TYPE_CHECKING:
     from runloft.agreement.client import Agreeing
+    from runloft.placement.store import PlacementStore
     from runloft.service.admin import AdminServer
-    from runloft.sharing.places import SharedStore
 
 log = structlog.get_logger()
 
@@ -122,7 +125,7 @@
         self.tasks = anyio.create_task_group()  # entered once all is open: nothing runs in it before
         self.stop_requested = anyio.Event()
         self.endpoints: list[ListeningEndpoint] = []
-        self.store: SharedStore | None = None
+        self.store: PlacementStore | None = None
         self.admin: AdminServer | None = None
 
     async def run(
@@ -134,7 +137,9 @@
         """
         await self._open_protocols()
         with value_checked_by_use("known.targets"):
-            self.runner.post(listed(self.config.known, self.config.zones, ListKind.CACHED))
+            self.runner.post(
+                node_list_update(ListKind.CACHED, self.config.known.get("targets"), self.config.zones)
+            )
         watch = self._new_watch()
         self._log_endpoints()
         reload = self._new_reload(config_path, watch)
@@ -156,8 +161,8 @@
 
     async def close(self) -> None:
         """Close all but the listening sockets, which the graceful shutdown has closed."""
-        for link in self.runner.links.values():
-            link.close()
+        for pool in self.runner.pools.values():
+            pool.close()
         if self.store:
             await self.store.close()
         if self.agreement:
@@ -167,11 +172,12 @@
 
     async def _open_protocols(self) -> None:
         config = self.config
-        self._add_link(
+        self._add_pool(
             "resp",
             RespConnection,
             node_endpoint,
-            part=4 if config.objects else 2,  # the other half of the descriptors is the clients'
+            # The other half of the descriptors is the clients'.
+            descriptors_divisor=4 if config.objects else 2,
         )
         listener = RespFront(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
         await self._listen(listener, ListenAddress("listen", *config.listen))
@@ -182,49 +188,49 @@
         # Imported here: the platform, where it is off, needs neither its memory nor its start-up time.
         with packages_required_by("objects"):
             from runloft.listeners.objects import ObjectFront
-            from runloft.sharing.places import SharedStore
-            from runloft.upstream.http_link import HttpConnection
+            from runloft.placement.store import PlacementStore
+            from runloft.upstream.http_connection import HttpConnection
         with value_checked_by_use("objects.store"):
-            self.store = SharedStore(settings.store)
+            self.store = PlacementStore(settings.store)
         runner = self.runner
         listener = ObjectFront(
             self.tasks, runner.post, runner.timers, runner.clock, self.config, settings, self.store
         )
         await self._listen(listener, ListenAddress("objects.listen", *settings.listen))
-        self._add_link(
+        self._add_pool(
             "http",
             HttpConnection,
             partial(object_endpoint, settings),
-            part=8,
+            descriptors_divisor=8,
         )
 
-    def _add_link(
+    def _add_pool(
         self,
         wire: str,
-        kind: type[Connection],
+        connection_type: type[UpstreamConnection],
         endpoint: Callable[[NodeUpdate], str],
         *,
-        part: int,
+        descriptors_divisor: int,
     ) -> None:
-        """Add the connections that speak one wire; they get this part of the descriptors, as a divisor."""
+        """Add the connection pool of one protocol, which may use the descriptors over the divisor."""
         runner = self.runner
-        runner.links[wire] = NodeLink(
+        runner.pools[wire] = ConnectionPool(
             self.tasks,
             runner.post,
             runner.timers,
             runner.clock,
             self.config,
-            kind=kind,
+            connection_type=connection_type,
             permit=runner.core.permit_first_byte,
-            begin=runner.core.begin_attempt,
-            part=part,
+            begin_attempt=runner.core.begin_attempt,
+            descriptors_divisor=descriptors_divisor,
             endpoint=endpoint,
         )
 
     async def _listen(self, listener: Listener, address: ListenAddress) -> None:
         """Open a listener's socket; a predecessor may still listen there for a moment."""
         try:
-            sock = await listening_when_possible((address.host, address.port))
+            sock = await open_listener_with_retry((address.host, address.port))
         except OSError as error:
             raise ListenError(address, error) from error
         except (TypeError, ValueError, OverflowError) as error:  # a name that no resolver can be asked for
@@ -249,13 +255,13 @@
             self.runner.post,
             self.runner.timers,
             self.runner.clock,
-            asked=config.settings.list_is_polled,
+            polled=config.settings.list_is_polled,
         )
 
     def _new_reload(self, config_path: str | None, watch: Watch) -> Reload:
         runner = self.runner
         components: list[Configurable] = [endpoint.listener for endpoint in self.endpoints]
-        components += runner.links.values()
+        components += runner.pools.values()
         reload = Reload(
             config_path, self.config, watch, runner.post, components, timers=runner.timers, clock=runner.clock
         )
--- a/tests/core/test_permissions.py
+++ b/tests/core/test_permissions.py
@@ -109,7 +109,7 @@
     """Return the places in the program that call a function of this name, as file:function."""
     found = set()
     for path in Path("runloft").rglob("*.py"):
-        if path.parts[1] in ("lab", "config", "sharing"):
+        if path.parts[1] in ("lab", "config"):
             continue
         for function in ast.walk(ast.parse(path.read_text())):
             if not isinstance(function, ast.FunctionDef | ast.AsyncFunctionDef):
@@ -128,8 +128,8 @@
     "permit_start": {"requests.py:receive"},
     "permit_retry": {"permissions.py:permit_send", "permissions.py:permit_first_byte"},
     "permit_first_byte": {"reducer.py:permit_first_byte", "attempts.py:permit_first_byte"},
-    "permitted_ns": {"links.py:dispatch", "links.py:_begin"},
-    "parts": {"links.py:_begin", "links.py:parts"},  # of an attempt: behind permitted_ns
+    "permitted_wait_ns": {"pool.py:dispatch", "connection.py:_start_attempt"},
+    "encode_attempt": {"connection.py:_start_attempt", "resp_connection.py:encode_attempt"},
     "permit_close": {"resp.py:may_close", "objects.py:may_close"},
 }
 
--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -104,8 +104,8 @@
         timers = TimerQueue()
         self.core = Core(settings(request_class(deadline=deadline)), 1, self.now, timers)
         self.runner = Runner(self.core, timers, lambda: self.now)
-        self.runner.links["resp"] = SimpleNamespace(
-            dispatch=lambda order: None, abandon=lambda n: None, listed=lambda n: None
+        self.runner.pools["resp"] = SimpleNamespace(
+            dispatch=lambda order: None, abandon=lambda n: None, update_nodes=lambda n: None
         )
         self.runner.post(NodeListUpdate(ListKind.CACHED, (NodeUpdate("s-1", "127.0.0.1:1", 0),)))
         self.listener = OneClientListener(self, interval, deadline * MS)
