--- a/runloft/service/metrics.py
+++ b/runloft/service/metrics.py
@@ -143,8 +143,8 @@
         label = accounts.label
         totals = accounts.totals
         # The event loop writes meanwhile: each table is copied in one step of the interpreter first.
-        for part, amount_ns in tuple(totals.parts.items()):
-            durations.add_metric([label, part.name.lower()], amount_ns / NS_PER_S)
+        for component, amount_ns in tuple(totals.parts.items()):
+            durations.add_metric([label, component.name.lower()], amount_ns / NS_PER_S)
         for other, amount_ns in tuple(totals.waited_for.amounts.items()):
             other_label = "others" if other == OTHERS else f"{other:016x}"
             waits.add_metric([label, other_label], amount_ns / NS_PER_S)
--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -31,10 +31,10 @@
 class OneClientListener:
     """Has one client, which sends a request every so often until it is closed between two requests."""
 
-    def __init__(self, scene, interval, time_left):
+    def __init__(self, scene, interval, deadline):
         self.scene = scene
         self.interval = interval
-        self.time_left = time_left
+        self.deadline = deadline
         self.clients = {self}
         self.next_at = 0
         self.responses = []
@@ -59,7 +59,7 @@
         if self.clients and self.scene.now >= self.next_at:
             self.next_at = self.scene.now + self.interval
             payload = SimpleNamespace(wire="resp", buffered_bytes=1)
-            request = SimpleNamespace(payload=payload, time_left_ns=self.time_left, **REQUEST)
+            request = SimpleNamespace(payload=payload, time_left_ns=self.deadline, **REQUEST)
             self.scene.runner.post(RequestReceived(ResponseSink(self), request))
 
 
--- a/tests/service/test_startup_errors.py
+++ b/tests/service/test_startup_errors.py
@@ -185,8 +185,8 @@
     )
     failed = start(raw, code=code)
     (line,) = failed.lines
-    wanted = rf"runloft: CONFIG: {key}: needs the package {package}[\w.]*: pip install -r requirements.txt"
-    assert re.fullmatch(wanted, line)
+    expected = rf"runloft: CONFIG: {key}: needs the package {package}[\w.]*: pip install -r requirements.txt"
+    assert re.fullmatch(expected, line)
     assert failed.exit_code == 1
 
 
