--- a/runloft/lab/requests.py
+++ b/runloft/lab/requests.py
@@ -11,7 +11,7 @@
 
 def encode_command(words: Sequence[bytes]) -> bytes:
     """Return a command in RESP2."""
-    return b"".join(resp2.command(*words))
+    return b"".join(resp2.encode_command(*words))
 
 
 def trace_id(request_number: int) -> bytes:
--- a/runloft/lab/scale/datapath/load_measurement.py
+++ b/runloft/lab/scale/datapath/load_measurement.py
@@ -21,10 +21,10 @@
 from runloft.lab.scale.datapath.scheduler_files import shard_of
 from runloft.lab.scale.datapath.sizing import DEFAULT_LIMITS, Limits, check_size, connection_count
 from runloft.lab.scale.records import Figures, Sizes
-from runloft.listeners.accepting import CROWD_PART
-from runloft.listeners.resp import IDLE_NS
+from runloft.listeners.accepting import PRESSURE_FRACTION
+from runloft.listeners.resp.limits import IDLE_TIMEOUT_NS
 
-IDLE_TIMEOUT_S = IDLE_NS / 1e9
+IDLE_TIMEOUT_S = IDLE_TIMEOUT_NS / 1e9
 WARM_UP_S = 2.0  # of load before it is measured, where no connection is closed for being idle
 SCRAPES = 100  # processor time is known in ticks of 10 ms, and one scrape takes less
 
@@ -70,7 +70,7 @@
     Idle connections are closed where clients are many enough for eviction, where random order leaves some
     idle for longer than the mean, and where the mean itself is longer than the timeout.
     """
-    evicts_idle = sizes.clients > int(limits.sockets * CROWD_PART) // 2
+    evicts_idle = sizes.clients > int(limits.sockets * PRESSURE_FRACTION) // 2
     some_idle_long = sizes.clients > 0 and not round_robin
     closes_idle = evicts_idle or some_idle_long or sizes.clients / sizes.statements >= IDLE_TIMEOUT_S
     return IDLE_TIMEOUT_S + WARM_UP_S if closes_idle else WARM_UP_S
--- a/tests/listeners/test_objects.py
+++ b/tests/listeners/test_object_api.py
@@ -12,42 +12,9 @@
 import pytest
 
 from tests.support.lab import Redis
+from tests.support.object_world import ITEM, World
 from tests.support.standins import Discovery, ObjectServer, Program, RespNode, config, entry, settings, until
 
-ITEM = "/volumes/tracks/objects/2026/run.csv"
-
-
-class World:
-    """One sidecar with two shards behind it."""
-
-    def __init__(self, path, **extra):
-        self.store, self.discovery = Redis(), Discovery()
-        self.servers = [ObjectServer(), ObjectServer()]
-        self.nodes = [
-            entry("127.0.0.1:9", f"s-{n}", n, objects=s.address) for n, s in enumerate(self.servers)
-        ]
-        self.program = Program(
-            config(self.discovery.address, self.nodes, self.store.address, **extra), path / "config.json"
-        )
-
-    def http(self):
-        return http.client.HTTPConnection("127.0.0.1", self.program.ports["ObjectFront"], timeout=10)
-
-    def ask(self, method, target=ITEM, body=None, headers=None, conn=None):
-        conn = conn or self.http()
-        conn.request(method, target, body, headers or {})
-        answer = conn.getresponse()
-        return answer.status, dict(answer.headers), answer.read()
-
-    def holder(self):
-        """Which server got the last object or upload."""
-        return next(s for s in self.servers if s.objects or s.uploads)
-
-    def close(self):
-        self.program.close()
-        for part in (self.store, self.discovery, *self.servers):
-            part.close()
-
 
 @pytest.fixture
 def world(tmp_path, request):
@@ -56,54 +23,54 @@
     made.close()
 
 
-# The stand-ins do thousands a second, which the rule lets a cold node have; here ColdUnits alone bind.
+# The stand-ins serve thousands a second, which lets a node leave slow start early; here ColdUnits alone bind.
 ONLY_COLD_UNITS = {"Safety": settings()["Safety"] | {"FallMultiple": 0.001}}
 
 
 def start_upload(world):
-    status, _, body = world.ask("POST", ITEM + "?uploads")
+    status, _, body = world.request("POST", ITEM + "?uploads")
     assert status == 200
     return re.search(rb"<UploadId>(\w+)</UploadId>", body)[1].decode()
 
 
 def test_an_object_is_written_read_by_ranges_and_deleted(world):
     conn = world.http()
-    assert world.ask("GET", conn=conn)[0] == 404
-    status, headers, _ = world.ask("PUT", body=b"0123456789", conn=conn)
+    assert world.request("GET", conn=conn)[0] == 404
+    status, headers, _ = world.request("PUT", body=b"0123456789", conn=conn)
     assert (status, headers["ETag"]) == (200, '"e1"')
-    assert world.ask("GET", conn=conn)[2] == b"0123456789"
-    status, headers, body = world.ask("HEAD", conn=conn)
+    assert world.request("GET", conn=conn)[2] == b"0123456789"
+    status, headers, body = world.request("HEAD", conn=conn)
     assert (status, headers["Content-Length"], body) == (200, "10", b"")
     for text, want, span in (
         ("bytes=2-4", b"234", "bytes 2-4/10"),
         ("bytes=7-", b"789", "bytes 7-9/10"),
         ("bytes=-2", b"89", "bytes 8-9/10"),
     ):
-        status, headers, body = world.ask("GET", headers={"Range": text}, conn=conn)
+        status, headers, body = world.request("GET", headers={"Range": text}, conn=conn)
         assert (status, headers["Content-Range"], body) == (206, span, want)
-    status, headers, _ = world.ask("GET", headers={"Range": "bytes=20-"}, conn=conn)
+    status, headers, _ = world.request("GET", headers={"Range": "bytes=20-"}, conn=conn)
     assert (status, headers["Content-Range"]) == (416, "bytes */10")
     changed = {"Range": "bytes=2-4", "If-Range": '"e0"'}
-    assert world.ask("GET", headers=changed, conn=conn)[::2] == (200, b"0123456789")
+    assert world.request("GET", headers=changed, conn=conn)[::2] == (200, b"0123456789")
     several = {"Range": "bytes=1-2,4-5"}
-    assert world.ask("GET", headers=several, conn=conn)[::2] == (200, b"0123456789")
-    assert world.ask("DELETE", conn=conn)[0] == 204
-    assert world.ask("GET", conn=conn)[0] == 404
-    assert world.ask("DELETE", conn=conn)[0] == 204
+    assert world.request("GET", headers=several, conn=conn)[::2] == (200, b"0123456789")
+    assert world.request("DELETE", conn=conn)[0] == 204
+    assert world.request("GET", conn=conn)[0] == 404
+    assert world.request("DELETE", conn=conn)[0] == 204
 
 
-def test_an_upload_is_assembled_by_the_node_that_began_it(world):
+def test_an_upload_is_assembled_by_the_node_that_created_it(world):
     upload = start_upload(world)
     for number in (2, 1):
         target = f"{ITEM}?partNumber={number}&uploadId={upload}"
-        assert world.ask("PUT", target, b"part%d;" % number)[0] == 200
-    assert b"<PartNumber>2</PartNumber>" in world.ask("GET", f"{ITEM}?uploadId={upload}")[2]
-    assert world.ask("POST", f"{ITEM}?uploadId={upload}", b"<CompleteMultipartUpload/>")[0] == 200
-    assert world.ask("GET")[2] == b"part1;part2;"
-    assert world.ask("PUT", f"{ITEM}?partNumber=3&uploadId={upload}", b"x")[0] == 404
+        assert world.request("PUT", target, b"part%d;" % number)[0] == 200
+    assert b"<PartNumber>2</PartNumber>" in world.request("GET", f"{ITEM}?uploadId={upload}")[2]
+    assert world.request("POST", f"{ITEM}?uploadId={upload}", b"<CompleteMultipartUpload/>")[0] == 200
+    assert world.request("GET")[2] == b"part1;part2;"
+    assert world.request("PUT", f"{ITEM}?partNumber=3&uploadId={upload}", b"x")[0] == 404
     other = start_upload(world)
-    assert world.ask("DELETE", f"{ITEM}?uploadId={other}")[0] == 204
-    assert world.ask("GET", f"{ITEM}?uploadId={other}")[0] == 404
+    assert world.request("DELETE", f"{ITEM}?uploadId={other}")[0] == 204
+    assert world.request("GET", f"{ITEM}?uploadId={other}")[0] == 404
 
 
 @pytest.mark.parametrize(
@@ -123,42 +90,42 @@
         (b"GET /volumes/tracks/objects/k HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 40000 + b"\r\n\r\n", 431),
     ],
 )
-def test_bad_input_is_named_and_never_reaches_a_node(world, request_, status):
-    with world.program.connect("ObjectFront") as sock:
+def test_invalid_requests_get_their_status_and_reach_no_node(world, request_, status):
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(request_)
         assert int(sock.recv(65536).split()[1]) == status
     assert [server.log for server in world.servers] == [[], []]
-    assert world.ask("PUT", body=b"still serving")[0] == 200
+    assert world.request("PUT", body=b"still serving")[0] == 200
 
 
-def test_the_store_down_is_503_with_a_time_to_come_back(world):
-    world.ask("PUT", body=b"x")
+def test_an_unavailable_store_is_503_with_retry_after(world):
+    world.request("PUT", body=b"x")
     world.store.close()
-    status, headers, _ = world.ask("GET")
+    status, headers, _ = world.request("GET")
     assert status == 503 and int(headers["Retry-After"]) >= 1
 
 
-def test_a_silent_node_is_504_and_a_failing_one_502(world):
-    world.ask("PUT", body=b"x")
+def test_a_silent_node_is_504_and_a_failing_node_502(world):
+    world.request("PUT", body=b"x")
     server = world.holder()
     server.held.clear()
     began = time.monotonic()
-    status, _, _ = world.ask("GET", headers={"X-Expires-In-Ms": "400"})
+    status, _, _ = world.request("GET", headers={"X-Expires-In-Ms": "400"})
     assert status == 504 and time.monotonic() - began < 3
     server.held.set()
     server.act = lambda *_: (500, {}, b"")
-    assert world.ask("GET")[0] == 502
+    assert world.request("GET")[0] == 502
 
 
-def test_a_full_node_is_refused_with_a_time(world):
-    world.ask("PUT", body=b"x")
+def test_a_full_node_is_503_with_retry_after(world):
+    world.request("PUT", body=b"x")
     world.holder().act = lambda *_: (503, {}, b"")
-    status, headers, _ = world.ask("GET", headers={"X-Expires-In-Ms": "900"})
+    status, headers, _ = world.request("GET", headers={"X-Expires-In-Ms": "900"})
     assert status == 503 and int(headers["Retry-After"]) >= 1
 
 
 class HalfServer(ObjectServer):
-    """Sends a head and a part of the body, then waits for the test's word."""
+    """Sends a head and a part of the body, then waits until the test says to end."""
 
     def __init__(self):
         self.go, self.closed, self.body = threading.Event(), threading.Event(), b"a" * 1000
@@ -176,28 +143,28 @@
 
 
 def half_world(world):
-    world.ask("PUT", body=b"x")
+    world.request("PUT", body=b"x")
     place = next(n for n, s in enumerate(world.servers) if s.objects)
     half = HalfServer()
     world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, objects=half.address))
-    until(lambda: world.ask("HEAD", "/volumes/tracks/objects/none")[0] == 404)
+    until(lambda: world.request("HEAD", "/volumes/tracks/objects/none")[0] == 404)
     time.sleep(0.1)
     return half
 
 
-def test_a_client_that_drops_mid_range_frees_its_attempt_and_connection(world):
+def test_a_client_that_disconnects_mid_range_frees_its_attempt_and_connection(world):
     half = half_world(world)
-    with world.program.connect("ObjectFront") as sock:
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\nRange: bytes=0-8999999\r\n\r\n".encode())
         assert until(lambda: sock.recv(65536)).startswith(b"HTTP/1.1 206")
     assert half.closed.wait(5)  # the node's side is closed soon after the client's
     half.close()
 
 
-def test_an_answer_that_breaks_off_ends_short_of_its_length(world):
+def test_a_response_that_breaks_off_ends_short_of_its_length(world):
     half = half_world(world)
     half.go.set()
-    with world.program.connect("ObjectFront") as sock:
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         got = b""
         while data := sock.recv(65536):
@@ -207,13 +174,13 @@
     half.close()
 
 
-def test_a_slow_reader_holds_its_node_back_not_the_memory(world):
-    world.ask("PUT", body=b"x")
+def test_a_slow_reader_slows_its_node_down_and_takes_no_memory(world):
+    world.request("PUT", body=b"x")
     data = bytes(48 << 20)
     world.holder().objects[ITEM] = data
     memory = Path(f"/proc/{world.program.process.pid}/statm")
     before = int(memory.read_text().split()[1])
-    with world.program.connect("ObjectFront") as sock:
+    with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         sock.recv(1, socket.MSG_PEEK)
         time.sleep(0.3)
@@ -223,46 +190,46 @@
             got += len(sock.recv(1 << 20))
 
 
-def test_parts_that_land_in_a_drain_wait_for_the_new_holder_and_none_is_lost_or_doubled(world):
+def test_parts_uploaded_during_a_drain_wait_for_the_new_holder_and_arrive_once(world):
     upload = start_upload(world)
     target = f"{ITEM}?partNumber=%d&uploadId={upload}"
-    assert world.ask("PUT", target % 1, b"one;")[0] == 200
+    assert world.request("PUT", target % 1, b"one;")[0] == 200
     old = world.holder()
     place = world.servers.index(old)
     world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, "terminating", objects=old.address))
     time.sleep(0.3)
     results = []
-    waiting = threading.Thread(target=lambda: results.append(world.ask("PUT", target % 2, b"two;")[0]))
+    waiting = threading.Thread(target=lambda: results.append(world.request("PUT", target % 2, b"two;")[0]))
     waiting.start()
     time.sleep(0.3)
-    assert not results and len(old.log) == 2  # it waits: the draining node gets nothing new
+    assert not results and len(old.log) == 2  # it waits: the draining node gets no new request
     new = ObjectServer()
     new.uploads = old.uploads  # the shard's data moves on with its new holder
     world.discovery.tell(entry("127.0.0.1:9", "s-new", place, objects=new.address))
     waiting.join(10)
     assert results == [200] and [t for _, _, t in new.log] == [target % 2]
-    assert world.ask("POST", f"{ITEM}?uploadId={upload}", b"<x/>")[0] == 200
+    assert world.request("POST", f"{ITEM}?uploadId={upload}", b"<x/>")[0] == 200
     assert new.objects[ITEM] == b"one;two;"
     new.close()
 
 
-def test_a_drain_with_no_new_holder_refuses_and_sends_nothing(world):
-    world.ask("PUT", body=b"x")
+def test_a_drain_without_a_new_holder_sheds_and_forwards_nothing(world):
+    world.request("PUT", body=b"x")
     old = world.holder()
     place = world.servers.index(old)
     world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, "terminated", objects=old.address))
     time.sleep(0.3)
     before = len(old.log)
-    status, headers, _ = world.ask("GET", headers={"X-Expires-In-Ms": "600"})
+    status, headers, _ = world.request("GET", headers={"X-Expires-In-Ms": "600"})
     assert status == 503 and "Retry-After" in headers and len(old.log) == before
 
 
-def test_a_client_that_sends_much_ahead_and_leaves_frees_its_attempt(world):
-    """Behind 64 KiB that were read ahead its close went unseen, and its request was waited for to the end."""
-    world.ask("PUT", body=b"x")
+def test_a_client_that_disconnects_after_much_pipelined_input_frees_its_attempt(world):
+    """After 64 KiB that were read ahead its close went unseen, and its request ran to its end."""
+    world.request("PUT", body=b"x")
     server, reached, held = world.holder(), threading.Event(), threading.Event()
     server.held = SimpleNamespace(wait=lambda seconds: reached.set() or held.wait(seconds))
-    with socket.create_connection(("127.0.0.1", world.program.ports["ObjectFront"])) as client:
+    with socket.create_connection(("127.0.0.1", world.program.ports["ObjectListener"])) as client:
         client.sendall(b"GET %s HTTP/1.1\r\nHost: x\r\n\r\n" % ITEM.encode() + b"x" * (90 << 10))
         assert reached.wait(5)
     at = server.connections[-1]
@@ -276,8 +243,8 @@
 
 
 @pytest.mark.parametrize("world", [ONLY_COLD_UNITS], indirect=True)
-def test_a_cold_node_gets_no_more_than_its_units_over_http(world):
-    world.ask("PUT", body=b"x")
+def test_a_node_in_slow_start_gets_no_more_than_its_units_over_http(world):
+    world.request("PUT", body=b"x")
     old = world.holder()
     place = world.servers.index(old)
     cold = ObjectServer()
@@ -288,7 +255,7 @@
     )
     time.sleep(0.1)
     threads = [
-        threading.Thread(target=world.ask, args=("GET",), kwargs={"headers": {"X-Expires-In-Ms": "1500"}})
+        threading.Thread(target=world.request, args=("GET",), kwargs={"headers": {"X-Expires-In-Ms": "1500"}})
         for _ in range(40)
     ]
     for thread in threads:
@@ -299,7 +266,7 @@
     cold.close()
 
 
-def test_mixed_floods_of_both_fronts_get_the_same_shares_and_one_answer_each(tmp_path):
+def test_floods_of_both_protocols_get_equal_shares_and_one_response_each(tmp_path):
     lock = threading.Lock()  # one node, two wires: it does one thing at a time
     served = {"resp": 0, "http": 0}
     resp, objects = RespNode(0.01, lock), ObjectServer(0.01, lock)
@@ -323,7 +290,7 @@
                 answers.append(("resp", line))
 
     def http_client(number):
-        conn = http.client.HTTPConnection("127.0.0.1", program.ports["ObjectFront"], timeout=20)
+        conn = http.client.HTTPConnection("127.0.0.1", program.ports["ObjectListener"], timeout=20)
         for _ in range(12):
             conn.request("GET", "/volumes/logs/objects/k")
             answer = conn.getresponse()
@@ -344,8 +311,8 @@
     assert served["resp"] and 0.7 < served["http"] / served["resp"] < 1.4, served
 
 
-def test_at_sigterm_an_object_that_was_asked_for_is_served(world):
-    world.ask("PUT", body=b"data")
+def test_an_object_requested_before_sigterm_is_served(world):
+    world.request("PUT", body=b"data")
     world.holder().held.clear()
     conn = world.http()
     conn.request("GET", ITEM)
@@ -384,17 +351,17 @@
         (b"", b"", 3),
     ],
 )
-def test_a_bad_client_gets_an_error_or_a_close_in_time(shared, sent, status, seconds):
+def test_an_invalid_or_slow_client_gets_an_error_or_a_close_in_time(shared, sent, status, seconds):
     began = time.monotonic()
-    with shared.program.connect("ObjectFront") as sock:
+    with shared.program.connect("ObjectListener") as sock:
         sock.sendall(sent)
         got = sock.recv(65536)
     assert got[9:12] == status and time.monotonic() - began < seconds
     assert shared.program.process.poll() is None
 
 
-def test_hundreds_that_say_nothing_do_not_lock_object_clients_out(shared):
-    silent = [shared.program.connect("ObjectFront") for _ in range(120)]
-    assert shared.ask("GET")[0] == 404
+def test_many_silent_connections_do_not_block_object_clients(shared):
+    silent = [shared.program.connect("ObjectListener") for _ in range(120)]
+    assert shared.request("GET")[0] == 404
     for sock in silent:
         sock.close()
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -16,7 +16,7 @@
 from runloft.decisions.contract import AttemptOutcome, ListKind, NewSettings, PlanSettings, SendAttempt
 from runloft.discovery.watch import Watch
 from runloft.service.reload import Reload, applicable_change
-from runloft.upstream.links import NodeLink
+from runloft.upstream.pool import ConnectionPool
 from tests.support.core_harness import CoreHarness
 from tests.support.driver import MS, SECOND, Host, settings
 from tests.support.standins import Discovery, Program, RespNode, config, entry, until
@@ -198,7 +198,7 @@
         reload = Reload(str(path), config_from_json(raw), watch, posted.append, ())
         for _ in range(2):  # again before the new one has said anything
             reload()
-            assert [event.kind for event in posted] == posted_kinds and (watch.index, watch.where[1]) == (
+            assert [event.kind for event in posted] == posted_kinds and (watch.index, watch.address[1]) == (
                 0,
                 3,
             )
@@ -209,8 +209,10 @@
 def test_dispatch_without_a_free_descriptor_waits_and_reports_no_node_failure():
     deadlines, posted = TimerQueue(), []
     conf = config_from_json(config("127.0.0.1:1", []) | {"limits": {"sockets": 32}})
-    link = NodeLink(None, posted.append, deadlines, lambda: 0, conf, kind=None, permit=None, begin=None)
-    link.most = 0
+    link = ConnectionPool(
+        None, posted.append, deadlines, lambda: 0, conf, connection_type=None, permit=None, begin_attempt=None
+    )
+    link.max_connections = 0
     link.dispatch(Dispatch(1, NodeUpdate("s-1", "127.0.0.1:2", 0), None, SECOND))
     assert posted == [] and list(link.waiting) == [1] and len(deadlines) == 1
     link.abandon(1)
