--- a/runloft/lab/scale/datapath/sizing.py
+++ b/runloft/lab/scale/datapath/sizing.py
@@ -9,7 +9,7 @@
 from runloft.lab.errors import LaboratoryError
 from runloft.lab.scale.records import Sizes
 from runloft.listeners.accepting import CLIENT_PART
-from runloft.upstream.links import OTHERS
+from runloft.upstream.pool import RESERVED_DESCRIPTORS
 
 MAX_BUSY_CONNECTIONS = 64  # connections that carry statements where no idle clients are wanted
 STAND_INS = 3  # processes beside the scheduler, each about as large as one without clients
@@ -62,9 +62,9 @@
     node_connections = min(sizes.nodes + math.ceil(sizes.statements), limits.sockets // 2)
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     required_by_process = {
-        "the scheduler": clients + node_connections + OTHERS,
-        "the clients' stand-in": clients + OTHERS,
-        "the nodes' stand-in": sizes.nodes + node_connections + OTHERS,
+        "the scheduler": clients + node_connections + RESERVED_DESCRIPTORS,
+        "the clients' stand-in": clients + RESERVED_DESCRIPTORS,
+        "the nodes' stand-in": sizes.nodes + node_connections + RESERVED_DESCRIPTORS,
     }
     for process, required in required_by_process.items():
         if required > allowed:
--- a/runloft/lab/soak/streams.py
+++ b/runloft/lab/soak/streams.py
@@ -7,7 +7,7 @@
 import anyio
 import anyio.abc
 
-from runloft.net.sockets import data_age_ns
+from runloft.net.socket_state import data_age_ns
 
 NS_PER_S = 1e9
 LINGER_NONE = struct.pack("ii", 1, 0)  # a close sends a reset; see socket(7)
--- a/runloft/service/shutdown.py
+++ b/runloft/service/shutdown.py
@@ -10,7 +10,7 @@
 
 from runloft.core.model import ShutdownStarted
 from runloft.decisions.contract import Settings
-from runloft.net.sockets import close
+from runloft.net.socket_state import close
 from runloft.net.timing import pause
 from runloft.service.interfaces import ListeningEndpoint
 from runloft.service.runner import Runner
