--- a/runloft/lab/scale/capacity_page/settings_needed.py
+++ b/runloft/lab/scale/capacity_page/settings_needed.py
@@ -9,15 +9,15 @@
 from runloft.lab.scale.capacity_page.mechanisms import LISTENER_FILES, OPERATOR_CONFIG_FILE, POOL_LIMIT_FILE
 from runloft.lab.scale.capacity_page.sources import Source
 from runloft.lab.scale.records import Sizes
-from runloft.listeners.accepting import CLIENT_PART, CROWD_PART
-from runloft.listeners.resp import CROWD_NS, IDLE_NS
+from runloft.listeners.accepting import CLIENT_FRACTION, PRESSURE_FRACTION
+from runloft.listeners.resp.limits import IDLE_TIMEOUT_NS, PRESSURE_IDLE_TIMEOUT_NS
 from runloft.upstream.pool import IDLE_FRACTION, RESERVED_DESCRIPTORS
 
 NS_PER_S = 1e9
 MS_PER_S = 1e3
 KB_PER_MB = 1024
-IDLE_TIMEOUT_S = IDLE_NS / NS_PER_S
-CROWDED_IDLE_TIMEOUT_S = CROWD_NS / NS_PER_S
+IDLE_TIMEOUT_S = IDLE_TIMEOUT_NS / NS_PER_S
+CROWDED_IDLE_TIMEOUT_S = PRESSURE_IDLE_TIMEOUT_NS / NS_PER_S
 DEFAULT_LEASE_S = AgreementSettings("", "").lease_ns / NS_PER_S
 LEASES_PER_CHANGE = FENCE_LEASES * FENCE_OVER + BEHIND_FENCE  # of a change while one scheduler is silent
 
@@ -42,18 +42,18 @@
     return (
         Need(
             "limits.sockets: clients are kept at all",
-            ceil(sizes.clients / CLIENT_PART),
-            f"{LISTENER_FILES}: at most {CLIENT_PART:.3g} of them are clients",
+            ceil(sizes.clients / CLIENT_FRACTION),
+            f"{LISTENER_FILES}: at most {CLIENT_FRACTION:.3g} of them are clients",
         ),
         Need(
             "limits.sockets: none is closed to make room",
-            ceil(sizes.clients / CROWD_PART),
-            f"{LISTENER_FILES}: from {CROWD_PART:.3g} of them on the least useful are closed",
+            ceil(sizes.clients / PRESSURE_FRACTION),
+            f"{LISTENER_FILES}: from {PRESSURE_FRACTION:.3g} of them on the least useful are closed",
         ),
         Need(
             f"limits.sockets: all may rest {IDLE_TIMEOUT_S:g} s",
-            ceil(2 * sizes.clients / CROWD_PART),
-            f"{LISTENER_FILES}: beyond {CROWD_PART / 2:.3g} of them "
+            ceil(2 * sizes.clients / PRESSURE_FRACTION),
+            f"{LISTENER_FILES}: beyond {PRESSURE_FRACTION / 2:.3g} of them "
             f"a rest ends after {CROWDED_IDLE_TIMEOUT_S:g} s",
         ),
         Need(
--- a/tests/agreement/test_sidecars.py
+++ b/tests/agreement/test_sidecars.py
@@ -139,7 +139,7 @@
     port = next(
         line.split("at=127.0.0.1:")[1].split()[0]
         for line in log.read_text().split("\n")
-        if "ObjectFront" in line
+        if "ObjectListener" in line
     )
     request = urllib.request.Request(f"http://127.0.0.1:{port}/volumes/boats/objects/a", b"x", method="PUT")
     with pytest.raises(urllib.error.HTTPError) as response:
--- a/tests/core/test_permissions.py
+++ b/tests/core/test_permissions.py
@@ -130,7 +130,7 @@
     "permit_first_byte": {"reducer.py:permit_first_byte", "attempts.py:permit_first_byte"},
     "permitted_wait_ns": {"pool.py:dispatch", "connection.py:_start_attempt"},
     "encode_attempt": {"connection.py:_start_attempt", "resp_connection.py:encode_attempt"},
-    "permit_close": {"resp.py:may_close", "objects.py:may_close"},
+    "permit_close": {"lifetime.py:may_close", "connection.py:may_close"},
 }
 
 
--- a/tests/support/sidecars.py
+++ b/tests/support/sidecars.py
@@ -74,7 +74,7 @@
 
 def send_request(log):
     """Send a request for a shard that no node holds, with a short deadline; return the start of the reply."""
-    line = next(entry for entry in log.read_text().split("\n") if "RespFront" in entry)
+    line = next(entry for entry in log.read_text().split("\n") if "RespListener" in entry)
     port = int(line.split("at=127.0.0.1:")[1].split()[0])
     pairs = b"c=read,t=standard,d=200,volume=00000000000000a1,units=2,shard=1,hosts=2"
     words = (b"IO.IN", b"%016x" % 5, b"%016x" % time.monotonic_ns(), pairs)
