--- a/tests/placement/test_stored_places.py
+++ b/tests/placement/test_stored_placements.py
@@ -1,4 +1,4 @@
-"""Places of objects and uploads as version 9c33a60 stored them: read, and written back byte for byte."""
+"""Placements of objects and uploads as version 9c33a60 stored them: read, and written back byte for byte."""
 
 import anyio
 import pytest
@@ -18,8 +18,8 @@
 UPLOAD_MS = 604_800_000
 
 
-@pytest.mark.parametrize("key, text, place, is_upload", RECORDS)
-def test_a_stored_place_is_written_back_byte_for_byte(key, text, place, is_upload):
+@pytest.mark.parametrize("key, text, placement, is_upload", RECORDS)
+def test_a_stored_placement_is_written_back_byte_for_byte(key, text, placement, is_upload):
     server = Redis()
     keys = server.server.keys
     keys.unix_ns = lambda: 1_764_684_010_000_000_000
@@ -35,8 +35,8 @@
         try:
             with anyio.fail_after(20):
                 keys.data[key.encode()] = text
-                assert await store.get(name) == place
-                await store.put(name, place, is_upload)
+                assert await store.get(name) == placement
+                await store.put(name, placement, is_upload)
         finally:
             await store.close()
 
@@ -49,7 +49,7 @@
         server.close()
 
 
-def test_a_place_without_a_size_is_read_as_of_unknown_size():
+def test_a_placement_without_a_size_is_read_as_of_unknown_size():
     server = Redis()
 
     async def main():
