--- a/runloft/decisions/admission.py
+++ b/runloft/decisions/admission.py
@@ -53,12 +53,12 @@
         rate = node.estimated_rate(now) if node else 0.0
         if node is None or not rate:
             return 0.0
-        own = self.priority(request, node, rate, now)
+        request_priority = self.priority(request, node, rate, now)
         queue = self._state.queues.get(request.shard, ())
         ahead = sum(
             other.units
             for other in queue
-            if other is not request and self.priority(other, node, rate, now) >= own
+            if other is not request and self.priority(other, node, rate, now) >= request_priority
         )
         return (node.in_flight_units + ahead) / rate
 
@@ -71,12 +71,16 @@
             limited_s = self._quotas.quota_of(request, now).seconds_until_permitted(request.units)
         if node is None:
             return limited_s
-        price = self._pricing.price_of(node.congestion_price, now) * request.price_jitter
-        price *= self._state.max_priority
-        if not price:
+        congestion_price = (
+            self._pricing.current_for(node.congestion_price, now) * request.congestion_price_jitter
+        )
+        congestion_price *= self._state.max_priority
+        if not congestion_price:
             return limited_s
         priority = max(self.priority(request, node, node.estimated_rate(now), now), MIN_PRIORITY)
-        return max(limited_s, math.log(price / priority) * node.congestion_price.fade_ns / NS_PER_SECOND)
+        return max(
+            limited_s, math.log(congestion_price / priority) * node.congestion_price.fade_ns / NS_PER_SECOND
+        )
 
     def overload_on_arrival_s(self, request: TrackedRequest, node: Node | None, now: int) -> float:
         """Return the seconds by which a new request would wait past its time in the queue."""
--- a/runloft/decisions/arrival.py
+++ b/runloft/decisions/arrival.py
@@ -11,7 +11,7 @@
 from runloft.decisions.tracked_request import TrackedRequest
 
 MIN_RETRY_GAP_OBJECTIVES = 0.25  # differences in time left that don't yet show a retry by the client
-PRICE_JITTER = 0.5  # spreads requests of the same priority around the congestion price
+CONGESTION_PRICE_JITTER = 0.5  # spreads requests of the same priority around the congestion price
 
 
 class Arrivals:
@@ -57,7 +57,9 @@
         self._state.requests[arrived.id] = request
         self._backdate_objective(request)
         if self._state.is_large_fleet:
-            request.price_jitter = self._state.random.uniform(1 - PRICE_JITTER, 1 + PRICE_JITTER)
+            request.congestion_price_jitter = self._state.random.uniform(
+                1 - CONGESTION_PRICE_JITTER, 1 + CONGESTION_PRICE_JITTER
+            )
         self._key_order.add(request)
         self._set_timers(request, now)
         self._placement.enqueue(request, now)
@@ -66,7 +68,7 @@
             node.slow_start.demand.add(now, request.units)
         overload_s = self._admission.overload_on_arrival_s(request, node, now)
         if overload_s > 0:
-            self._completion.give_up(request, now, overload_s)
+            self._completion.shed_or_fail(request, now, overload_s)
 
     def _backdate_objective(self, request: TrackedRequest) -> None:
         """Count the latency objective of a client's retry from its first try.
--- a/runloft/decisions/attempt_results.py
+++ b/runloft/decisions/attempt_results.py
@@ -54,8 +54,8 @@
             self._completion.finish(request, now)
             return
         self._placement.enqueue(request, now)
-        if self._must_give_up(request, result, now):
-            self._completion.give_up(request, now)
+        if self._needs_final_response(request, result, now):
+            self._completion.shed_or_fail(request, now)
 
     def _update_node(self, node: Node, request: TrackedRequest, result: AttemptResult, now: int) -> None:
         is_large_fleet = self._state.is_large_fleet
@@ -84,7 +84,7 @@
             self._key_order.record_ambiguous_attempt(request, now)
         self._key_order.update(request, now)
 
-    def _must_give_up(self, request: TrackedRequest, result: AttemptResult, now: int) -> bool:
+    def _needs_final_response(self, request: TrackedRequest, result: AttemptResult, now: int) -> bool:
         """Whether a request whose attempt failed gets its final response now."""
         if now + self._state.settings.tick_ns >= request.deadline:
             return True
--- a/runloft/decisions/completion.py
+++ b/runloft/decisions/completion.py
@@ -18,7 +18,7 @@
         self._admission = admission
         self._key_order = key_order
 
-    def give_up(self, request: TrackedRequest, now: int, overload_s: float = 0.0) -> None:
+    def shed_or_fail(self, request: TrackedRequest, now: int, overload_s: float = 0.0) -> None:
         """Shed a request, or fail it if a retry by the client might be executed a second time.
 
         The client may retry after ``overload_s`` seconds; 0 means after the forecast wait.
--- a/runloft/decisions/congestion_price.py
+++ b/runloft/decisions/congestion_price.py
@@ -11,8 +11,8 @@
 TIMELY_OBJECTIVES = 0.5  # latency, in tightest objectives, at which the price stays as it is
 MIN_FACTOR = 0.6  # bounds of the factor that one response puts on the price
 MAX_FACTOR = 4.0
-MIN_PRICE = 0.05  # of the greatest priority weight: a price below it counts as none
-MAX_PRICE = 1.5
+MIN_CONGESTION_PRICE = 0.05  # of the greatest priority weight: a price below it counts as none
+MAX_CONGESTION_PRICE = 1.5
 MEAN_WEIGHT = 0.1  # weight of one response in the mean price of all nodes
 FADE_OBJECTIVES = 15  # tightest objectives in which a price fades to the mean by 1/e, and the mean to none
 
@@ -41,8 +41,8 @@
     def update(self, now: int, latency_ns: int, mean: float) -> None:
         """Change the price by the latency of a response, or by how long there was none."""
         factor = min(MAX_FACTOR, max(MIN_FACTOR, latency_ns / self.timely_latency_ns))
-        value = max(self.current(now, mean), MIN_PRICE) * factor
-        self.value = min(value, MAX_PRICE) if value > MIN_PRICE else 0.0
+        value = max(self.current(now, mean), MIN_CONGESTION_PRICE) * factor
+        self.value = min(value, MAX_CONGESTION_PRICE) if value > MIN_CONGESTION_PRICE else 0.0
         self.updated_at = now
 
     def reset(self, now: int) -> None:
@@ -60,17 +60,17 @@
         self.is_enabled = False
         self.mean = CongestionPrice(NS_PER_SECOND)
 
-    def price_of(self, price: CongestionPrice, now: int) -> float:
+    def current_for(self, node_price: CongestionPrice, now: int) -> float:
         """Return a node's price, 0 if there is none.
 
         A small fleet has no prices: its bounds on what is in flight keep a node's queue short.
         """
-        value = price.current(now, self.mean.current(now)) if self.is_enabled else 0.0
-        return value if value > MIN_PRICE else 0.0
+        value = node_price.current(now, self.mean.current(now)) if self.is_enabled else 0.0
+        return value if value > MIN_CONGESTION_PRICE else 0.0
 
-    def record_latency(self, price: CongestionPrice, now: int, latency_ns: int) -> None:
+    def record_latency(self, node_price: CongestionPrice, now: int, latency_ns: int) -> None:
         """Update a node's price and the mean by one response's latency."""
         mean = self.mean.current(now)
-        price.update(now, latency_ns, mean)
-        self.mean.value = mean + MEAN_WEIGHT * (price.value - mean)
+        node_price.update(now, latency_ns, mean)
+        self.mean.value = mean + MEAN_WEIGHT * (node_price.value - mean)
         self.mean.updated_at = now
--- a/runloft/decisions/dispatch.py
+++ b/runloft/decisions/dispatch.py
@@ -50,7 +50,7 @@
         """Send requests of a node's queue until its capacity is reached."""
         rate = node.estimated_rate(now)
         is_trial = node.is_unresponsive(now)
-        self._give_up_hopeless(queue, node, rate, now)
+        self._drop_expired(queue, node, rate, now)
         while queue and node.has_capacity(rate, now):
             request = self._highest_priority(queue, node, rate, is_trial, now)
             if request is None:
@@ -58,12 +58,12 @@
             queue.remove(request)
             self._send(request, node, is_trial, now)
 
-    def _give_up_hopeless(self, queue: list[TrackedRequest], node: Node, rate: float, now: int) -> None:
+    def _drop_expired(self, queue: list[TrackedRequest], node: Node, rate: float, now: int) -> None:
         """Give up what can't be served in time any more, so that its client can use its time better."""
         for request in list(queue):
             is_spent = request.attempts and not self._retry_policy.may_retry(request, node, now)
             if is_spent or self._admission.overload_s(request, node, rate, now) > 0:
-                self._completion.give_up(request, now)
+                self._completion.shed_or_fail(request, now)
 
     def _highest_priority(
         self, queue: list[TrackedRequest], node: Node, rate: float, is_trial: bool, now: int
@@ -88,7 +88,9 @@
             return False  # late work waits, so that work of other schedulers that may be in time is served
         if request.attempts and not self._retry_policy.may_retry(request, node, now):
             return False
-        return self._key_order.has_turn(request, now) and self._slow_start.permits(node, request.units, now)
+        return self._key_order.is_first_of_key(request, now) and self._slow_start.permits(
+            node, request.units, now
+        )
 
     def _send(self, request: TrackedRequest, node: Node, is_trial: bool, now: int) -> None:
         if request.attempts:
--- a/runloft/decisions/key_order.py
+++ b/runloft/decisions/key_order.py
@@ -29,7 +29,7 @@
         if request.request_class.in_order and key:
             self.waiting.setdefault(key, []).append(request)
 
-    def has_turn(self, request: TrackedRequest, now: int) -> bool:
+    def is_first_of_key(self, request: TrackedRequest, now: int) -> bool:
         """Whether it is the first of its key, and no attempt of another one may still be executed."""
         if not request.request_class.in_order:
             return True
--- a/runloft/decisions/node.py
+++ b/runloft/decisions/node.py
@@ -16,8 +16,8 @@
 IN_FLIGHT_OBJECTIVES = 0.2  # of the tightest latency objective: what the units in flight may take
 MIN_REQUESTS_IN_FLIGHT = 2
 MAX_UNITS_IN_FLIGHT = 32
-LOST_OBJECTIVES = 0.5  # an overtaken attempt older than this, in tightest objectives,
-LOST_LATENCIES = 6  # and than so many smoothed latencies, is lost
+OVERTAKEN_OBJECTIVES = 0.5  # an overtaken attempt older than this, in tightest objectives,
+OVERTAKEN_LATENCIES = 6  # and than so many smoothed latencies, is lost
 UNRESPONSIVE_OBJECTIVES = 1.5  # silence, in tightest objectives, that makes a node unresponsive
 
 
@@ -42,7 +42,6 @@
         "backoff",
         "congestion_price",
         "entry",
-        "gone_at",
         "in_flight",
         "in_flight_units",
         "last_sent_at",
@@ -51,6 +50,7 @@
         "outlier",
         "rate",
         "slow_start",
+        "unlisted_since",
     )
 
     def __init__(
@@ -68,7 +68,7 @@
         self.in_flight: dict[tuple[int, int], InFlightAttempt] = {}  # by request and attempt
         self.in_flight_units = 0.0
         self.last_sent_at = 0
-        self.gone_at = 0  # when the list first said so; 0: it doesn't
+        self.unlisted_since = 0  # when the list first said so; 0: it doesn't
         self._served_up_to = 0  # when the latest attempt was sent that was served
         self._silent_since: int | None = None  # sent to, with no success, since then
         self._unanswered = 0
@@ -108,7 +108,7 @@
 
     def has_capacity(self, rate: float, now: int) -> bool:
         """Whether one more attempt may be sent: the units in flight are bounded by the rate."""
-        self._release_lost(now)
+        self._release_overtaken(now)
         if self.backoff.is_active(now):
             return False
         if self.is_unresponsive(now):
@@ -121,12 +121,14 @@
             len(self.in_flight) < min_requests or self.in_flight_units < max_units
         )
 
-    def _release_lost(self, now: int) -> None:
+    def _release_overtaken(self, now: int) -> None:
         """Release attempts that were overtaken long ago.
 
         Nodes serve in order, so such an attempt is lost; it must not delay the trial of a silent node.
         """
-        oldest = now - int(max(LOST_OBJECTIVES * self.objective_ns, LOST_LATENCIES * self.latency_ns))
+        oldest = now - int(
+            max(OVERTAKEN_OBJECTIVES * self.objective_ns, OVERTAKEN_LATENCIES * self.latency_ns)
+        )
         limit = min(oldest, self._served_up_to)
         for key in [key for key, attempt in self.in_flight.items() if attempt.sent_at < limit]:
             self._release(key)
--- a/runloft/decisions/node_list.py
+++ b/runloft/decisions/node_list.py
@@ -36,14 +36,14 @@
             self._state.actions.append(Timer(now + retry_ns, WATCH_TOKEN))
             return
         if update.kind is not ListKind.DELTA:
-            self._mark_missing_gone(update)
+            self._set_unlisted_gone(update)
         for entry in update.entries:
             self._apply_entry(entry, now)
-        self._forget_gone(now)
+        self._forget_unlisted(now)
         self._state.wake_at = now
         self._state.nodes_by_shard = {node.entry.shard: node for node in self._by_fitness()}
 
-    def _mark_missing_gone(self, update: NodeList) -> None:
+    def _set_unlisted_gone(self, update: NodeList) -> None:
         """Mark the nodes that a complete list doesn't name as gone."""
         listed = {entry.node for entry in update.entries}
         nodes = self._state.nodes
@@ -64,18 +64,18 @@
         node.entry = entry
         self._slow_start.observe(node, now)
 
-    def _forget_gone(self, now: int) -> None:
+    def _forget_unlisted(self, now: int) -> None:
         """Forget nodes that were gone for long; one whose process restarts comes back before that."""
         nodes = self._state.nodes
         needed = {request.ambiguous_node for request in self._state.requests.values()}
         needed.update(*(request.in_flight.values() for request in self._state.requests.values()))
         for number, node in list(nodes.items()):
             if node.entry.state is not NodeState.GONE:
-                node.gone_at = 0
+                node.unlisted_since = 0
                 continue
-            node.gone_at = node.gone_at or now
+            node.unlisted_since = node.unlisted_since or now
             is_unused = not node.in_flight and number not in needed
-            if node.gone_at and now >= node.gone_at + FORGET_AFTER_NS and is_unused:
+            if node.unlisted_since and now >= node.unlisted_since + FORGET_AFTER_NS and is_unused:
                 del nodes[number]
                 self._state.actions.append(ForgetNode(number))
 
--- a/runloft/decisions/scheduler.py
+++ b/runloft/decisions/scheduler.py
@@ -123,12 +123,12 @@
             case NodeList():
                 self._node_list.apply(event, now)
             case ClientGone():
-                self._client_gone(event.id, now)
+                self._client_disconnected(event.id, now)
             case NewSettings(settings):
                 self.state.apply_settings(settings)
                 self._apply_settings(settings)
             case ShutdownStarted():
-                self._shut_down(now)
+                self._end_open_requests(now)
             case StreamStarted(request_id) if request_id in self.state.requests:
                 self.state.requests[request_id].is_streaming = True
 
@@ -173,9 +173,9 @@
         is_due = now + self.state.settings.tick_ns >= request.deadline
         is_unsent = not request.in_flight and not request.has_reached_node
         if is_due or (is_unsent and now >= request.queue_deadline):
-            self._completion.give_up(request, now)
+            self._completion.shed_or_fail(request, now)
 
-    def _client_gone(self, request_id: int, now: int) -> None:
+    def _client_disconnected(self, request_id: int, now: int) -> None:
         """Finish a request whose client disconnected, and cancel its attempts if that is permitted."""
         request = self.state.requests.get(request_id)
         if request is None or request.is_finished:
@@ -184,8 +184,8 @@
             self.state.actions.extend(CancelAttempt(request_id, attempt) for attempt in request.in_flight)
         self._completion.finish(request, now)
 
-    def _shut_down(self, now: int) -> None:
+    def _end_open_requests(self, now: int) -> None:
         """Give up each open request that doesn't stream its response yet."""
         for request in list(self.state.requests.values()):
             if not (request.is_finished or request.is_streaming):
-                self._completion.give_up(request, now)
+                self._completion.shed_or_fail(request, now)
--- a/runloft/decisions/slow_start.py
+++ b/runloft/decisions/slow_start.py
@@ -9,7 +9,7 @@
 from runloft.decisions.units import NS_PER_SECOND
 
 USED_CAPACITY_FRACTION = 0.8  # the node's true capacity isn't known
-LARGE_FLEET_EVEN_PARTS = 4  # even parts of a node's rate that a scheduler with no past takes for its own
+LARGE_FLEET_RATE_MULTIPLE = 4  # even parts of a node's rate that a scheduler with no past takes for its own
 GUESSED_START_FRACTION = 0.5  # part of the warm-up for which failed connects count as a start
 GOLDEN_RATIO_FRACTION = 0.6180339887  # spreads the schedulers' first requests evenly over time
 MIN_USED_UNITS = 1e-9  # less counts as none
@@ -84,9 +84,9 @@
         known_ns = max(window_ns, min(settings.slow_start_ns, now - self._state.started_at))
         demand = node.slow_start.demand.total(now) * NS_PER_SECOND / known_ns
         schedulers = max(1, settings.hosts)
-        even_parts = LARGE_FLEET_EVEN_PARTS if self._state.is_large_fleet else 1
-        even_rate = node.estimated_rate(now) / schedulers * even_parts
-        rate = max(node.slow_start.baseline_rate, min(demand, even_rate))
+        rate_multiple = LARGE_FLEET_RATE_MULTIPLE if self._state.is_large_fleet else 1
+        equal_rate = node.estimated_rate(now) / schedulers * rate_multiple
+        rate = max(node.slow_start.baseline_rate, min(demand, equal_rate))
         capacity = (
             USED_CAPACITY_FRACTION
             * settings.overload_multiple
--- a/runloft/decisions/tracked_request.py
+++ b/runloft/decisions/tracked_request.py
@@ -13,6 +13,7 @@
         "ambiguous_node",
         "ambiguous_since",
         "attempts",
+        "congestion_price_jitter",
         "deadline",
         "has_reached_node",
         "id",
@@ -22,7 +23,6 @@
         "is_streaming",
         "last_sent_at",
         "objective_at",
-        "price_jitter",
         "queue_deadline",
         "received_at",
         "request",
@@ -54,7 +54,7 @@
         self.ambiguous_node: int | None = None  # the node that this attempt was sent to
         self.is_finished = False
         self.is_streaming = False
-        self.price_jitter = 1.0  # factor on the congestion price that it meets
+        self.congestion_price_jitter = 1.0  # factor on the congestion price that it meets
 
     @property
     def is_idempotent(self) -> bool:
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -361,7 +361,7 @@
     before = host.scheduler.pricing.mean.value
     assert before > 0
     node = host.scheduler.nodes[11]
-    assert host.scheduler.pricing.price_of(node.congestion_price, host.now) > 0
+    assert host.scheduler.pricing.current_for(node.congestion_price, host.now) > 0
 
 
 def test_a_node_that_started_anew_has_no_price_and_no_silence():
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -9,7 +9,7 @@
 
 def congestion_price(host: Host) -> float:
     node = host.scheduler.nodes[10]
-    return host.scheduler.pricing.price_of(node.congestion_price, host.now)
+    return host.scheduler.pricing.current_for(node.congestion_price, host.now)
 
 
 @pytest.mark.parametrize("load", [15.0, 27.0])
@@ -82,12 +82,12 @@
     node = host.scheduler.nodes[10]
     for _ in range(2):
         host.end(host.ask(), latency=1000)
-    dear = host.scheduler.pricing.price_of(node.congestion_price, host.now)
+    dear = host.scheduler.pricing.current_for(node.congestion_price, host.now)
     host.ask()
     for _ in range(3):
         host.end(host.next_id - 1, latency=50)
         host.ask()
-    assert dear > 0 and host.scheduler.pricing.price_of(node.congestion_price, host.now) < dear / 4
+    assert dear > 0 and host.scheduler.pricing.current_for(node.congestion_price, host.now) < dear / 4
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
