--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -389,8 +389,8 @@
     return contract.Settings(
         classes=tuple(classes),
         plans=tuple(plans),
-        hosts=integer("GroupSize", 1),
-        host_number=integer("SlotNo"),
+        scheduler_count=integer("GroupSize", 1),
+        scheduler_number=integer("SlotNo"),
         tick_ns=integer("Tick", 1_000_000),
         mean_units=number("Extra.UsualUnits", 1.0),
         max_units=number("Extra.MaxUnits", 1.0),
--- a/runloft/decisions/settings.py
+++ b/runloft/decisions/settings.py
@@ -58,8 +58,8 @@
 
     classes: tuple[ClassSettings, ...]
     plans: tuple[PlanSettings, ...]
-    hosts: int = 1
-    host_number: int = 0
+    scheduler_count: int = 1
+    scheduler_number: int = 0
     tick_ns: int = 1_000_000
     mean_units: float = 1.0
     max_units: float = 1.0
--- a/runloft/decisions/slow_start.py
+++ b/runloft/decisions/slow_start.py
@@ -67,7 +67,7 @@
         budget.started_at = started_at
         first_window_end = scheduler_started_at + settings.overload_window_ns
         budget.accrued_at = max(started_at, min(now, first_window_end))
-        missing = 1 - settings.host_number * GOLDEN_RATIO_FRACTION % 1.0
+        missing = 1 - settings.scheduler_number * GOLDEN_RATIO_FRACTION % 1.0
         budget.accrued_units = -missing * max(units, settings.mean_units)
         known_ns = max(1, min(settings.slow_start_ns, now - scheduler_started_at))
         budget.baseline_rate = budget.served.total(now) * NS_PER_SECOND / known_ns
@@ -83,7 +83,7 @@
         # no past goes by its clients' demand.
         known_ns = max(window_ns, min(settings.slow_start_ns, now - self._state.started_at))
         demand = node.slow_start.demand.total(now) * NS_PER_SECOND / known_ns
-        schedulers = max(1, settings.hosts)
+        schedulers = max(1, settings.scheduler_count)
         rate_multiple = LARGE_FLEET_RATE_MULTIPLE if self._state.is_large_fleet else 1
         equal_rate = node.estimated_rate(now) / schedulers * rate_multiple
         rate = max(node.slow_start.baseline_rate, min(demand, equal_rate))
--- a/runloft/decisions/state.py
+++ b/runloft/decisions/state.py
@@ -49,7 +49,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Use other settings from now on; what is open and what was learned stay."""
         self.settings = settings
-        self.is_large_fleet = settings.hosts > MAX_SMALL_FLEET
+        self.is_large_fleet = settings.scheduler_count > MAX_SMALL_FLEET
         self.has_volume_limits = any(plan.limit for plan in settings.plans)
         objectives = (each.latency_objective_ns for each in settings.classes)
         self.objective_ns = min(objectives, default=NS_PER_SECOND)
--- a/tests/decisions/test_backoff.py
+++ b/tests/decisions/test_backoff.py
@@ -11,7 +11,9 @@
 @pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
 def test_retry_waits_for_the_backoff_in_a_large_fleet(outcome):
     """Three attempts within 15 ms would use up a request and overload the node."""
-    host = Host(settings(request_class(aim=1000, deadline=6000), hosts=40, max_attempts=3), at=SECOND)
+    host = Host(
+        settings(request_class(aim=1000, deadline=6000), scheduler_count=40, max_attempts=3), at=SECOND
+    )
     id_ = host.ask()
     host.end(id_, outcome, latency=1)
     assert len(host.sends(id_)) == 1 and not host.answers(id_)
@@ -28,7 +30,9 @@
 
 def test_small_fleet_retries_at_once():
     """The retries of a small fleet are no storm."""
-    host = Host(settings(request_class(aim=1000, deadline=6000), hosts=7, max_attempts=3), at=SECOND)
+    host = Host(
+        settings(request_class(aim=1000, deadline=6000), scheduler_count=7, max_attempts=3), at=SECOND
+    )
     id_ = host.ask()
     host.end(id_, AttemptOutcome.FULL, latency=1)
     assert len(host.sends(id_)) == 2
--- a/tests/decisions/test_congestion_price.py
+++ b/tests/decisions/test_congestion_price.py
@@ -53,7 +53,7 @@
         request_class(aim=100, deadline=3000),
         request_class(aim=1000, deadline=3000, priority_weight=0.5),
     )
-    host = Host(settings(quick, slow, hosts=40))
+    host = Host(settings(quick, slow, scheduler_count=40))
     for _ in range(6):
         host.end(host.ask(request_class=1), latency=300)
         host.wait(100)
@@ -64,7 +64,7 @@
 
 def test_price_falls_after_a_few_timely_responses():
     """Large fleet: nodes that answered in 30 to 60 ms stayed dear, with one answer in two seconds each."""
-    host = Host(settings(request_class(aim=1000, deadline=6000), hosts=40), at=SECOND)
+    host = Host(settings(request_class(aim=1000, deadline=6000), scheduler_count=40), at=SECOND)
     node = host.scheduler.nodes[10]
     for _ in range(2):
         host.end(host.ask(), latency=1000)
--- a/tests/decisions/test_golden_sequence.py
+++ b/tests/decisions/test_golden_sequence.py
@@ -73,8 +73,8 @@
     return contract.Settings(
         classes=classes,
         plans=plans,
-        hosts=hosts,
-        host_number=hosts // 3,
+        scheduler_count=hosts,
+        scheduler_number=hosts // 3,
         tick_ns=2 * MS,
         mean_units=2.0,
         max_units=4.0,
--- a/tests/decisions/test_node.py
+++ b/tests/decisions/test_node.py
@@ -66,7 +66,7 @@
     """A trial of each scheduler every 1.5 objectives is more than an overloaded node can serve."""
 
     def trials(hosts: int) -> int:
-        host = Host(settings(request_class(aim=100, deadline=2000), hosts=hosts))
+        host = Host(settings(request_class(aim=100, deadline=2000), scheduler_count=hosts))
         host.serve(30)
         for _ in range(2):
             host.end(host.ask(), AttemptOutcome.TIMEOUT, latency=1000)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -14,7 +14,7 @@
 
 
 def test_warming_up_node_gets_this_schedulers_part_of_its_capacity():
-    conf = settings(slow_start_units=20, hosts=4, max_attempts=1, **SLOW_START)
+    conf = settings(slow_start_units=20, scheduler_count=4, max_attempts=1, **SLOW_START)
     host = Host(conf, at=100 * SECOND)
     host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
     assert send_flood(host, 1500) <= 20 / 4
@@ -27,7 +27,7 @@
     conf = settings(slow_start_units=20, max_attempts=1, **SLOW_START)
     sends: list[int] = []
     for number in range(150):
-        host = Host(replace(conf, hosts=150, host_number=number), at=100 * SECOND)
+        host = Host(replace(conf, scheduler_count=150, scheduler_number=number), at=100 * SECOND)
         host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
         for _ in range(24):
             host.ask(left=240)
@@ -47,7 +47,7 @@
 
 
 def test_start_guessed_from_failed_connects_ends_early_and_gives_way_to_the_list():
-    host = Host(settings(slow_start_units=8, hosts=150, **SLOW_START), at=100 * SECOND)
+    host = Host(settings(slow_start_units=8, scheduler_count=150, **SLOW_START), at=100 * SECOND)
     fail_connects(host)
     node = host.scheduler.nodes[10]
     assert host.scheduler.slow_start.started_at(node, host.now) == host.now
@@ -57,8 +57,10 @@
 
 
 def test_unusual_settings_do_not_raise():
-    odd = settings(hosts=0, host_number=9, max_attempts=1, slow_start_ns=10 * SECOND, overload_window_ns=0)
-    for conf in (odd, replace(odd, overload_window_ns=SECOND), replace(odd, hosts=-1, tick_ns=0)):
+    odd = settings(
+        scheduler_count=0, scheduler_number=9, max_attempts=1, slow_start_ns=10 * SECOND, overload_window_ns=0
+    )
+    for conf in (odd, replace(odd, overload_window_ns=SECOND), replace(odd, scheduler_count=-1, tick_ns=0)):
         host = Host(conf, at=100 * SECOND)
         host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
         send_flood(host, 100)
@@ -67,7 +69,7 @@
 
 
 def test_restarted_scheduler_takes_the_first_window_as_used_up():
-    conf = settings(slow_start_units=20, hosts=4, **SLOW_START)
+    conf = settings(slow_start_units=20, scheduler_count=4, **SLOW_START)
     host = Host(conf, nodes=(NodeEntry(10, 0, started_ns=99 * SECOND),), at=100 * SECOND)
     assert send_flood(host, 1500) == 0
     host.wait(1000)
@@ -78,7 +80,9 @@
     """An equal part of the certain units would leave warming-up nodes idle."""
 
     def sends_while_cold(served: int) -> int:
-        host = Host(settings(slow_start_units=8, hosts=150, max_attempts=1, **SLOW_START), at=100 * SECOND)
+        host = Host(
+            settings(slow_start_units=8, scheduler_count=150, max_attempts=1, **SLOW_START), at=100 * SECOND
+        )
         host.serve(served, latency=40)
         host.wait(1000)
         host.tell(NodeEntry(10, 0, started_ns=host.now))
@@ -95,14 +99,18 @@
 
 
 def test_node_whose_connects_failed_is_warming_up():
-    host = Host(settings(slow_start_units=8, hosts=4, max_attempts=1, **SLOW_START), at=100 * SECOND)
+    host = Host(
+        settings(slow_start_units=8, scheduler_count=4, max_attempts=1, **SLOW_START), at=100 * SECOND
+    )
     fail_connects(host)
     assert send_flood(host, 1500) <= 2
 
 
 @pytest.mark.parametrize("between", [None, AttemptOutcome.OK])
 def test_single_failed_connects_are_not_taken_for_a_start(between):
-    host = Host(settings(slow_start_units=8, hosts=4, max_attempts=1, **SLOW_START), at=100 * SECOND)
+    host = Host(
+        settings(slow_start_units=8, scheduler_count=4, max_attempts=1, **SLOW_START), at=100 * SECOND
+    )
     for _ in range(5):
         host.end(host.ask(), AttemptOutcome.CONNECT_FAILED)
         host.wait(300 if between else 90)
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -173,7 +173,7 @@
         request_class(aim=100, deadline=3000, priority_weight=weight, late_priority_weight=0.5)
         for weight in (4.0, 1.0)
     ]
-    host = Host(settings(*classes, hosts=hosts), nodes=[NodeEntry(10, 0), NodeEntry(11, 1)])
+    host = Host(settings(*classes, scheduler_count=hosts), nodes=[NodeEntry(10, 0), NodeEntry(11, 1)])
     for _ in range(6 if outcome is AttemptOutcome.OK else 3):
         host.wait(400)
         latency = 90 if outcome is AttemptOutcome.OK else 150
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -24,8 +24,8 @@
     fields = {"within_quota_factor": 0.3, "beyond_quota_factor": 0.08} | fields
     made = settings(
         request_class(**{"aim": 1000, "deadline": 6000, "late_priority_weight": 0.1} | dict(one_class)),
-        hosts=hosts,
-        host_number=number,
+        scheduler_count=hosts,
+        scheduler_number=number,
         slow_start_initial_fraction=SLOW_START_INITIAL_FRACTION,
         slow_start_ns=SLOW_START_NS,
         overload_window_ns=OVERLOAD_WINDOW_NS,
