--- a/runloft/decisions/node.py
+++ b/runloft/decisions/node.py
@@ -68,7 +68,7 @@
         self.in_flight: dict[tuple[int, int], InFlightAttempt] = {}  # by request and attempt
         self.in_flight_units = 0.0
         self.last_sent_at = 0
-        self.unlisted_since = 0  # when the list first said so; 0: it doesn't
+        self.unlisted_since = 0  # since when it is gone, by the list; 0: it isn't
         self._served_up_to = 0  # when the latest attempt was sent that was served
         self._silent_since: int | None = None  # sent to, with no success, since then
         self._unanswered = 0
@@ -131,13 +131,13 @@
         )
         limit = min(oldest, self._served_up_to)
         for key in [key for key, attempt in self.in_flight.items() if attempt.sent_at < limit]:
-            self._release(key)
+            self._release(*key)
 
-    def _release(self, key: tuple[int, int]) -> int:
+    def _release(self, request_id: int, attempt: int) -> int:
         """Remove an attempt from those in flight; return when it was sent, 0 if it isn't known."""
-        attempt = self.in_flight.pop(key, NOT_IN_FLIGHT)
-        self.in_flight_units = self.in_flight_units - attempt.units if self.in_flight else 0.0
-        return attempt.sent_at
+        released = self.in_flight.pop((request_id, attempt), NOT_IN_FLIGHT)
+        self.in_flight_units = self.in_flight_units - released.units if self.in_flight else 0.0
+        return released.sent_at
 
     def record_sent(self, now: int, request_id: int, attempt: int, units: float) -> None:
         """Count an attempt that is sent."""
@@ -157,24 +157,27 @@
         outcome = result.outcome
         if outcome in NEVER_EXECUTED:
             self.backoff.extend(now, backoff_jitter, self.objective_ns)
-        sent_at = self._release((result.id, result.attempt))
+        sent_at = self._release(result.id, result.attempt)
         self.outlier.record_outcome(outcome, now)
         if outcome is AttemptOutcome.OK:
-            self._served_up_to = max(self._served_up_to, sent_at)
-            self.rate.record_served(units, sent_at or now, now)
             max_quick_ns = IN_FLIGHT_OBJECTIVES * self.objective_ns
             was_quick = backoff_jitter > 0 and result.latency_ns <= max_quick_ns
-            self.slow_start.record_served(now, units, was_quick)
-            self._silent_since = now if self.in_flight else None
-            self._unanswered = len(self.in_flight)
-            self.latency_ns += NEWEST_LATENCY_WEIGHT * (result.latency_ns - self.latency_ns)
-            self.backoff.record_success()
+            self._record_success(now, sent_at, units, result.latency_ns, was_quick)
         elif outcome is AttemptOutcome.TIMEOUT:
             if result.latency_ns < UNRESPONSIVE_OBJECTIVES * self.objective_ns:
                 self._unanswered -= 1  # its client had little time: that is no silence yet
         elif outcome is AttemptOutcome.CONNECT_FAILED:
             self.slow_start.record_connect_failure(now)
 
+    def _record_success(self, now: int, sent_at: int, units: float, latency_ns: int, was_quick: bool) -> None:
+        self._served_up_to = max(self._served_up_to, sent_at)
+        self.rate.record_served(units, sent_at or now, now)
+        self.slow_start.record_served(now, units, was_quick)
+        self._silent_since = now if self.in_flight else None
+        self._unanswered = len(self.in_flight)
+        self.latency_ns += NEWEST_LATENCY_WEIGHT * (latency_ns - self.latency_ns)
+        self.backoff.record_success()
+
     def record_restart(self, now: int) -> None:
         """Reset what a new process doesn't have: a queue, silence, a backoff."""
         self.congestion_price.reset(now)
--- a/runloft/decisions/settings.py
+++ b/runloft/decisions/settings.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanSettings:
-    """One service plan; its figures hold for each volume, over all hosts and nodes."""
+    """One service plan; its figures hold for each volume, over all schedulers and nodes."""
 
     rate: float = 0.0
     reserve: float = 0.0
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -15,7 +15,7 @@
     host = Host(settings(request_class(aim=100, deadline=600)))
     host.serve(40, latency=50)  # about 20 units a second
     ids = [host.ask() for _ in range(30)]
-    refused = [a for i in ids for t, a in host.answers(i) if t == host.now]
+    refused = [action for i in ids for at, action in host.answers(i) if at == host.now]
     assert refused and all(isinstance(a, ShedRequest) for a in refused)
     assert 0 < refused[0].retry_after_ns < 200 * MS
     assert refused[0].retry_after_ns <= refused[-1].retry_after_ns <= SECOND
--- a/tests/decisions/test_backoff.py
+++ b/tests/decisions/test_backoff.py
@@ -14,17 +14,17 @@
     host = Host(
         settings(request_class(aim=1000, deadline=6000), scheduler_count=40, max_attempts=3), at=SECOND
     )
-    id_ = host.ask()
-    host.end(id_, outcome, latency=1)
-    assert len(host.sends(id_)) == 1 and not host.answers(id_)
+    request_id = host.ask()
+    host.end(request_id, outcome, latency=1)
+    assert len(host.sends(request_id)) == 1 and not host.answers(request_id)
     host.wait(200)
-    assert len(host.sends(id_)) == 2
-    host.end(id_, outcome, latency=1)
-    gaps = [host.sends(id_)[1][0] - host.sends(id_)[0][0]]
+    assert len(host.sends(request_id)) == 2
+    host.end(request_id, outcome, latency=1)
+    gaps = [host.sends(request_id)[1][0] - host.sends(request_id)[0][0]]
     host.wait(200)
-    gaps.append(host.sends(id_)[2][0] - host.sends(id_)[1][0])
-    assert gaps[0] >= 5 * MS and len(host.sends(id_)) == 3
-    host.end(id_)
+    gaps.append(host.sends(request_id)[2][0] - host.sends(request_id)[1][0])
+    assert gaps[0] >= 5 * MS and len(host.sends(request_id)) == 3
+    host.end(request_id)
     assert host.scheduler.nodes[10].backoff.length_objectives == 0
 
 
@@ -33,6 +33,6 @@
     host = Host(
         settings(request_class(aim=1000, deadline=6000), scheduler_count=7, max_attempts=3), at=SECOND
     )
-    id_ = host.ask()
-    host.end(id_, AttemptOutcome.FULL, latency=1)
-    assert len(host.sends(id_)) == 2
+    request_id = host.ask()
+    host.end(request_id, AttemptOutcome.FULL, latency=1)
+    assert len(host.sends(request_id)) == 2
--- a/tests/decisions/test_congestion_price.py
+++ b/tests/decisions/test_congestion_price.py
@@ -63,7 +63,7 @@
 
 
 def test_price_falls_after_a_few_timely_responses():
-    """Large fleet: nodes that answered in 30 to 60 ms stayed dear, with one answer in two seconds each."""
+    """Nodes with one response in two seconds must not keep a price for long."""
     host = Host(settings(request_class(aim=1000, deadline=6000), scheduler_count=40), at=SECOND)
     node = host.scheduler.nodes[10]
     for _ in range(2):
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -24,12 +24,12 @@
     """Work that waits for clients that have left must not keep nodes full."""
     host = overloaded_host(200)
     host.wait(400)
-    id_ = host.ask()
+    request_id = host.ask()
     host.wait(300)
-    ((_, send),) = host.sends(id_)
+    ((_, send),) = host.sends(request_id)
     assert 0 < send.timeout_ns <= 2 * 100 * MS
-    host.end(id_, AttemptOutcome.TIMEOUT, latency=100)
-    assert [a.retry_after_ns > 0 for _, a in host.answers(id_)] == [True]
+    host.end(request_id, AttemptOutcome.TIMEOUT, latency=100)
+    assert [action.retry_after_ns > 0 for _, action in host.answers(request_id)] == [True]
 
 
 def test_objective_of_a_client_retry_counts_from_its_first_try():
--- a/tests/decisions/test_final_response.py
+++ b/tests/decisions/test_final_response.py
@@ -16,9 +16,9 @@
 
 def test_request_without_time_left_gets_a_response():
     host = Host(settings())
-    id_ = host.ask(left=0, shard=40)
+    request_id = host.ask(left=0, shard=40)
     host.wait(10)
-    assert len(host.answers(id_)) == 1
+    assert len(host.answers(request_id)) == 1
 
 
 def test_only_a_request_that_reached_no_node_is_shed_at_its_queue_deadline():
@@ -42,44 +42,44 @@
 def test_request_shed_after_a_failed_attempt_has_a_retry_after():
     host = Host(settings(request_class(aim=100, deadline=600), max_attempts=1))
     host.serve(30, latency=20)
-    id_ = host.ask()
-    host.end(id_, AttemptOutcome.ERROR)
-    ((at, answer),) = host.answers(id_)
+    request_id = host.ask()
+    host.end(request_id, AttemptOutcome.ERROR)
+    ((at, answer),) = host.answers(request_id)
     assert at == host.now and isinstance(answer, ShedRequest) and 0 < answer.retry_after_ns <= SECOND
 
 
 def test_request_shed_for_an_unknown_shard_has_a_retry_after():
     host = Host(settings())
-    id_ = host.ask(shard=40)
+    request_id = host.ask(shard=40)
     host.wait(1000)
-    assert [a.retry_after_ns > 0 for _, a in host.answers(id_)] == [True]
+    assert [action.retry_after_ns > 0 for _, action in host.answers(request_id)] == [True]
 
 
 def test_queued_request_gets_a_response_before_its_deadline():
     host = Host(settings(), nodes=())
-    id_ = host.ask()
+    request_id = host.ask()
     host.wait(2000)
-    ((at, answer),) = host.answers(id_)
+    ((at, answer),) = host.answers(request_id)
     assert isinstance(answer, ShedRequest) and at <= 600 * MS
 
 
 def test_timeout_at_the_deadline_gives_a_response():
     host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
-    id_ = host.ask()
+    request_id = host.ask()
     host.now = 600 * MS
-    host.end(id_, AttemptOutcome.TIMEOUT)
+    host.end(request_id, AttemptOutcome.TIMEOUT)
     host.wait(1000)
-    assert [type(a) for _, a in host.answers(id_)] == [FailRequest]
+    assert [type(action) for _, action in host.answers(request_id)] == [FailRequest]
 
 
 def test_timer_gives_a_response_if_no_result_arrives():
     host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
-    id_ = host.ask()
+    request_id = host.ask()
     host.wait(1000)
-    assert [t <= 600 * MS for t, _ in host.answers(id_)] == [True]
-    host.end(id_, AttemptOutcome.TIMEOUT)
+    assert [at <= 600 * MS for at, _ in host.answers(request_id)] == [True]
+    host.end(request_id, AttemptOutcome.TIMEOUT)
     host.wait(1000)
-    assert len(host.answers(id_)) == 1 and len(host.sends(id_)) == 1
+    assert len(host.answers(request_id)) == 1 and len(host.sends(request_id)) == 1
 
 
 def test_disconnected_client_gets_no_attempt_and_no_response():
@@ -95,7 +95,7 @@
 
 def test_started_stream_has_no_deadline():
     host = Host(settings(request_class(streamed=True)))
-    id_ = host.ask()
-    host.see(StreamStarted(id_, 0, 10))
+    request_id = host.ask()
+    host.see(StreamStarted(request_id, 0, 10))
     host.wait(2000)
-    assert not host.answers(id_)
+    assert not host.answers(request_id)
--- a/tests/decisions/test_key_order.py
+++ b/tests/decisions/test_key_order.py
@@ -16,7 +16,9 @@
 
 def test_requests_of_one_key_are_sent_one_at_a_time_in_order():
     host = Host(settings(IN_ORDER))
-    first, second, other = host.ask(key=7), host.ask(key=7), host.ask(key=8)
+    first = host.ask(key=7)
+    second = host.ask(key=7)
+    other = host.ask(key=8)
     assert host.sends(first) and host.sends(other) and not host.sends(second)
     host.end(first)
     assert host.sends(second)
--- a/tests/decisions/test_node.py
+++ b/tests/decisions/test_node.py
@@ -27,8 +27,8 @@
         host.ask()
     host.wait(1000)
     before = len(host.sends())
-    for id_ in sorted(host.open):  # lost: the node hangs
-        host.end(id_, AttemptOutcome.TIMEOUT, latency=1000)
+    for request_id in sorted(host.open):  # lost: the node hangs
+        host.end(request_id, AttemptOutcome.TIMEOUT, latency=1000)
     assert len(host.open) <= 1
     for _ in range(5):
         host.ask()
@@ -36,7 +36,7 @@
     trial = host.log[-1][1] if isinstance(host.log[-1][1], SendAttempt) else host.sends()[-1][1]
     assert 0 < trial.timeout_ns < 2000 * MS
     host.end_all()  # it answers again
-    assert len({a.id for _, a in host.sends()}) >= 36
+    assert len({action.id for _, action in host.sends()}) >= 36
 
 
 def test_one_unanswered_attempt_makes_no_node_unresponsive():
@@ -55,9 +55,9 @@
     host = Host(settings(request_class(aim=100, deadline=600)))
     host.serve(5)
     for _ in range(3):
-        id_ = host.ask(left=60)
+        request_id = host.ask(left=60)
         host.wait(60)
-        host.end(id_, AttemptOutcome.TIMEOUT, latency=60)
+        host.end(request_id, AttemptOutcome.TIMEOUT, latency=60)
     host.wait(400)
     assert not host.scheduler.nodes[10].is_unresponsive(host.now)
 
--- a/tests/decisions/test_node_list.py
+++ b/tests/decisions/test_node_list.py
@@ -13,28 +13,28 @@
 
 def test_request_for_an_unknown_shard_waits_for_the_node_list():
     host = Host(settings())
-    id_ = host.ask(shard=40)
-    assert not host.answers(id_)
+    request_id = host.ask(shard=40)
+    assert not host.answers(request_id)
     host.tell(NodeEntry(14, 40))
-    assert [a.node for _, a in host.sends(id_)] == [14]
+    assert [action.node for _, action in host.sends(request_id)] == [14]
 
 
 @pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.GONE])
 def test_draining_or_gone_node_gets_nothing_new(state):
     host = Host(settings())
     host.tell(gone(10, state=state))
-    id_ = host.ask()
+    request_id = host.ask()
     host.wait(1000)
-    assert not host.sends(id_) and len(host.answers(id_)) == 1
+    assert not host.sends(request_id) and len(host.answers(request_id)) == 1
 
 
 def test_node_missing_from_a_complete_list_is_gone_and_its_replacement_takes_over():
     host = Host(settings())
     host.tell(NodeEntry(11, 1), kind=ListKind.FULL)
-    id_ = host.ask()
-    assert not host.sends(id_)
+    request_id = host.ask()
+    assert not host.sends(request_id)
     host.tell(NodeEntry(12, 0))
-    assert [a.node for _, a in host.sends(id_)] == [12]
+    assert [action.node for _, action in host.sends(request_id)] == [12]
 
 
 def test_failed_poll_keeps_the_list_and_is_retried():
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -20,9 +20,9 @@
             host.wait(5)
     placed = []
     for _ in range(10):
-        id_ = host.ask(shard=None)
-        placed.append(host.nodes[id_])
-        host.end(id_)
+        request_id = host.ask(shard=None)
+        placed.append(host.nodes[request_id])
+        host.end(request_id)
         host.wait(5)
     assert set(placed) == {11}
     assert host.scheduler.nodes[10].outlier.is_ejected(host.now)
@@ -39,6 +39,6 @@
     host.wait(100)
     placed = []
     for _ in range(6):
-        placed.append(host.nodes[id_ := host.ask(shard=None)])
-        host.end(id_)
+        placed.append(host.nodes[request_id := host.ask(shard=None)])
+        host.end(request_id)
     assert set(placed) == {11}
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -34,11 +34,11 @@
 )
 def test_not_idempotent_request_that_may_have_executed_fails_without_retry(outcome):
     host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
-    id_ = host.ask()
-    host.end(id_, outcome)
+    request_id = host.ask()
+    host.end(request_id, outcome)
     host.wait(1000)
-    assert len(host.sends(id_)) == 1
-    assert [type(a) for _, a in host.answers(id_)] == [FailRequest]
+    assert len(host.sends(request_id)) == 1
+    assert [type(action) for _, action in host.answers(request_id)] == [FailRequest]
 
 
 @pytest.mark.parametrize(
@@ -46,10 +46,10 @@
 )
 def test_not_idempotent_request_that_was_never_executed_is_retried(outcome):
     host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
-    id_ = host.ask()
-    host.end(id_, outcome)
+    request_id = host.ask()
+    host.end(request_id, outcome)
     host.wait(100)
-    assert len(host.sends(id_)) == 2
+    assert len(host.sends(request_id)) == 2
 
 
 def test_retry_is_refused_after_the_idempotency_window():
@@ -58,15 +58,15 @@
             request_class(Idempotency.IDEMPOTENT_WITH_KEY, deadline=3000, idempotency_window_ns=200 * MS)
         )
     )
-    id_ = host.ask()
+    request_id = host.ask()
     host.wait(50)
-    host.end(id_, AttemptOutcome.ERROR)
-    assert len(host.sends(id_)) == 2
+    host.end(request_id, AttemptOutcome.ERROR)
+    assert len(host.sends(request_id)) == 2
     host.wait(200)
-    host.end(id_, AttemptOutcome.ERROR)
+    host.end(request_id, AttemptOutcome.ERROR)
     host.wait(3000)
-    assert len(host.sends(id_)) == 2
-    assert [type(a) for _, a in host.answers(id_)] == [FailRequest]
+    assert len(host.sends(request_id)) == 2
+    assert [type(action) for _, action in host.answers(request_id)] == [FailRequest]
 
 
 @pytest.mark.parametrize(
@@ -82,13 +82,13 @@
         )
     )
     host = Host(conf, nodes=(NodeEntry(10, 0, zone=0), NodeEntry(11, 1, zone=1)))
-    id_ = host.ask(shard=None)
-    first = host.nodes[id_]
+    request_id = host.ask(shard=None)
+    first = host.nodes[request_id]
     host.tell(replace(gone(first, first - 10), zone=first - 10))
-    host.end(id_, AttemptOutcome.RESET)
+    host.end(request_id, AttemptOutcome.RESET)
     host.wait(900)
-    assert len(host.sends(id_)) == 1 or group is IdempotencyScope.ALL
-    assert len({a.node for _, a in host.sends(id_)}) <= count
+    assert len(host.sends(request_id)) == 1 or group is IdempotencyScope.ALL
+    assert len({action.node for _, action in host.sends(request_id)}) <= count
 
 
 def test_ambiguous_request_is_shed_only_if_all_nodes_recognise_its_key():
@@ -100,9 +100,9 @@
                 )
             )
         )
-        id_ = host.ask()
-        host.end(id_, AttemptOutcome.ERROR)
-        assert [type(a) for _, a in host.answers(id_)] == [kind]
+        request_id = host.ask()
+        host.end(request_id, AttemptOutcome.ERROR)
+        assert [type(action) for _, action in host.answers(request_id)] == [kind]
 
 
 def test_retries_stay_within_base_and_ratio_of_the_retry_budget():
@@ -113,18 +113,18 @@
         while host.sends(n + 1) and not host.answers(n + 1):
             host.end(n + 1, AttemptOutcome.ERROR)
         host.wait(1)
-    extra = len(host.sends()) - len({a.id for _, a in host.sends()})
+    extra = len(host.sends()) - len({action.id for _, action in host.sends()})
     assert 2 <= extra <= 2 + 0.1 * 30
     host.wait(2000)
-    id_ = host.ask()
-    host.end(id_, AttemptOutcome.ERROR)
+    request_id = host.ask()
+    host.end(request_id, AttemptOutcome.ERROR)
     host.wait(20)
-    assert len(host.sends(id_)) == 2  # the window has passed
+    assert len(host.sends(request_id)) == 2  # the window has passed
 
 
 def test_retries_are_not_limited_without_a_retry_budget():
     host = Host(settings(max_attempts=50))
-    id_ = host.ask()
+    request_id = host.ask()
     for _ in range(20):
-        host.end(id_, AttemptOutcome.ERROR)
-    assert len(host.sends(id_)) == 21
+        host.end(request_id, AttemptOutcome.ERROR)
+    assert len(host.sends(request_id)) == 21
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -23,22 +23,25 @@
 
 def test_result_is_processed_before_a_timer_of_the_same_instant():
     host = Host(settings(request_class(aim=100, deadline=600)))
-    id_ = host.ask()
+    request_id = host.ask()
     host.now += 700 * MS
-    host.see(TimerFired(id_), AttemptResult(id_, 0, 10, AttemptOutcome.OK, True, 20 * MS))
-    assert not host.answers(id_)
+    host.see(TimerFired(request_id), AttemptResult(request_id, 0, 10, AttemptOutcome.OK, True, 20 * MS))
+    assert not host.answers(request_id)
 
 
 def test_events_of_finished_or_unknown_requests_are_ignored():
     host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
-    id_ = host.ask()
-    host.end(id_)
-    host.end(id_)
+    request_id = host.ask()
+    host.end(request_id)
+    host.end(request_id)
     host.see(
-        AttemptResult(999, 0, 10, AttemptOutcome.OK, True), ClientGone(999), TimerFired(999), ClientGone(id_)
+        AttemptResult(999, 0, 10, AttemptOutcome.OK, True),
+        ClientGone(999),
+        TimerFired(999),
+        ClientGone(request_id),
     )
     host.wait(1000)
-    assert not host.answers(id_) and len(host.sends(id_)) == 1
+    assert not host.answers(request_id) and len(host.sends(request_id)) == 1
 
 
 def test_same_events_give_the_same_actions():
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -132,7 +132,7 @@
 
 
 def sends_to_a_warming_up_node(latency):
-    """Count those of a host that asks for a unit a second, in the first 14 s of a node."""
+    """Return how many a scheduler with a unit a second sends in the first 14 s of a node."""
     host = Host(fleet_settings(200, 0, slow_start_units=0.0), at=SECOND)
 
     def ask(times, answered):
@@ -149,5 +149,5 @@
 
 
 def test_warming_up_node_that_responds_at_once_is_sent_more():
-    """Day join+mass: replaced nodes had one request in hand, and half of what came was refused."""
+    """A replaced node with one request at a time would shed half of its load."""
     assert sends_to_a_warming_up_node(50) > sends_to_a_warming_up_node(600) > 0
