--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -13,7 +13,8 @@
 from runloft.core.model import Event, Reconfigured
 from runloft.core.timers import TimerHandle, TimerQueue
 from runloft.decisions.contract import ListKind
-from runloft.discovery.watch import Watch, listed
+from runloft.discovery.node_list import node_list_update
+from runloft.discovery.watch import Watch
 from runloft.service.interfaces import Configurable
 
 log = structlog.get_logger()
@@ -105,7 +106,7 @@
         rev = config.known.get("rev")
         if isinstance(rev, int) and rev > self.watch.rev:  # the file is newer than what the watch has sent
             self.watch.rev = rev
-            self.post(listed(config.known, config.zones, ListKind.FULL))
+            self.post(node_list_update(ListKind.FULL, config.known.get("targets"), config.zones))
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/config/test_configs.py
+++ b/tests/config/test_configs.py
@@ -15,10 +15,10 @@
 from runloft.config.operator import MOST_BYTES, check_file, check_text
 from runloft.config.settings import config_from_json, load_config
 from runloft.lab.scale.records import result_from
-from runloft.listeners import objects as objects_front
-from runloft.listeners import resp
-from runloft.listeners.accepting import AcceptingFront
-from runloft.upstream import links
+from runloft.listeners.accepting import ListenerBase
+from runloft.listeners.objects.limits import IDLE_TIMEOUT_S
+from runloft.listeners.resp import limits as resp_limits
+from runloft.upstream.pool import ConnectionPool
 
 HERE = Path(__file__).parent / "files"
 EDIT = re.compile(r"(\d+)([=+-]) ?(.*)")
@@ -105,20 +105,32 @@
     raw = check_file(str(HERE / "sidecar.toml")).raw | {"limits": {"sockets": 1024}}
     for objects, parts in operator.NODE_PARTS.items():
         held = raw if objects else {key: value for key, value in raw.items() if key != "objects"}
-        front = AcceptingFront(None, None, None, None, config_from_json(held))
+        front = ListenerBase(None, None, None, None, config_from_json(held))
         fronts = 2 if objects else 1
-        assert (front.crowd, front.most_clients) == (
+        assert (front.pressure_threshold, front.max_clients) == (
             int(1024 * operator.CROWD_PART) // fronts,
             int(1024 * operator.CLIENT_PART) // fronts,
         )
         for part in parts:
-            link = links.NodeLink(None, None, None, None, config_from_json(held), kind=None, permit=None,
-                                  begin=None, part=part)  # fmt: skip
-            assert link.most == (1024 - operator.OTHERS) // part
+            pool = ConnectionPool(
+                None,
+                None,
+                None,
+                None,
+                config_from_json(held),
+                connection_type=None,
+                permit=None,
+                begin_attempt=None,
+                descriptors_divisor=part,
+            )
+            assert pool.max_connections == (1024 - operator.OTHERS) // part
     server = (HERE.parents[2] / "runloft" / "service" / "server.py").read_text()
-    assert "part=4 if config.objects else 2," in server and "part=8," in server
-    assert (operator.IDLE_MS, operator.CROWD_MS) == (resp.IDLE_NS / 1e6, resp.CROWD_NS / 1e6)
-    assert operator.IDLE_MS == objects_front.IDLE_S * 1e3
+    assert "descriptors_divisor=4 if config.objects else 2," in server and "descriptors_divisor=8," in server
+    assert (operator.IDLE_MS, operator.CROWD_MS) == (
+        resp_limits.IDLE_TIMEOUT_NS / 1e6,
+        resp_limits.PRESSURE_IDLE_TIMEOUT_NS / 1e6,
+    )
+    assert operator.IDLE_MS == IDLE_TIMEOUT_S * 1e3
 
 
 def test_the_memory_that_is_checked_is_no_less_than_what_was_measured():
@@ -171,7 +183,10 @@
     assert few.faults == ()
     (fault,) = compared([few], fleet)
     assert (fault.code, fault.key, fault.severity) == (
-        "sockets-below-nodes", "limits.sockets", Severity.WARNING)  # fmt: skip
+        "sockets-below-nodes",
+        "limits.sockets",
+        Severity.WARNING,
+    )
     assert fault.right == "at least 38"
 
 
@@ -194,14 +209,17 @@
         ([(1, {"uid": "s-1"})], {}, ["node-twice targets.1.uid"]),
         ([(1, {"model": "fats"})], {}, ["unknown-kind targets.1.model"]),
         ([(1, {"state": "gone"})], {}, ["not-a-choice targets.1.state", "unknown-shard volumes.0.shards.1"]),
-        ([(0, {"pod_group": None})], {}, ["bad-node targets.0", "unknown-shard volumes.0.shards.0",
-                                          "unknown-shard volumes.2.shards.0"]),
+        (
+            [(0, {"pod_group": None})],
+            {},
+            ["bad-node targets.0", "unknown-shard volumes.0.shards.0", "unknown-shard volumes.2.shards.0"],
+        ),
         ([], {"all": False}, ["nodes-in-part all"]),
         ([], {"targets": 7}, ["missing targets"]),
         # Both fast ones drain: what is left bears 18, and the two volumes reserve 10 each.
         ([(0, {"state": "terminating"}), (1, {"state": "terminating"})], {}, ["reserve-not-borne volumes.0"]),
     ],
-)  # fmt: skip
+)
 def test_nodes_in_discoverys_form_stand_for_the_fleets_own(changes, top, wants, tmp_path):
     _, faults = checked_fleet(str(HERE / "fleet.toml"), nodes(tmp_path, *changes, **top))
     assert sorted(f"{f.code} {f.key}" for f in faults) == wants
--- a/tests/sharing/test_shared_store.py
+++ b/tests/placement/test_placement_store.py
@@ -1,9 +1,9 @@
-"""The shared store against its stand-in."""
+"""The placement store against a stand-in of Redis."""
 
 import anyio
 import pytest
 
-from runloft.sharing.places import Place, SharedStore, StoreDownError
+from runloft.placement.store import Placement, PlacementStore, StoreUnavailableError
 from tests.support.lab import Redis
 
 
@@ -11,7 +11,7 @@
     server = Redis()
 
     async def main():
-        store = SharedStore(f"redis://{server.address}/0", 2.0)
+        store = PlacementStore(f"redis://{server.address}/0", 2.0)
         try:
             with anyio.fail_after(20):
                 await check(store, server)
@@ -24,21 +24,21 @@
         server.close()
 
 
-def test_a_place_is_kept_and_forgotten():
+def test_placement_is_stored_and_deleted():
     async def check(store, server):
         name = store.object_key("v", "a b")
         assert await store.get(name) is None
-        await store.put(name, Place(3, 10))
-        assert await store.get(name) == Place(3, 10)
-        await store.forget(name)
+        await store.put(name, Placement(3, 10))
+        assert await store.get(name) == Placement(3, 10)
+        await store.delete(name)
         assert await store.get(name) is None
 
     run(check)
 
 
-def test_a_burst_waits_for_a_connection():
+def test_burst_waits_for_a_free_connection():
     async def check(store, server):
-        await store.put("k", Place(1))
+        await store.put("k", Placement(1))
         got = []
 
         async def get():
@@ -47,19 +47,19 @@
         async with anyio.create_task_group() as group:
             for _ in range(100):
                 group.start_soon(get)
-        assert got == [Place(1)] * 100 and len(server.connections) <= 16
+        assert got == [Placement(1)] * 100 and len(server.connections) <= 16
 
     run(check)
 
 
 @pytest.mark.parametrize("what", ["closed", "nonsense"])
-def test_what_can_not_be_read_counts_as_down(what):
+def test_unreadable_store_is_unavailable(what):
     async def check(store, server):
         if what == "closed":
             server.close()
         else:
             server.data[b"k"] = b"no place"
-        with pytest.raises(StoreDownError):
+        with pytest.raises(StoreUnavailableError):
             await store.get("k")
 
     run(check)
