--- a/runloft/config/wire_settings.py
+++ b/runloft/config/wire_settings.py
@@ -86,8 +86,8 @@
     return contract.Settings(
         classes=_classes(reader),
         plans=_plans(reader),
-        hosts=reader.integer("GroupSize", 1),
-        host_number=reader.integer("SlotNo"),
+        scheduler_count=reader.integer("GroupSize", 1),
+        scheduler_number=reader.integer("SlotNo"),
         tick_ns=reader.integer("Tick", 1_000_000),
         mean_units=reader.number("Extra.UsualUnits", 1.0),
         max_units=reader.number("Extra.MaxUnits", 1.0),
