--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # build, test, lint, run: the same commands that deploy/balancer.toml and .ci/run use.
-.PHONY: build demo test lint run sites
+.PHONY: build demo test lint check run sites
 build:
 	sh -c "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml)"
 	.venv/bin/pip -q install -r requirements-dev.txt
@@ -7,7 +7,9 @@
 	.venv/bin/python -m runloft lab run deploy/demo/demo.toml
 test:
 	.venv/bin/python -m pytest -q
+check: lint test
 lint:
+	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
 	.venv/bin/mypy
 	.venv/bin/lint-imports --no-logo
