--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -20,7 +20,8 @@
 from runloft.agreement.rollout import Plan
 from runloft.agreement.rollout_driver import POLLS_PER_LEASE, run_rollout
 from runloft.agreement.store import AgreementStore
-from runloft.config.faults import blocking_faults
+from runloft.config.faults import Fault, blocking_faults
+from runloft.config.fleet.file import CheckedFleet
 from runloft.config.operator.file import CheckedFile, check_file
 from runloft.config.platform_config import agreement_settings
 from runloft.config.settings import AgreementSettings
@@ -56,7 +57,6 @@
 def _roll_out(options: argparse.Namespace) -> int:
     # Loaded here: they need requirements-tools.txt, which ``status`` and ``forget`` do without.
     from runloft.agreement.planning import content_of_fleet, rollout_plan
-    from runloft.config.comparison.files import compare_files
 
     directory = Path(options.directory)
     paths = sorted(path for path in directory.glob("*.toml") if path.name != FLEET_FILE)
@@ -65,9 +65,7 @@
     checked = check_fleet_file(options.fleet or str(directory / FLEET_FILE), options.nodes)
     fleet = checked.fleet
     files = [check_file(str(path)) for path in paths]
-    file_faults = [fault for file in files for fault in file.faults]
-    comparable_fleet = fleet if fleet and not blocking_faults(fleet.faults) else None
-    faults = [*checked.faults, *file_faults, *compare_files(files, comparable_fleet)]
+    faults = _rollout_faults(checked, files)
     print_faults(faults)
     if fleet is None or blocking_faults(faults):
         return FAILED
@@ -79,6 +77,16 @@
     return _with_store(options, act, _documents(files))
 
 
+def _rollout_faults(checked: CheckedFleet, files: Sequence[CheckedFile]) -> list[Fault]:
+    """Return the faults of the fleet, of the sidecars' files, and of the files beside each other."""
+    from runloft.config.comparison.files import compare_files  # needs requirements-tools.txt
+
+    fleet = checked.fleet
+    comparable_fleet = fleet if fleet and not blocking_faults(fleet.faults) else None
+    file_faults = [fault for file in files for fault in file.faults]
+    return [*checked.faults, *file_faults, *compare_files(files, comparable_fleet)]
+
+
 def _documents(files: Sequence[CheckedFile]) -> list[Json]:
     return [file.document for file in files]
 
--- a/runloft/lab/scale/child.py
+++ b/runloft/lab/scale/child.py
@@ -3,7 +3,6 @@
 A child whose standard input closes ends itself, however its parent ended.
 """
 
-import gc
 import logging
 import os
 import sys
@@ -13,40 +12,13 @@
 import anyio.abc
 import structlog
 
-from runloft.lab.errors import LaboratoryError
-from runloft.lab.scale.messages import (
-    Answer,
-    CollectGarbage,
-    Command,
-    Done,
-    Request,
-    decode_command,
-    encode_answer,
-    encode_error,
-)
+from runloft.lab.scale.messages import Request, decode_command, encode_answer, encode_error
+from runloft.lab.scale.role import Role
 
 STANDARD_INPUT = 0
 READ_BYTES = 65_536
 
 
-class UnknownCommandError(LaboratoryError, TypeError):
-    """A command that this role does not carry out."""
-
-
-class Role:
-    """What a child does."""
-
-    def __init__(self, group: anyio.abc.TaskGroup) -> None:
-        self.group = group
-
-    async def carry_out(self, command: Command) -> Answer:
-        """Carry out a command; subclasses handle their own and pass on the rest."""
-        if not isinstance(command, CollectGarbage):
-            raise UnknownCommandError(command.NAME)
-        gc.collect()
-        return Done()
-
-
 def make_role(name: str, group: anyio.abc.TaskGroup) -> Role:
     """Return a role by its name; each loads only its own modules, whose memory is measured."""
     if name == "store":
--- a/runloft/lab/scale/hollow_role.py
+++ b/runloft/lab/scale/hollow_role.py
@@ -7,7 +7,6 @@
 import anyio
 import anyio.abc
 
-from runloft.lab.scale.child import Role
 from runloft.lab.scale.hollow_scheduler import HollowScheduler
 from runloft.lab.scale.messages import (
     Answer,
@@ -27,6 +26,7 @@
     StopSchedulers,
     Times,
 )
+from runloft.lab.scale.role import Role
 from runloft.lab.scale.scheduler_config import config_document, volume_rows
 from runloft.service.clock import MonotonicClock
 
--- a/runloft/lab/scale/rollout_tool.py
+++ b/runloft/lab/scale/rollout_tool.py
@@ -8,8 +8,8 @@
 from runloft.agreement.content import Content, content_of_file
 from runloft.agreement.rollout_driver import run_rollout
 from runloft.agreement.store import AgreementStore
-from runloft.lab.scale.child import Role
 from runloft.lab.scale.messages import Answer, Command, RollOut, RolloutReport
+from runloft.lab.scale.role import Role
 
 KEY_PREFIX = "runloft"
 NS_PER_MS = 1_000_000
--- a/runloft/lab/scale/stand_ins.py
+++ b/runloft/lab/scale/stand_ins.py
@@ -10,7 +10,6 @@
 from runloft.lab.discovery import Instances, LabDiscovery
 from runloft.lab.keyspace import Keyspace
 from runloft.lab.redis import RedisStandIn
-from runloft.lab.scale.child import Role
 from runloft.lab.scale.messages import (
     Addresses,
     Answer,
@@ -25,6 +24,7 @@
     Traffic,
 )
 from runloft.lab.scale.names import node_address, node_uid
+from runloft.lab.scale.role import Role
 from runloft.lab.serving import LabServer
 
 RESET_INTERVAL_S = 0.5  # connections to a cut region are reset after so long
