--- a/runloft/lab/soak/processes.py
+++ b/runloft/lab/soak/processes.py
@@ -1,5 +1,6 @@
 """The scheduler processes of a soak: started, signalled, restarted, and ended by id."""
 
+import contextlib
 import json
 import os
 import signal
@@ -110,7 +111,9 @@
     def signal(self, number: signal.Signals) -> None:
         """Send a signal if it runs."""
         if self.process is not None and self.process.returncode is None:
-            os.kill(self.process.pid, number)
+            # It may have ended and been reaped by the event loop's child watcher, which tells of it later.
+            with contextlib.suppress(ProcessLookupError):
+                os.kill(self.process.pid, number)
 
     async def terminate(self) -> None:
         """End it in order; where it does not end in time it is killed."""
