--- a/runloft/listeners/accepting.py
+++ b/runloft/listeners/accepting.py
@@ -1,4 +1,4 @@
-"""The part of a listener that does not depend on its protocol: accepting, and evicting idle connections."""
+"""The protocol-independent part of a listener: accepting connections and evicting idle ones."""
 
 import errno
 import socket
@@ -18,14 +18,14 @@
 from runloft.net.timing import Clock, pause
 
 log = structlog.get_logger()
-ACCEPT_RETRY_S = 0.02  # pause after accepting was not possible
-ACCEPT_BURST = 16  # connections accepted in a row before the event loop serves the others
-PRESSURE_FRACTION = 1 / 3  # of all descriptors, for clients: above it idle connections are evicted
-CLIENT_FRACTION = 1 / 2  # of all descriptors: the most that clients may take
-RECENT_ACTIVITY_NS = 100_000_000  # a client is not evicted this soon after it connected or got a response
-EVICTION_BATCH = 8  # connections closed at a time: finding them costs a look at all
-MAX_FAILED_ACCEPTS = 64  # connections in a row that may fail in accept(2) before there is a pause
-# What accept(2) reports of the connection at the head of the queue, not of the listener or the machine.
+ACCEPT_RETRY_S = 0.02  # pause after connections could not be accepted
+ACCEPT_BURST = 16  # connections accepted in a row before other tasks run
+PRESSURE_FRACTION = 1 / 3  # share of max_sockets above which idle connections are evicted
+CLIENT_FRACTION = 1 / 2  # share of max_sockets that clients may use
+RECENT_ACTIVITY_NS = 100_000_000  # no eviction within this time of connecting or of a response
+EVICTION_BATCH = 8  # connections evicted per scan of all clients
+MAX_FAILED_ACCEPTS = 64  # failures of accept(2) in a row before a pause
+# Errors of accept(2) that concern the connection at the head of the queue, not the listener or the machine.
 CONNECTION_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
@@ -49,7 +49,7 @@
 class ListenerBase(Generic[ClientT]):
     """A listener of one protocol; ``clients`` holds its open connections.
 
-    It closes the sockets that it accepts but can't serve; all others belong to their connection.
+    It closes accepted sockets that can't be set up; every other one is owned by its connection.
     """
 
     def __init__(
@@ -66,11 +66,11 @@
         self.clock = clock
         self.clients: set[ClientT] = set()
         self.stopping = False
-        self.backlog_waits = False  # whether connections have waited in the kernel's queue, as far as known
+        self.has_backlog = False  # whether connections may be waiting in the kernel's accept queue
         self.configure(config)
 
     def configure(self, config: Config) -> None:
-        """Apply the limits of this configuration from now on."""
+        """Apply the limits of this configuration."""
         listener_count = 2 if config.objects else 1
         self.pressure_threshold = int(config.max_sockets * PRESSURE_FRACTION) // listener_count
         self.max_clients = int(config.max_sockets * CLIENT_FRACTION) // listener_count
@@ -80,15 +80,15 @@
         raise NotImplementedError
 
     def eviction_candidates(self) -> Sequence[ClientT]:
-        """Return the connections whose close loses no response, the least useful first."""
+        """Return the connections that can be closed without losing a response, in order of eviction."""
         return ()
 
     def is_under_connection_pressure(self) -> bool:
-        """Return whether there are so many connections that idle ones are closed sooner."""
+        """Return whether idle connections are closed after a shorter timeout, as there are many clients."""
         return len(self.clients) > self.pressure_threshold // 2
 
     def evict_idle(self) -> None:
-        """Close some of the least useful connections, but none with a request on its way."""
+        """Close up to ``EVICTION_BATCH`` idle connections; one with an unanswered request is never closed."""
         evicted = 0
         for client in self.eviction_candidates():
             if evicted >= EVICTION_BATCH:
@@ -98,24 +98,25 @@
                 evicted += 1
 
     async def accept(self, listening_socket: socket.socket) -> None:
-        """Accept until the listening socket is closed; any other failure is logged and tried again."""
+        """Accept connections until the listening socket is closed; log any other failure and retry."""
         while listening_socket.fileno() >= 0:
             try:
                 if not self.accept_waiting(listening_socket, ACCEPT_BURST):
-                    # Full or out of descriptors: the rest waits in the kernel.
+                    # At the client limit or out of descriptors: further connections wait in the kernel.
                     await pause(self.timers, self.clock, ACCEPT_RETRY_S)
                 await anyio.sleep(0)
                 await anyio.wait_readable(listening_socket)
             except (OSError, ValueError, anyio.ClosedResourceError) as error:
                 if listening_socket.fileno() < 0:
                     return
-                log.warning("accepting failed and goes on", error=str(error))
+                log.warning("accept loop failed, retrying", error=str(error))
                 await pause(self.timers, self.clock, ACCEPT_RETRY_S)
 
     def accept_waiting(self, listening_socket: socket.socket, max_count: int | None = None) -> bool:
-        """Accept all connections that wait, or ``max_count``; return False if more may wait than fit.
+        """Accept queued connections, at most ``max_count``; return False if others may have to wait.
 
-        True without ``max_count`` means that the queue was seen empty: only then may a listener be closed.
+        True without ``max_count`` means that the accept queue is empty. A listening socket may be closed only
+        then: closing it resets the connections that are still queued.
         Raise OSError if the listening socket is closed.
         """
         count = 0
@@ -125,43 +126,43 @@
             if len(self.clients) >= self.pressure_threshold:
                 self.evict_idle()
             if len(self.clients) >= self.max_clients:
-                self.backlog_waits = True
+                self.has_backlog = True
                 return False
             try:
                 sock, _ = listening_socket.accept()
             except BlockingIOError:
-                self.backlog_waits = False
+                self.has_backlog = False
                 return True
             except OSError as error:
                 if listening_socket.fileno() < 0:
                     raise
-                self.backlog_waits = True
+                self.has_backlog = True
                 failed += 1
                 if error.errno in CONNECTION_ERRORS and failed < MAX_FAILED_ACCEPTS:
-                    continue  # it concerns this connection alone: others wait behind it
-                # Prevents the listener's end: running out of descriptors is no reason to stop for good.
-                log.warning("accept", error=str(error))
+                    continue  # only this connection failed; others may be queued behind it
+                # Running out of descriptors is temporary and must not end the listener.
+                log.warning("accepting a connection failed", error=str(error))
                 return False
             self._admit(sock)
         return True
 
     def _admit(self, sock: socket.socket) -> None:
-        """Begin to serve an accepted connection; a failure of this one does not concern the others."""
+        """Start serving an accepted connection; if its set-up fails, close it and go on."""
         try:
             sock.setblocking(False)
             set_no_delay(sock)
             client = self.new_client(sock)
         except OSError as error:
-            log.warning("an accepted connection can't be served", error=str(error))
+            log.warning("setting up an accepted connection failed", error=str(error))
             sock.close()
             return
         self.clients.add(client)
         self.task_group.start_soon(self._serve, client)
 
     async def _serve(self, client: ClientT) -> None:
-        """Run a connection; an unexpected exception in it closes this connection alone."""
+        """Run a connection; an unexpected exception closes only this connection."""
         try:
             await client.run()
         except Exception:
-            log.exception("client")
+            log.exception("unexpected exception in a client connection")
             client.close(CloseReason.FAULT)
--- a/runloft/listeners/connection.py
+++ b/runloft/listeners/connection.py
@@ -1,4 +1,4 @@
-"""What does not depend on the protocol in a client's connection: noticing a disconnect, and closing."""
+"""The protocol-independent part of a client connection: detecting a disconnect, and closing."""
 
 import socket
 from abc import ABC, abstractmethod
@@ -9,40 +9,40 @@
 from runloft.core.permissions import CloseReason
 from runloft.net.socket_state import close, half_closed, nothing_to_read
 
-DISCONNECT_POLL_S = 0.04  # between looks whether a client that is not read has disconnected
-DISCONNECT_POLL_NS = int(DISCONNECT_POLL_S * 1e9)
-FREE_ERRORS = 4  # errors in a row on one connection before it is slowed down
-SLOWDOWN_S = 0.01  # first pause between requests of such a connection; it doubles with each further error
+DISCONNECT_POLL_INTERVAL_S = 0.04  # for clients whose input is not being read
+DISCONNECT_POLL_INTERVAL_NS = int(DISCONNECT_POLL_INTERVAL_S * 1e9)
+ERRORS_BEFORE_SLOWDOWN = 4  # in a row on one connection
+SLOWDOWN_S = 0.01  # base of the pause, doubled for each error beyond those
 MAX_SLOWDOWN_S = 0.25
-LINGER_BYTES = 256 << 10  # input that is still read, and dropped, after the last response
+LINGER_BYTES = 256 << 10  # input that is read and dropped after the last response
 
 
 def slowdown_s(errors: int) -> float:
     """Return the seconds to wait before the next request of a connection with this many errors in a row."""
-    excess = errors - FREE_ERRORS
+    excess = errors - ERRORS_BEFORE_SLOWDOWN
     return min(MAX_SLOWDOWN_S, SLOWDOWN_S * 2.0**excess) if excess > 0 else 0.0
 
 
 def has_half_closed(sock: socket.socket) -> bool:
-    """Return whether the other side ended its sending, even if some input is still to be read."""
+    """Return whether the peer has shut down its sending side, even if input is still unread."""
     return bool(half_closed((sock,)))
 
 
 class ClientConnection(ABC):
-    """An accepted connection. It owns its socket from the moment it is made, and closes it once."""
+    """An accepted connection, which owns its socket and closes it once."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.closed = False
-        self.lingering = False  # the last response is out; further input is dropped
+        self.lingering = False  # the last response is written; further input is dropped
 
     @abstractmethod
     async def run(self) -> None:
-        """Serve the connection until it is over, and close it."""
+        """Serve the connection until it ends, and close it."""
 
     @abstractmethod
     def may_close(self, reason: CloseReason) -> bool:
-        """Return whether the connection may be closed for this reason now."""
+        """Return whether the connection may be closed now for this reason."""
 
     @abstractmethod
     def unanswered_count(self) -> int:
@@ -54,14 +54,14 @@
 
     @abstractmethod
     def release(self, reason: CloseReason, unanswered: int) -> None:
-        """Leave the listener and release what else the connection holds; called once the socket is closed."""
+        """Leave the listener and free the connection's resources; called after the socket is closed."""
 
     def has_unread_input(self) -> bool:
-        """Return whether input waits in the socket that a close would lose."""
+        """Return whether the socket holds unread input, which a close would lose."""
         return not nothing_to_read(self.sock)
 
     def close(self, reason: CloseReason = CloseReason.FAULT) -> None:
-        """Close the connection, count it by its reason and report a close that loses a request or input."""
+        """Close the connection, count the reason, and report a violation if a request or input is lost."""
         if self.closed:
             return
         unanswered = self.unanswered_count()
--- a/runloft/listeners/objects/connection.py
+++ b/runloft/listeners/objects/connection.py
@@ -1,4 +1,4 @@
-"""An HTTP connection of the object API: its requests, one after the other, and its lifetime."""
+"""An HTTP connection of the object API: its requests, one at a time, and its lifetime."""
 
 import socket
 
@@ -20,11 +20,11 @@
 from runloft.net.timing import pause
 
 log = structlog.get_logger()
-SINGLE_HEADERS = (b"range", b"if-range", b"x-expires-in-ms")  # may stand once at most
+SINGLE_HEADERS = (b"range", b"if-range", b"x-expires-in-ms")  # rejected if repeated
 
 
 class ObjectClient(ClientConnection):
-    """One HTTP connection. ``is_serving`` from a request's head to the end of its response."""
+    """An HTTP connection; ``is_serving`` is set from a request's head to the end of its response."""
 
     def __init__(self, services: ListenerServices, sock: socket.socket) -> None:
         super().__init__(sock)
@@ -38,10 +38,10 @@
         self.has_sent_request = False
         self.errors = 0  # in a row
         self.last_activity_at = services.clock()
-        self._budgeted_bytes = 0  # what the request that is being served has taken of the listener's budget
+        self._budgeted_bytes = 0  # the current request's share of the listener's body budget
 
     async def run(self) -> None:
-        """Serve requests until the connection is over."""
+        """Serve requests until the connection ends."""
         try:
             with self.reading_scope:
                 await self._serve_requests()
@@ -49,22 +49,22 @@
             if self.services.stopping and self.has_sent_request and is_open:
                 await self.writer.linger()
         except (OSError, TimeoutError, h11.ProtocolError, anyio.ClosedResourceError) as error:
-            log.debug("client connection over", error=repr(error))
+            log.debug("client connection ended with an exception", error=repr(error))
         finally:
             self.close(CloseReason.CLIENT_DISCONNECTED)
 
     def may_close(self, reason: CloseReason) -> bool:
-        """Return whether the connection may be closed; input that has arrived is read first."""
-        half_read = self.reader.unread_bytes()
+        """Return whether the connection may be closed; unread input prevents it."""
+        incomplete_bytes = self.reader.unparsed_bytes()
         has_unread = self.has_unread_input()
         requests = (self,) if self.is_serving else ()
-        return permissions.permit_close(reason, requests, 0, half_read, has_unread) is None
+        return permissions.permit_close(reason, requests, 0, incomplete_bytes, has_unread) is None
 
     def close_if_idle(self) -> None:
-        """Close between requests; a request that is already here is read first.
+        """Close the connection if it is idle and has no unread input, lingering after a recent response.
 
-        Prevents the loss of the last response: a request that comes just now would turn a close into a reset,
-        which discards what the client has not read.
+        An immediate close could lose the last response: a request that arrives at that moment would turn the
+        close into a reset, which discards what the client has not read.
         """
         if self.lingering or not self.may_close(CloseReason.SHUTDOWN):
             return
@@ -82,18 +82,18 @@
         return {"listener": "objects"}
 
     def release(self, reason: CloseReason, unanswered: int) -> None:
-        """Leave the listener; a request that is out is reported by who forwards it."""
+        """Leave the listener; ``RequestForwarder`` reports an unanswered request to the core."""
         self.services.forget(self)
 
     async def _serve_requests(self) -> None:
         while not self.closed and await self._serve_one():
             self.protocol.start_next_cycle()
             seconds = slowdown_s(self.errors)
-            if seconds:  # prevents one that repeats what can't be served from delaying the other clients
+            if seconds:  # repeated invalid requests must not delay other clients
                 await pause(self.services.timers, self.services.clock, seconds)
 
     async def _serve_one(self) -> bool:
-        """Serve one request; return whether the connection can carry another."""
+        """Serve one request; return whether the connection can be reused."""
         try:
             self.writer.request_method = b""
             event = await self.reader.read_head(is_first=not self.has_sent_request)
@@ -112,12 +112,12 @@
         finally:
             self.is_serving = False
             self.last_activity_at = self.services.clock()
-            self._return_budget()
+            self._release_budget()
         is_done = self.protocol.our_state is h11.DONE and self.protocol.their_state is h11.DONE
         return is_done and not self.closed
 
     async def _serve(self, request: h11.Request) -> None:
-        """Serve a request whose head has been read; raise ObjectApiError for an error response."""
+        """Serve a request after its head; raise ObjectApiError for an error response."""
         headers = {bytes(name): bytes(value) for name, value in request.headers}
         try:
             _check_single_headers(request)
@@ -128,27 +128,27 @@
             if not error.closes:
                 await self.reader.discard_body()
             raise
-        await self._take_budget(length)
+        await self._acquire_budget(length)
         body = await self._read_body(length)
         await self.forwarder.forward(operation, headers, body)
 
-    async def _take_budget(self, length: int) -> None:
-        """Take a body's length from the shared budget; raise ObjectApiError if it is not there in time.
+    async def _acquire_budget(self, length: int) -> None:
+        """Acquire a body's length from the shared budget; raise ObjectApiError on a timeout.
 
-        The core has its own account of bodies; this budget keeps them from being read at all.
+        The core limits the bodies that it buffers; this budget limits those that are read from sockets.
         """
         try:
             with self.services.within(BODY_TIMEOUT_S):
-                await self.services.bodies.acquire(length)
+                await self.services.body_budget.acquire(length)
         except TimeoutError:
             message = "too many bodies are held"
             raise ObjectApiError(503, "SlowDown", message, RETRY_AFTER_NS, closes=True) from None
         self._budgeted_bytes = length
 
-    def _return_budget(self) -> None:
-        """Return what the request took of the budget; it is over, its response is written."""
+    def _release_budget(self) -> None:
+        """Release the request's share of the budget, when the request has ended."""
         if self._budgeted_bytes:
-            self.services.bodies.release(self._budgeted_bytes)
+            self.services.body_budget.release(self._budgeted_bytes)
             self._budgeted_bytes = 0
 
     async def _read_body(self, length: int) -> bytes:
@@ -160,7 +160,7 @@
             raise ObjectApiError(408, "RequestTimeout", message, closes=True) from None
 
     def _body_length(self, operation: Operation, headers: Headers) -> int:
-        """Return the body's length in bytes, which an upload has to name."""
+        """Return the body's length in bytes; raise ObjectApiError if it is missing or too large."""
         text = headers.get(b"content-length")
         if text is None:
             if b"transfer-encoding" in headers or operation.has_body:
--- a/runloft/listeners/objects/errors.py
+++ b/runloft/listeners/objects/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the object API, in S3's terms: each ends a request with a response."""
+"""Errors of the object API, with S3's codes; each is sent as the response to a request."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 from runloft.errors import RunloftError
 from runloft.listeners.objects.limits import RETRY_AFTER_NS
 
-CLIENT_ERRORS = frozenset((400, 405, 411, 413))  # statuses that slow a connection down
+CLIENT_ERRORS = frozenset((400, 405, 411, 413))  # statuses that count towards the slowdown of a connection
 NODE_FAILURES = (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED)
 
 
 @dataclass(eq=False)
 class ObjectApiError(RunloftError):
-    """An error response: HTTP status, S3's code, a message; ``closes`` ends the connection after it."""
+    """An error response with S3's code; ``closes`` means that the connection is closed after it."""
 
     status: int
     code: str
@@ -23,21 +23,21 @@
 
     @property
     def is_client_error(self) -> bool:
-        """Return whether the client sent what can't be served."""
+        """Return whether the request was invalid."""
         return self.status in CLIENT_ERRORS
 
 
 class NothingToDeleteError(RunloftError):
-    """A deletion of an object that is not known, which succeeds without any node."""
+    """A deletion of an unknown object, which succeeds without a request to a node."""
 
 
-def store_unavailable() -> ObjectApiError:
-    """Return the error of a request that needs the shared store while it is down."""
+def store_unavailable_error() -> ObjectApiError:
+    """Return the error response for a request that needs the unavailable shared store."""
     return ObjectApiError(503, "ServiceUnavailable", "the shared store is down", RETRY_AFTER_NS)
 
 
-def error_of(reply: Reply) -> ObjectApiError:
-    """Translate a final reply of the core that serves nothing."""
+def error_from_reply(reply: Reply) -> ObjectApiError:
+    """Translate a final reply of the core other than ``Served``."""
     if isinstance(reply, InvalidRequest):
         return ObjectApiError(400, "InvalidRequest", reply.reason)
     retry_after_ns = reply.retry_after_ns if isinstance(reply, Shed) else 0
--- a/runloft/listeners/objects/exchange.py
+++ b/runloft/listeners/objects/exchange.py
@@ -13,7 +13,7 @@
 
 
 class Exchange:
-    """The sink of one request; ``event`` is set at the response's start or the final reply."""
+    """The sink of one request; ``event`` is set by the start of the response and by the final reply."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.event = anyio.Event()
@@ -23,18 +23,18 @@
         self._sock = sock
 
     def begin(self, value: object, node: str, shard: int) -> None:
-        """Take the start of a streamed response."""
+        """Record the streamed response once its head has arrived."""
         assert isinstance(value, ResponseStream)
         self.stream = value
         self.shard = shard
         self.event.set()
 
     def has_disconnected(self) -> bool:
-        """Return whether the client ended its sending, even if some input is still to be read."""
+        """Return whether the client has disconnected, even if input is still unread."""
         return self._sock.fileno() < 0 or has_half_closed(self._sock)
 
     def answer(self, reply: Reply) -> None:
-        """Take the final reply."""
+        """Record the final reply."""
         INVARIANTS.check_response(self.reply is not None, listener="objects")
         self.reply = reply
         if isinstance(reply, Served):
--- a/runloft/listeners/objects/listener.py
+++ b/runloft/listeners/objects/listener.py
@@ -1,4 +1,4 @@
-"""The object API's listener: it accepts connections and holds what they share."""
+"""The object API's listener: accepts connections and holds what they share."""
 
 import contextlib
 import socket
@@ -21,7 +21,7 @@
 
 
 class ObjectListener(ListenerBase[ObjectClient]):
-    """The listener of the object API; the shared store belongs to the caller."""
+    """The listener of the object API; the caller owns the shared store."""
 
     def __init__(
         self,
@@ -33,19 +33,19 @@
         settings: ObjectSettings,
         store: PlacementStore,
     ) -> None:
-        self.bodies = MemoryBudget(0)
-        self.places = PlacementDirectory(store)
+        self.body_budget = MemoryBudget(0)
+        self.placements = PlacementDirectory(store)
         self.translator = RequestTranslator(config, settings)
         self.max_body_bytes = settings.max_body
         super().__init__(task_group, post, timers, clock, config)
 
     def configure(self, config: Config) -> None:
-        """Apply the volumes, classes and limits of this configuration from now on."""
+        """Apply the volumes, classes and limits of this configuration."""
         super().configure(config)
         if config.objects:
             self.translator = RequestTranslator(config, config.objects)
             self.max_body_bytes = config.objects.max_body
-            self.bodies.resize(max(config.spare_bytes // BODY_MEMORY_DIVISOR, config.objects.max_body))
+            self.body_budget.resize(max(config.spare_bytes // BODY_MEMORY_DIVISOR, config.objects.max_body))
 
     def new_client(self, sock: socket.socket) -> ObjectClient:
         """Return the connection that serves an accepted socket."""
@@ -56,8 +56,9 @@
         self.clients.discard(client)
 
     def eviction_candidates(self) -> list[ObjectClient]:
-        """Return the connections between requests, those that never sent one first."""
-        # Prevents the loss of requests on their way, and of last responses: a reset would discard either.
+        """Return the idle connections: lingering first, then those that never sent a request."""
+        # A request or the last response may still be in flight on a recently active connection; a reset would
+        # discard it.
         active_since = self.clock() - RECENT_ACTIVITY_NS
         idle = [
             client
@@ -70,11 +71,11 @@
         )
 
     def within(self, seconds: float) -> contextlib.AbstractContextManager[None]:
-        """Raise TimeoutError when what is inside takes longer."""
+        """Raise TimeoutError if the body of the ``with`` statement takes longer."""
         return within(self.timers, self.clock, seconds)
 
     def stop(self, last: bool = False) -> None:
-        """Close clients between requests; one with a request closes after its response."""
+        """Close idle clients now, and the others after their response."""
         self.stopping = True
         for client in list(self.clients):
             client.close_if_idle()
--- a/runloft/listeners/objects/operations.py
+++ b/runloft/listeners/objects/operations.py
@@ -1,4 +1,4 @@
-"""The operations of the object API, as a request's method and target name them."""
+"""The operations of the object API, and their parsing from a request's method and target."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class OperationKind(StrEnum):
-    """What is done to an object or an upload; the values are the names in the settings."""
+    """The kind of an operation on an object or an upload; the values are the names in the settings."""
 
     GET = "get"
     HEAD = "head"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """What a request asks for."""
+    """An operation that a client requests."""
 
     kind: OperationKind
     volume: str
@@ -52,12 +52,12 @@
 
     @property
     def has_body(self) -> bool:
-        """Return whether the request's body matters; it writes then."""
+        """Return whether the operation has a request body; such operations are writes."""
         return self.kind in KINDS_WITH_BODY
 
 
 def parse_operation(method: bytes, target: bytes) -> Operation:
-    """Return the operation that a request's method and target name; raise ObjectApiError."""
+    """Return the operation of a request; raise ObjectApiError if the method or target is invalid."""
     try:
         url = urlsplit(target.decode("ascii", "replace"))
     except ValueError:
@@ -101,7 +101,7 @@
 
 
 def _part_number(kind: OperationKind, query: dict[str, str]) -> int:
-    """Return the part's number, 0 for an operation without one."""
+    """Return the part number, 0 for an operation without one."""
     if kind is OperationKind.PUT and "partNumber" in query:
         raise ObjectApiError(400, "InvalidArgument", "a part needs its uploadId")
     if kind is not OperationKind.UPLOAD_PART:
--- a/runloft/listeners/objects/placement.py
+++ b/runloft/listeners/objects/placement.py
@@ -1,4 +1,4 @@
-"""Where objects and uploads lie: looked up in the shared store, and recorded there after a node has acted."""
+"""Placements of objects and uploads: looked up in the shared store, and recorded after a node has acted."""
 
 from runloft.listeners.objects.errors import NothingToDeleteError, ObjectApiError
 from runloft.listeners.objects.operations import Operation, OperationKind
@@ -7,30 +7,31 @@
 
 
 class PlacementDirectory:
-    """Placements by operation; the store belongs to the caller. Methods raise StoreUnavailableError."""
+    """Placements by operation; the caller owns the store. Methods raise StoreUnavailableError."""
 
     def __init__(self, store: PlacementStore) -> None:
         self.store = store
 
     async def find(self, operation: Operation) -> Placement | None:
-        """Return where the operation's object or upload lies, None if it is to be placed.
+        """Return the placement of the operation's object or upload, None if it has none yet.
 
-        Raise ObjectApiError if it has to exist and does not, NothingToDeleteError if it need not.
+        Raise ObjectApiError if the operation needs an existing one, NothingToDeleteError if an unknown object
+        is to be deleted.
         """
         if operation.upload_id:
-            place = await self.store.get(self._upload_key(operation))
-            if place is None:
+            placement = await self.store.get(self._upload_key(operation))
+            if placement is None:
                 raise ObjectApiError(404, "NoSuchUpload", "there is no such upload")
-            return place
-        place = await self.store.get(self._object_key(operation))
-        if place is None and operation.kind in (OperationKind.GET, OperationKind.HEAD):
+            return placement
+        placement = await self.store.get(self._object_key(operation))
+        if placement is None and operation.kind in (OperationKind.GET, OperationKind.HEAD):
             raise ObjectApiError(404, "NoSuchKey", "there is no such object")
-        if place is None and operation.kind is OperationKind.DELETE:
+        if placement is None and operation.kind is OperationKind.DELETE:
             raise NothingToDeleteError
-        return place
+        return placement
 
     async def record(self, operation: Operation, stream: ResponseStream, shard: int, body_size: int) -> None:
-        """Bring the store in step with what a node has done, as the start of its response tells."""
+        """Update the store after a node has acted, as the status of its response reports."""
         if stream.status >= 300:
             return
         match operation.kind:
@@ -49,12 +50,12 @@
                 await self._record_size(operation, stream)
 
     async def _record_size(self, operation: Operation, stream: ResponseStream) -> None:
-        """Record an assembled object's size, which a response tells first; later units are right by it."""
+        """Record an assembled object's size, first known from a response; it sets later requests' units."""
         object_key = self._object_key(operation)
         length = next((value for name, value in stream.headers if name.lower() == b"content-length"), b"")
-        place = await self.store.get(object_key)
-        if length.isdigit() and place and place.size < 0:
-            await self.store.put(object_key, Placement(place.shard, int(length)))
+        placement = await self.store.get(object_key)
+        if length.isdigit() and placement and placement.size < 0:
+            await self.store.put(object_key, Placement(placement.shard, int(length)))
 
     def _object_key(self, operation: Operation) -> str:
         return self.store.object_key(operation.volume, operation.key)
--- a/runloft/listeners/objects/reading.py
+++ b/runloft/listeners/objects/reading.py
@@ -5,7 +5,7 @@
 import anyio
 import h11
 
-from runloft.listeners.connection import DISCONNECT_POLL_S, has_half_closed
+from runloft.listeners.connection import DISCONNECT_POLL_INTERVAL_S, has_half_closed
 from runloft.listeners.objects.errors import ObjectApiError
 from runloft.listeners.objects.limits import (
     BODY_TIMEOUT_S,
@@ -36,16 +36,16 @@
         self._writer = writer
         self._services = services
 
-    def unread_bytes(self) -> int:
-        """Return how many bytes have been received and are not parsed yet."""
+    def unparsed_bytes(self) -> int:
+        """Return how many bytes have been received but not parsed."""
         return len(self._protocol.trailing_data[0])
 
     async def read_head(self, is_first: bool) -> ReadEvent:
-        """Wait for a request's head; a trickle buys it no time.
+        """Wait for a request's head; bytes of an incomplete head do not extend the timeout.
 
-        Raise ObjectApiError if it is invalid or incomplete in time, TimeoutError if nothing came in time.
+        Raise ObjectApiError if it is invalid or incomplete at the timeout, TimeoutError if nothing arrived.
         """
-        if not is_first and not self.unread_bytes():
+        if not is_first and not self.unparsed_bytes():
             with self._services.within(IDLE_TIMEOUT_S):
                 await anyio.wait_readable(self._sock)
         try:
@@ -54,13 +54,13 @@
             status = error.error_status_hint
             raise ObjectApiError(status, "InvalidRequest", str(error), closes=True) from None
         except TimeoutError:
-            if not self.unread_bytes():
+            if not self.unparsed_bytes():
                 raise
             message = "the head was not whole in time"
             raise ObjectApiError(408, "RequestTimeout", message, closes=True) from None
 
     async def read_body(self, length: int) -> bytes:
-        """Return the body of this length in bytes; raise ObjectApiError if it has another."""
+        """Return the body; raise ObjectApiError if it is not ``length`` bytes long."""
         body = bytearray()
         while True:
             try:
@@ -75,7 +75,7 @@
                 raise ObjectApiError(400, "IncompleteBody", "the body is not whole", closes=True)
 
     async def discard_body(self) -> None:
-        """Read a small body of a request that is answered early, so that the connection goes on."""
+        """Read the small body of a request that is answered early, so that the connection can be reused."""
         if self._protocol.they_are_waiting_for_100_continue:
             return
         discarded = 0
@@ -86,7 +86,7 @@
             discarded += len(event.data)
 
     async def wait_for_disconnect(self) -> None:
-        """Read ahead while a request is out, and return once the client has disconnected."""
+        """Read ahead while a request is being served, and return once the client has disconnected."""
         received = 0
         try:
             while received < MAX_READ_AHEAD_BYTES:
@@ -100,8 +100,8 @@
                 self._protocol.receive_data(data)
                 received += len(data)
             while received >= MAX_READ_AHEAD_BYTES and not has_half_closed(self._sock):
-                # Prevents requests from being forwarded whose client is read no further, and leaves.
-                await pause(self._services.timers, self._services.clock, DISCONNECT_POLL_S)
+                # At the limit nothing more is read, so only polling detects that the client has disconnected.
+                await pause(self._services.timers, self._services.clock, DISCONNECT_POLL_INTERVAL_S)
         except (OSError, h11.ProtocolError, anyio.ClosedResourceError):
             pass
 
--- a/runloft/listeners/objects/services.py
+++ b/runloft/listeners/objects/services.py
@@ -1,4 +1,4 @@
-"""What a connection of the object API uses of its listener."""
+"""The listener's interface for the connections of the object API."""
 
 import contextlib
 from collections.abc import Callable
@@ -14,19 +14,19 @@
 
 
 class ListenerServices(Protocol):
-    """The listener, as its connections see it."""
+    """The listener's attributes and methods that its connections use."""
 
     post: Callable[[Event], None]
     timers: TimerQueue
     clock: Clock
     stopping: bool
-    bodies: MemoryBudget
+    body_budget: MemoryBudget
     max_body_bytes: int
     translator: RequestTranslator
-    places: PlacementDirectory
+    placements: PlacementDirectory
 
     def within(self, seconds: float) -> contextlib.AbstractContextManager[None]:
-        """Raise TimeoutError when what is inside takes longer."""
+        """Raise TimeoutError if the body of the ``with`` statement takes longer."""
 
     def forget(self, client: ClientConnection) -> None:
         """Remove a closed connection."""
--- a/runloft/listeners/objects/translation.py
+++ b/runloft/listeners/objects/translation.py
@@ -1,4 +1,4 @@
-"""Translation of an operation on an object into the ``RequestSpec`` that the core schedules."""
+"""Translation of the object API's operations into the ``RequestSpec`` that the core schedules."""
 
 import math
 import zlib
@@ -38,16 +38,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ByteRange:
-    """The range header to forward, None for the complete object, and how many bytes it may bring."""
+    """The range header to forward, None for the complete object; the body's size, negative if unknown."""
 
     header: bytes | None
     size: int
 
 
 def parse_range(text: bytes | None, object_size: int) -> ByteRange:
-    """Return the one range that a header names; ``object_size`` is -1 if it is unknown.
+    """Return the byte range of a header; ``object_size`` is -1 if it is unknown.
 
-    Several ranges, or none that is understood, stand for the complete object.
+    Without a header, and for several ranges or an invalid one, it is the complete object.
     """
     unit, separator, spec = (text or b"").strip().partition(b"=")
     first, dash, last = spec.strip().partition(b"-")
@@ -64,7 +64,7 @@
 
 
 def _are_positions(first: bytes, last: bytes) -> bool:
-    """Return whether at least one of the texts is a position, and both are in order."""
+    """Return whether the texts form a valid interval, in which one end may be missing."""
     positions = [text for text in (first, last) if text]
     if not positions or not all(text.isdigit() and len(text) <= MAX_POSITION_DIGITS for text in positions):
         return False
@@ -72,19 +72,19 @@
 
 
 class RequestTranslator:
-    """Describes operations to the core, by the classes and volumes of a configuration."""
+    """Translates operations, with the classes and volumes of a configuration."""
 
     def __init__(self, config: Config, objects: ObjectSettings) -> None:
         self._settings = config.settings
         self._objects = objects
 
     def check_volume(self, operation: Operation) -> None:
-        """Raise ObjectApiError unless the operation's volume is one of the configuration's."""
+        """Raise ObjectApiError if the operation's volume is not configured."""
         if operation.volume not in self._objects.volumes:
             raise ObjectApiError(404, "NoSuchBucket", "there is no such volume")
 
     def volume_of(self, operation: Operation) -> VolumeSettings:
-        """Return the settings of the operation's volume, which has to be known."""
+        """Return the settings of the operation's volume, which has to be configured."""
         return self._objects.volumes[operation.volume]
 
     def translate(
@@ -93,10 +93,10 @@
         headers: Headers,
         body: bytes,
         volume: VolumeSettings,
-        place: Placement | None,
+        placement: Placement | None,
     ) -> RequestSpec:
-        """Return the request for the shard that holds the object, for any shard without a ``place``."""
-        byte_range = parse_range(headers.get(b"range"), place.size if place else -1)
+        """Return the request for the shard of ``placement``, or for any shard without one."""
+        byte_range = parse_range(headers.get(b"range"), placement.size if placement else -1)
         is_get = operation.kind is OperationKind.GET
         transfer_bytes = max(0, byte_range.size) if is_get else len(body)
         request_class = self._objects.classes[operation.kind]
@@ -106,7 +106,7 @@
             volume=volume.id,
             units=self._units(transfer_bytes),
             time_left_ns=self._timeout_ns(headers, request_class),
-            shard=place.shard if place else None,
+            shard=placement.shard if placement else None,
             payload=HttpPayload(
                 METHODS[operation.kind],
                 target_of(operation).encode("ascii"),
@@ -135,7 +135,7 @@
 
 
 def target_of(operation: Operation) -> str:
-    """Return the target under which a storage node's object server knows the operation."""
+    """Return the request target of the operation at a storage node's object server."""
     path = f"/volumes/{quote(operation.volume, safe='')}/objects/{quote(operation.key)}"
     if operation.kind is OperationKind.CREATE_UPLOAD:
         return f"{path}?uploads&uploadId={operation.upload_id}"
--- a/runloft/listeners/objects/writing.py
+++ b/runloft/listeners/objects/writing.py
@@ -19,13 +19,13 @@
 
 
 def error_document(error: ObjectApiError) -> str:
-    """Return S3's document of an error."""
+    """Return S3's XML document for an error."""
     message = escape(error.message)
     return f"{XML_DECLARATION}<Error><Code>{error.code}</Code><Message>{message}</Message></Error>"
 
 
-def created_document(operation: Operation) -> str:
-    """Return S3's document of an upload that was created."""
+def upload_created_document(operation: Operation) -> str:
+    """Return S3's XML document for a created upload."""
     return (
         f"{XML_DECLARATION}<InitiateMultipartUploadResult>"
         f"<Bucket>{escape(operation.volume)}</Bucket><Key>{escape(operation.key)}</Key>"
@@ -34,7 +34,7 @@
 
 
 class ResponseWriter:
-    """Writes responses to a connection, which owns the socket."""
+    """Writes responses to a connection's socket, which it does not own."""
 
     def __init__(
         self, connection: ClientConnection, protocol: h11.Connection, services: ListenerServices
@@ -45,7 +45,7 @@
         self._services = services
 
     async def write(self, event: h11.Event) -> None:
-        """Write an event; raise TimeoutError if the client does not take it in time."""
+        """Write an event; raise TimeoutError if the client does not read it in time."""
         sock = self._connection.sock
         chunks = self._protocol.send_with_data_passthrough(event) or []
         buffers = [memoryview(chunk) for chunk in chunks if chunk]
@@ -62,7 +62,7 @@
                     buffers[0] = buffers[0][written:]
 
     async def write_no_content(self) -> None:
-        """Write a response of status 204."""
+        """Write a response with status 204."""
         await self.write(h11.Response(status_code=204, headers=[]))
         await self.write(h11.EndOfMessage())
 
@@ -74,7 +74,7 @@
     async def write_document(
         self, status: int, text: str, retry_after_ns: int = 0, closes: bool = False
     ) -> None:
-        """Write a complete response, and linger if the request was not read to its end."""
+        """Write a complete response, and linger if the request has not been read completely."""
         body = text.encode()
         headers = [("Content-Type", "application/xml"), ("Content-Length", str(len(body)))]
         if retry_after_ns:
@@ -89,7 +89,10 @@
             await self.linger()
 
     async def linger(self) -> None:
-        """Read and drop further input for a moment: a close would reset the response away."""
+        """Shut down the sending side, then read and drop input for a limited time.
+
+        Closing with unread input would reset the connection, which discards responses that are in flight.
+        """
         self._connection.lingering = True
         sock = self._connection.sock
         sock.shutdown(socket.SHUT_WR)
--- a/runloft/listeners/resp/__init__.py
+++ b/runloft/listeners/resp/__init__.py
@@ -1,4 +1,4 @@
-"""The RESP2 listener: commands of clients become requests, replies go out in the commands' order."""
+"""The RESP2 listener: translates commands into requests and writes the replies in command order."""
 
 from runloft.listeners.resp.listener import RespListener
 
--- a/runloft/listeners/resp/commands.py
+++ b/runloft/listeners/resp/commands.py
@@ -1,4 +1,4 @@
-"""Translation of the commands IO.IN and IO.OUT into ``RequestSpec``; a command that deviates is rejected."""
+"""Translation of the commands IO.IN and IO.OUT into ``RequestSpec``; invalid commands are rejected."""
 
 import re
 
@@ -6,24 +6,24 @@
 from runloft.core.model import RequestSpec
 from runloft.upstream.payloads import RespPayload
 
-MAX_SHARD = 65_535  # as on the simulator's wire
-TRAVEL_ALLOWANCE_NS = 25_000_000  # taken off a client's time, for network delays that nobody reports
+MAX_SHARD = 65_535  # limit of the simulator's wire format
+NETWORK_DELAY_ALLOWANCE_NS = 25_000_000  # subtracted from a client's timeout: no message reports the delays
 MIN_REMAINING_TIME_NS = 1_000_000
 HEX = re.compile(rb"[0-9a-fA-F]{16}")
-# ``float`` and ``int`` take signs, blanks, underscores and words; a number here is digits alone.
+# Only digits: ``float`` and ``int`` would also accept signs, spaces, underscores, ``nan`` and ``inf``.
 NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 SHARD = re.compile(rb"-1|[0-9]{1,5}")
-POSITIVE_NUMBERS = (b"d", b"units", b"hosts")
-REQUIRED = frozenset((b"c", b"t", b"d", b"volume", b"units", b"shard", b"hosts"))
-ALLOWED = REQUIRED | {b"r", b"k"}
+POSITIVE_NUMBER_ATTRIBUTES = (b"d", b"units", b"hosts")
+REQUIRED_ATTRIBUTES = frozenset((b"c", b"t", b"d", b"volume", b"units", b"shard", b"hosts"))
+ALLOWED_ATTRIBUTES = REQUIRED_ATTRIBUTES | {b"r", b"k"}
 
 
 class BadCommandError(ValueError):
-    """A command that can't be served; the connection goes on."""
+    """An invalid command; the connection stays open."""
 
 
 class CommandTranslator:
-    """Translates commands into requests, by the names in a configuration's settings."""
+    """Translates commands into requests, with the class and plan names of a configuration."""
 
     def __init__(self, config: Config) -> None:
         self._classes = {name.encode(): index for index, name in enumerate(config.class_names)}
@@ -32,7 +32,7 @@
         self._distinguishes_writes = any(request_class.writes for request_class in config.settings.classes)
 
     def translate(self, words: list[bytes], waited_ns: int = 0) -> RequestSpec:
-        """Return the request of a command that arrived ``waited_ns`` ago; raise BadCommandError."""
+        """Translate a command that arrived ``waited_ns`` ago; raise BadCommandError if it is invalid."""
         is_write = words[0].upper() == b"IO.OUT"
         _check_words(words, is_write)
         attributes = _parse_attributes(words[3])
@@ -53,9 +53,9 @@
             plan=plan,
             volume=int(attributes[b"volume"], 16),
             units=units,
-            # Prevents responses at the last moment: the client counts from when it sent, and waits for
-            # the response's last byte.
-            time_left_ns=max(timeout_ns - TRAVEL_ALLOWANCE_NS - waited_ns, MIN_REMAINING_TIME_NS),
+            # The client's timeout runs from when it sent the command until it has received the response's
+            # last byte, so an allowance for both network delays is subtracted.
+            time_left_ns=max(timeout_ns - NETWORK_DELAY_ALLOWANCE_NS - waited_ns, MIN_REMAINING_TIME_NS),
             shard=shard if shard >= 0 else None,
             payload=_payload(words),
             key=int(words[1], 16),
@@ -72,7 +72,7 @@
         return units
 
     def _timeout_ns(self, milliseconds: bytes, request_class: int) -> int:
-        """Return the client's time: a client that names more than its class's time may not be so patient."""
+        """Return the client's timeout, at most twice its class's deadline: it may give up earlier."""
         return min(
             int(float(milliseconds) * 1_000_000), 2 * self._settings.classes[request_class].deadline_ns
         )
@@ -89,18 +89,18 @@
     attributes: dict[bytes, bytes] = {}
     for item in text.split(b","):
         name, separator, value = item.partition(b"=")
-        if not separator or name not in ALLOWED:
+        if not separator or name not in ALLOWED_ATTRIBUTES:
             raise BadCommandError("attributes are known names and values")
         if name in attributes:
             raise BadCommandError("a name stands twice")
         attributes[name] = value
-    if not attributes.keys() >= REQUIRED:
+    if not attributes.keys() >= REQUIRED_ATTRIBUTES:
         raise BadCommandError("a name is missing")
     return attributes
 
 
 def _check_numbers(attributes: dict[bytes, bytes]) -> None:
-    for name in POSITIVE_NUMBERS:
+    for name in POSITIVE_NUMBER_ATTRIBUTES:
         if not NUMBER.fullmatch(attributes[name]) or not float(attributes[name]):
             raise BadCommandError(f"{name.decode()} takes a positive number")
     if not HEX.fullmatch(attributes[b"volume"]):
@@ -108,14 +108,14 @@
 
 
 def _parse_shard(text: bytes) -> int:
-    """Return the shard, -1 for any."""
+    """Return the shard; -1 means any shard."""
     if not SHARD.fullmatch(text) or (shard := int(text)) > MAX_SHARD:
         raise BadCommandError("shard out of range")
     return shard
 
 
 def _payload(words: list[bytes]) -> RespPayload:
-    """Return what is forwarded: the time left, the attribute ``d``, is set anew for each attempt."""
+    """Return the payload to forward, split around the value of ``d``: each attempt sets its own time left."""
     attributes = words[3]
     start = 0 if attributes.startswith(b"d=") else attributes.index(b",d=") + 1
     end = attributes.find(b",", start)
--- a/runloft/listeners/resp/connection.py
+++ b/runloft/listeners/resp/connection.py
@@ -1,4 +1,4 @@
-"""A RESP2 connection at work: it reads commands, answers the trivial ones and posts the requests."""
+"""A RESP2 connection: reads commands, answers those that need no node and posts requests to the core."""
 
 import socket
 from collections.abc import Iterator
@@ -11,12 +11,12 @@
 from runloft.core.model import RequestReceived
 from runloft.core.permissions import CloseReason
 from runloft.core.trace import trace
-from runloft.listeners.connection import FREE_ERRORS, LINGER_BYTES, slowdown_s
+from runloft.listeners.connection import ERRORS_BEFORE_SLOWDOWN, LINGER_BYTES, slowdown_s
 from runloft.listeners.resp.commands import BadCommandError
 from runloft.listeners.resp.lifetime import ClientLifetime
 from runloft.listeners.resp.limits import (
     COMMAND_BURST,
-    DRAIN_POLL_S,
+    DRAIN_POLL_INTERVAL_S,
     LINGER_NS,
     MAX_ERRORS,
     MAX_PIPELINED,
@@ -27,14 +27,14 @@
 from runloft.net.timing import pause
 
 REQUEST_COMMANDS = (b"IO.IN", b"IO.OUT")
-ACKNOWLEDGED_COMMANDS = (b"CLIENT", b"SELECT")  # accepted for clients that send them, without effect
+ACKNOWLEDGED_COMMANDS = (b"CLIENT", b"SELECT")  # answered with OK, without effect: client libraries send them
 
 
 class RespClient(ClientLifetime):
-    """One client connection of the platform's protocol."""
+    """A client connection of the platform's protocol."""
 
     async def run(self) -> None:
-        """Serve commands until the client leaves, its framing is lost or it does not keep its times."""
+        """Serve commands until the client disconnects, breaks the protocol or exceeds a timeout."""
         try:
             with self.reading_scope:
                 await self._serve_commands()
@@ -48,14 +48,14 @@
         while not self.closed and not self.is_closing:
             if not self.has_space():
                 self.space_event = anyio.Event()
-                with self._unread():
+                with self._reading_paused():
                     await self.space_event.wait()
             elif self._process_commands():
-                if self.has_disconnected():  # it sent much and left: the rest of it is not begun
+                if self.has_disconnected():  # do not start its remaining commands
                     return
-                # Prevents a flood on one connection from delaying the other clients.
+                # Yield, so that a flood on one connection does not delay other clients.
                 seconds = slowdown_s(self.errors)
-                await (self._pause_unread(seconds) if seconds else anyio.sleep(0))
+                await (self._pause_reading(seconds) if seconds else anyio.sleep(0))
             elif not self.is_closing and not await self._receive():
                 return
 
@@ -68,11 +68,11 @@
                 self.reader.shrink()
                 await anyio.wait_readable(self.sock)
                 continue
-            self.listener.relieve_input_memory()
+            self.listener.enforce_input_memory_limit()
             return received > 0
 
     def _process_commands(self) -> bool:
-        """Process some commands; return whether more complete ones may be in the buffer."""
+        """Process up to ``COMMAND_BURST`` commands; return whether the buffer may hold more complete ones."""
         reader = self.reader
         processed = 0
         while processed < COMMAND_BURST and len(self.pipeline) < MAX_PIPELINED and not self.is_closing:
@@ -82,9 +82,9 @@
                 self.fail(str(error))
                 return False
             if words is None:
-                self._note_incomplete_command()
+                self._record_incomplete_command()
                 return False
-            reader.partial_since = None
+            reader.incomplete_since = None
             processed += 1
             self.last_activity_at = self.listener.clock()
             self.has_sent_command = True
@@ -93,16 +93,18 @@
                 self._execute(words, arrived_at)
         return not self.is_closing
 
-    def _note_incomplete_command(self) -> None:
-        """Record since when a command is incomplete; what trickles in later does not reset it."""
+    def _record_incomplete_command(self) -> None:
+        """Record since when a command is incomplete; bytes that arrive later do not reset the time."""
         reader = self.reader
-        if not reader.unread_bytes():
-            reader.partial_since = None
-        elif reader.partial_since is None:
-            reader.partial_since = self.listener.clock() if self.has_sent_command else self.last_activity_at
+        if not reader.unparsed_bytes():
+            reader.incomplete_since = None
+        elif reader.incomplete_since is None:
+            reader.incomplete_since = (
+                self.listener.clock() if self.has_sent_command else self.last_activity_at
+            )
 
     def _execute(self, words: list[bytes], arrived_at: int) -> None:
-        response = self.pipeline.open()
+        response = self.pipeline.add_response()
         name = words[0].upper()
         if name in REQUEST_COMMANDS:
             self._post_request(response, words, arrived_at)
@@ -125,7 +127,7 @@
             return
         if trace.enabled:
             trace("command", client=self.number, id=request.id)
-        self.errors = min(self.errors, FREE_ERRORS)
+        self.errors = min(self.errors, ERRORS_BEFORE_SLOWDOWN)
         self.listener.post(RequestReceived(response, request))
 
     def _reject(self, response: PipelinedResponse, reason: str) -> None:
@@ -134,45 +136,48 @@
         if self.errors > MAX_ERRORS:
             self.fail("too many errors")
 
-    async def _pause_unread(self, seconds: float) -> None:
-        with self._unread():
+    async def _pause_reading(self, seconds: float) -> None:
+        with self._reading_paused():
             await pause(self.listener.timers, self.listener.clock, seconds)
 
     @contextmanager
-    def _unread(self) -> Iterator[None]:
-        """Have the listener watch for a disconnect while nothing is read.
+    def _reading_paused(self) -> Iterator[None]:
+        """Have the listener poll for a disconnect while input is not read.
 
-        Prevents requests from being forwarded whose client has left unseen.
+        Otherwise requests of a client that has disconnected would still be forwarded.
         """
-        self.listener.watch_unread(self)
+        self.listener.watch_paused(self)
         try:
             yield
         finally:
             self.listener.unwatch(self)
 
     async def _linger(self) -> None:
-        """Drop further input until the client has had its responses: a close would reset them away."""
+        """Wait for the client to read its responses before the connection is closed.
+
+        Closing with unread input would reset the connection, which discards responses that are in flight.
+        """
         while not self.closed and (self.pipeline or self.writer.outbox.size):
-            await self._pause_unread(DRAIN_POLL_S)
+            await self._pause_reading(DRAIN_POLL_INTERVAL_S)
         if self.closed:
             return
         self.lingering = True
         self.sock.shutdown(socket.SHUT_WR)
         linger_ns = SHUTDOWN_LINGER_NS if self.listener.stopping else LINGER_NS
         if self.close_reason not in permissions.CAUSED_BY_CLIENT:
-            # What comes now is not read: its client sends it again elsewhere.
-            await self._pause_unread(linger_ns / 1e9)
+            # Further input stays unread: the client retries it on another connection.
+            await self._pause_reading(linger_ns / 1e9)
             return
         close = partial(self.close, self.close_reason)
         timer = self.listener.timers.add(self.listener.clock() + linger_ns, close)
         try:
             if await self._drop_input():
-                await self._pause_unread(LINGER_NS / 1e9)
+                await self._pause_reading(LINGER_NS / 1e9)
         finally:
             self.listener.timers.discard(timer)
 
     async def _drop_input(self) -> bool:
-        """Read and drop a limited amount; return False if the stream's end came first."""
+        """Read and drop up to ``LINGER_BYTES``; return False if the stream ended before that."""
         remaining = LINGER_BYTES
         while remaining > 0:
             try:
--- a/runloft/listeners/resp/lifetime.py
+++ b/runloft/listeners/resp/lifetime.py
@@ -1,8 +1,9 @@
-"""The lifetime of a RESP2 connection: its states, its timeouts, and how it is closed without losing anything.
+"""The lifetime of a RESP2 connection: its states, its timeouts, and closing without losing data.
 
-States, in order: open; closing (``is_closing``: no further command is read, the responses that are owed are
-written); lingering (``lingering``: all is written and the sending side is shut, input is dropped for a
-moment); closed (``closed``). A connection that the client broke or left goes to closed at once.
+States, in order: open; closing (``is_closing``: no further command is read, the pending responses are
+written); lingering (``lingering``: all responses are written and the sending side is shut down, further input
+is dropped for a limited time); closed (``closed``). If the connection breaks or the client disconnects, it is
+closed at once.
 """
 
 import socket
@@ -27,7 +28,7 @@
     MAX_PIPELINED,
     MAX_UNWRITTEN_BYTES,
     PRESSURE_IDLE_TIMEOUT_NS,
-    RECHECK_NS,
+    RECHECK_INTERVAL_NS,
     WRITE_STALL_TIMEOUT_NS,
 )
 from runloft.listeners.resp.pipelining import BUSY, ResponsePipeline
@@ -38,7 +39,7 @@
 
 
 class ClientOwner(Protocol):
-    """What a connection uses of its listener."""
+    """The listener's interface for its connections."""
 
     task_group: anyio.abc.TaskGroup
     post: Callable[[Event], None]
@@ -47,29 +48,29 @@
     translator: CommandTranslator
     input_memory: InputMemory
     stopping: bool
-    backlog_waits: bool
+    has_backlog: bool
 
     def is_under_connection_pressure(self) -> bool:
-        """Return whether there are so many connections that idle ones are closed sooner."""
+        """Return whether idle connections are closed after a shorter timeout, as there are many clients."""
 
-    def relieve_input_memory(self) -> None:
-        """Close connections with incomplete commands while these take too much memory."""
+    def enforce_input_memory_limit(self) -> None:
+        """Fail incomplete commands while input buffers exceed their memory limit."""
 
-    def relieve_output_memory(self) -> None:
-        """Close connections that do not read while their responses take too much memory."""
+    def enforce_output_memory_limit(self) -> None:
+        """Close clients while unwritten responses exceed their memory limit."""
 
-    def watch_unread(self, client: "ClientLifetime") -> None:
-        """Look from time to time whether a client that is not read has disconnected."""
+    def watch_paused(self, client: "ClientLifetime") -> None:
+        """Poll for a disconnect of a client whose input is not being read."""
 
     def unwatch(self, client: "ClientLifetime") -> None:
-        """End the looks that ``watch_unread`` began."""
+        """Stop polling for a disconnect of this client."""
 
     def forget(self, client: "ClientLifetime") -> None:
         """Remove a closed connection."""
 
 
 class ClientLifetime(ClientConnection):
-    """A RESP2 connection's state and its ways to close; ``RespClient`` adds what it does with commands."""
+    """A RESP2 connection's state, timeouts and closing; ``RespClient`` adds the processing of commands."""
 
     _numbers = count(1)
 
@@ -77,13 +78,13 @@
         super().__init__(sock)
         self.listener = listener
         self.number = next(self._numbers)
-        # Why reading ended, unless something else closes the connection.
+        # The reason for the close at the end of ``run``, unless the connection is closed earlier.
         self.close_reason = CloseReason.CLIENT_DISCONNECTED
         self.is_closing = False
         self.errors = 0  # in a row
         self.has_sent_command = False
         self.last_activity_at = listener.clock()  # the last complete command or written response
-        self.reader = CommandReader(sock, listener.input_memory, listener.clock, listener.backlog_waits)
+        self.reader = CommandReader(sock, listener.input_memory, listener.clock, listener.has_backlog)
         self.pipeline = ResponsePipeline(self)
         self.writer = ResponseWriter(sock, listener.task_group, listener.clock, self)
         self.reading_scope = anyio.CancelScope()
@@ -101,17 +102,17 @@
         return len(self.pipeline.unanswered())
 
     def has_disconnected(self) -> bool:
-        """Return whether the client ended its sending, even if some input is unread; it is closed then."""
+        """Return whether the client has disconnected, even with input unread; close the connection if so."""
         if not self.closed and has_half_closed(self.sock):
             self.close(CloseReason.CLIENT_DISCONNECTED)
         return self.closed
 
     def has_space(self) -> bool:
-        """Return whether a further command may be processed."""
+        """Return whether another command may be processed."""
         return len(self.pipeline) < MAX_PIPELINED and self.writer.outbox.size <= MAX_UNWRITTEN_BYTES
 
     def flush(self) -> None:
-        """Write the responses whose turn has come."""
+        """Write the complete responses at the head of the pipeline."""
         if self.closed:
             return
         while (buffers := self.pipeline.pop_ready()) is not None:
@@ -119,16 +120,16 @@
         self.writer.flush()
 
     def on_write_blocked(self) -> None:
-        """Have the listener check the memory that unwritten responses take."""
-        self.listener.relieve_output_memory()
+        """Have the listener enforce its memory limit for unwritten responses."""
+        self.listener.enforce_output_memory_limit()
 
     def on_write_progress(self) -> None:
-        """Process further commands if there is space for their responses again."""
+        """Resume processing commands if there is space for their responses again."""
         if self.space_event and self.has_space():
             self.space_event.set()
 
     def on_all_written(self) -> None:
-        """Record the activity; during a shutdown close the connection."""
+        """Record the activity; during shutdown close the connection if it is idle."""
         self.last_activity_at = self.listener.clock()
         self.on_write_progress()
         if self.listener.stopping:
@@ -139,15 +140,18 @@
         self.close(CloseReason.CONNECTION_BROKEN)
 
     def may_close(self, reason: CloseReason) -> bool:
-        """Return whether the connection may be closed; input that has arrived is read first."""
+        """Return whether the connection may be closed; unread input prevents it."""
         unanswered = self.pipeline.unanswered()
-        half_read = self.reader.unread_bytes()
-        unwritten = self.writer.outbox.size + self.pipeline.pending_bytes
-        has_unread = not (unanswered or unwritten or half_read) and self.has_unread_input()
-        return permissions.permit_close(reason, unanswered, unwritten, half_read, has_unread) is None
+        incomplete_bytes = self.reader.unparsed_bytes()
+        unwritten_bytes = self.writer.outbox.size + self.pipeline.pending_bytes
+        has_unread = not (unanswered or unwritten_bytes or incomplete_bytes) and self.has_unread_input()
+        return (
+            permissions.permit_close(reason, unanswered, unwritten_bytes, incomplete_bytes, has_unread)
+            is None
+        )
 
     def close_if_idle(self, reason: CloseReason = CloseReason.SHUTDOWN) -> None:
-        """Close between requests; a request that is already here is read first."""
+        """Close the connection if it is idle and has no unread input."""
         if self.closed or self.is_closing or not self.may_close(reason):
             return
         if self.listener.clock() - self.last_activity_at >= LINGER_NS:
@@ -156,10 +160,10 @@
         self.close_after_responses(reason)
 
     def close_after_responses(self, reason: CloseReason = CloseReason.SHUTDOWN) -> None:
-        """Read nothing more, and close after the responses that are owed.
+        """Read no further commands, and close after the pending responses are written.
 
-        Prevents the loss of the last of them: a request that comes just now would turn a close into a reset,
-        which discards what the client has not read.
+        An immediate close could lose the last response: a request that arrives at that moment would turn the
+        close into a reset, which discards what the client has not read.
         """
         if not self.is_closing:
             self._refuse_unprocessed()
@@ -168,15 +172,15 @@
             self.reading_scope.cancel()
 
     def fail(self, reason: str) -> None:
-        """Report a protocol error after the responses that are owed, and close."""
+        """Write a protocol error after the pending responses, and close."""
         if not self.is_closing and not self.closed:
             self.is_closing = True
             self.close_reason = CloseReason.PROTOCOL_ERROR
             self.reading_scope.cancel()
-            self.pipeline.open().complete(b"-ERR Protocol error: %s\r\n" % reason.encode())
+            self.pipeline.add_response().complete(b"-ERR Protocol error: %s\r\n" % reason.encode())
 
     def release(self, reason: CloseReason, unanswered: int) -> None:
-        """Release timer, memory and waiters, and report the requests that nobody waits for any more."""
+        """Release the timer, memory and waiters, and report the unanswered requests as disconnected."""
         if trace.enabled:
             trace("client closed", client=self.number, reason=str(reason), unanswered=unanswered)
         self.listener.timers.discard(self._timer)
@@ -189,41 +193,41 @@
         self.pipeline.clear()
 
     def _refuse_unprocessed(self) -> None:
-        """Answer 'busy' to the complete commands that were read and not begun, so that none is unanswered."""
-        while self.reader.unread_bytes() > 0:
+        """Answer BUSY to the complete commands that were read but not processed, so that each is answered."""
+        while self.reader.unparsed_bytes() > 0:
             try:
                 words = self.reader.next_command()
             except resp2.RespError:
                 return
             if words is None:
                 return
-            self.pipeline.open().complete(BUSY)
+            self.pipeline.add_response().complete(BUSY)
 
     def _check_timeouts(self) -> None:
-        """Close a client that keeps a descriptor and asks for nothing; a trickle buys it no time."""
+        """Close a client that exceeds a timeout; bytes of an incomplete command do not extend its timeout."""
         if self.closed:
             return
         now = self.listener.clock()
-        partial_since = self.reader.partial_since
-        since = self.last_activity_at if partial_since is None else partial_since
+        incomplete_since = self.reader.incomplete_since
+        since = self.last_activity_at if incomplete_since is None else incomplete_since
         timeout_ns = self._timeout_ns()
         if self.writer.outbox.size and now - self.writer.progress_at > WRITE_STALL_TIMEOUT_NS:
             self.close(CloseReason.NOT_READING)
             return
         if not self.is_closing and now - since >= timeout_ns:
-            if partial_since is None:
+            if incomplete_since is None:
                 self.close_if_idle(CloseReason.IDLE)
             else:
                 self.fail("the command was not whole in time")
         if not self.closed:
             due = min(since + timeout_ns, now + PRESSURE_IDLE_TIMEOUT_NS)
             if due <= now:
-                due = now + RECHECK_NS
+                due = now + RECHECK_INTERVAL_NS
             self._timer = self.listener.timers.add(due, self._check_timeouts)
 
     def _timeout_ns(self) -> int:
-        """Return how long the client may take: for its command, or between requests."""
-        if not self.has_sent_command or self.reader.partial_since is not None:
+        """Return the timeout that applies now: for a command's completion, or between requests."""
+        if not self.has_sent_command or self.reader.incomplete_since is not None:
             return COMMAND_TIMEOUT_NS
         if self.listener.is_under_connection_pressure():
             return PRESSURE_IDLE_TIMEOUT_NS
--- a/runloft/listeners/resp/listener.py
+++ b/runloft/listeners/resp/listener.py
@@ -1,4 +1,4 @@
-"""The RESP2 listener: it accepts connections, watches the unread ones and bounds the memory of all."""
+"""The RESP2 listener: accepts connections, polls the paused ones and limits the memory of all."""
 
 import socket
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from runloft.core.permissions import CloseReason
 from runloft.core.timers import TimerQueue
 from runloft.listeners.accepting import RECENT_ACTIVITY_NS, ListenerBase
-from runloft.listeners.connection import DISCONNECT_POLL_NS
+from runloft.listeners.connection import DISCONNECT_POLL_INTERVAL_NS
 from runloft.listeners.resp.commands import CommandTranslator
 from runloft.listeners.resp.connection import RespClient
 from runloft.listeners.resp.lifetime import ClientLifetime
@@ -31,13 +31,13 @@
         clock: Clock,
         config: Config,
     ) -> None:
-        self.unread_clients: set[ClientLifetime] = set()  # clients that are not read for now
+        self.paused_clients: set[ClientLifetime] = set()  # clients whose input is not being read
         self.input_memory = InputMemory()
-        self._is_poll_due = False  # whether a look at the unread clients is scheduled
+        self._is_poll_scheduled = False
         super().__init__(task_group, post, timers, clock, config)
 
     def configure(self, config: Config) -> None:
-        """Apply the names and limits of this configuration from now on."""
+        """Apply the names and limits of this configuration."""
         super().configure(config)
         self.translator = CommandTranslator(config)
         self.input_memory.max_bytes = config.spare_bytes // INPUT_MEMORY_DIVISOR
@@ -50,37 +50,37 @@
     def forget(self, client: ClientLifetime) -> None:
         """Remove a closed connection."""
         self.clients.discard(client)
-        self.unread_clients.discard(client)
+        self.paused_clients.discard(client)
 
-    def watch_unread(self, client: ClientLifetime) -> None:
-        """Look from time to time whether a client that is not read has disconnected."""
-        if client.closed:  # in the same event-loop iteration in which it would have been watched
+    def watch_paused(self, client: ClientLifetime) -> None:
+        """Poll for a disconnect of a client whose input is not being read."""
+        if client.closed:  # it was closed in this event-loop iteration
             return
-        self.unread_clients.add(client)
-        if not self._is_poll_due:
+        self.paused_clients.add(client)
+        if not self._is_poll_scheduled:
             self._schedule_poll()
 
     def unwatch(self, client: ClientLifetime) -> None:
-        """End the looks that ``watch_unread`` began."""
-        self.unread_clients.discard(client)
+        """Stop polling for a disconnect of this client."""
+        self.paused_clients.discard(client)
 
-    def relieve_input_memory(self) -> None:
-        """Fail incomplete commands while they take too much memory, the longest inactive client first."""
+    def enforce_input_memory_limit(self) -> None:
+        """Fail incomplete commands, the oldest activity first, while input buffers exceed their limit."""
         while self.input_memory.is_exceeded():
             candidates = [
                 client
                 for client in self.clients
-                if client.reader.partial_since is not None and not client.is_closing
+                if client.reader.incomplete_since is not None and not client.is_closing
             ]
             if not candidates:
                 return
-            longest_inactive = min(candidates, key=lambda client: client.last_activity_at)
-            longest_inactive.fail("no room for this command")
-            if not longest_inactive.pipeline:
-                longest_inactive.close(CloseReason.PROTOCOL_ERROR)
+            least_recently_active = min(candidates, key=lambda client: client.last_activity_at)
+            least_recently_active.fail("no room for this command")
+            if not least_recently_active.pipeline:
+                least_recently_active.close(CloseReason.PROTOCOL_ERROR)
 
-    def relieve_output_memory(self) -> None:
-        """Close clients that do not read while responses take too much memory, the largest first."""
+    def enforce_output_memory_limit(self) -> None:
+        """Close clients while unwritten responses exceed their memory limit, the largest first."""
         unwritten = {
             client: client.writer.outbox.size + client.pipeline.pending_bytes for client in self.clients
         }
@@ -90,8 +90,9 @@
             largest.close(CloseReason.NOT_READING)
 
     def eviction_candidates(self) -> list[RespClient]:
-        """Return the connections whose close loses no response, the least useful first."""
-        # Prevents the loss of requests on their way, and of last responses: a reset would discard either.
+        """Return the idle connections: lingering first, then those without commands or with errors."""
+        # A request or the last response may still be in flight on a recently active connection; a reset would
+        # discard it.
         active_since = self.clock() - RECENT_ACTIVITY_NS
         idle = [
             client
@@ -109,9 +110,9 @@
         )
 
     def stop(self, last: bool = False) -> None:
-        """Close clients between requests, now and as their responses go out.
+        """Close idle clients now, and the others once their responses are written.
 
-        ``last``: read nothing more of the clients that are not idle either, and close after their responses.
+        ``last``: read no further commands, also of busy clients, and close after the pending responses.
         """
         self.stopping = True
         for client in list(self.clients):
@@ -121,20 +122,20 @@
                 client.close_if_idle()
 
     def _schedule_poll(self) -> None:
-        self._is_poll_due = True
-        self.timers.add(self.clock() + DISCONNECT_POLL_NS, self._close_disconnected)
+        self._is_poll_scheduled = True
+        self.timers.add(self.clock() + DISCONNECT_POLL_INTERVAL_NS, self._close_disconnected)
 
     def _close_disconnected(self) -> None:
-        """Close the unread clients that have disconnected, and read ahead of the others."""
-        disconnected = half_closed(client.sock for client in self.unread_clients)
-        for client in list(self.unread_clients):
+        """Close the paused clients that have disconnected, and read ahead on the others."""
+        disconnected = half_closed(client.sock for client in self.paused_clients)
+        for client in list(self.paused_clients):
             if client.sock.fileno() in disconnected or not self._read_ahead(client):
                 client.close(CloseReason.CLIENT_DISCONNECTED)
-        self._is_poll_due = False
-        if self.unread_clients:
+        self._is_poll_scheduled = False
+        if self.paused_clients:
             self._schedule_poll()
 
     @staticmethod
     def _read_ahead(client: ClientLifetime) -> bool:
-        """Read without processing; return False if the client has left. Closing clients are not read."""
+        """Read ahead unless the client is closing; return False if it has disconnected."""
         return client.is_closing or client.closed or client.reader.read_ahead()
--- a/runloft/listeners/resp/pipelining.py
+++ b/runloft/listeners/resp/pipelining.py
@@ -1,4 +1,4 @@
-"""The order of responses on a RESP2 connection: each command has its place from when it was read."""
+"""The order of responses on a RESP2 connection: each command's response is queued when it is read."""
 
 import math
 from collections import deque
@@ -13,20 +13,20 @@
 
 
 class PipelineOwner(Protocol):
-    """The connection that responses are written to."""
+    """The connection's interface for its pipeline."""
 
     number: int
     errors: int
 
     def flush(self) -> None:
-        """Write the responses whose turn has come."""
+        """Write the complete responses at the head of the pipeline."""
 
     def has_disconnected(self) -> bool:
         """Return whether the client has disconnected; the connection is closed then."""
 
 
 class PipelinedResponse:
-    """One command's place in the order of responses; the core's sink of a request."""
+    """The response to one command, in the pipeline's order; the core's sink of a request."""
 
     __slots__ = ("_owner", "_pipeline", "buffers", "is_complete")
 
@@ -37,7 +37,7 @@
         self.buffers: tuple[bytes, ...] = ()
 
     def complete(self, *buffers: bytes) -> None:
-        """Set the response; it is written once all before it are complete."""
+        """Set the response; it is written once all earlier ones are complete."""
         if self.is_complete:
             INVARIANTS.record(Violation.DUPLICATE_RESPONSE, client=self._owner.number)
             return
@@ -47,14 +47,14 @@
         self._owner.flush()
 
     def begin(self, value: object, node: str, shard: int) -> None:
-        """Ignore the start of a streamed response: this protocol's responses come complete."""
+        """Ignore the start of a streamed response: RESP2 responses are complete when they are written."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has disconnected; its connection is closed then."""
+        """Return whether the client has disconnected; the connection is closed then."""
         return self._owner.has_disconnected()
 
     def answer(self, reply: Reply) -> None:
-        """Translate the final reply and complete the response with it."""
+        """Complete the response with the translation of the final reply."""
         match reply:
             case Served(value) if isinstance(value, bytes):
                 self.complete(*resp2.encode_bulk_string(value))
@@ -70,20 +70,20 @@
 
 
 class ResponsePipeline:
-    """The responses of one connection that have not been handed to its writer, in order."""
+    """The responses of one connection that have not been passed to its writer, in order."""
 
     __slots__ = ("_owner", "_responses", "pending_bytes")
 
     def __init__(self, owner: PipelineOwner) -> None:
-        self.pending_bytes = 0  # of complete responses behind an incomplete one
+        self.pending_bytes = 0  # of complete responses that wait for an earlier one
         self._owner = owner
         self._responses: deque[PipelinedResponse] = deque()
 
     def __len__(self) -> int:
         return len(self._responses)
 
-    def open(self) -> PipelinedResponse:
-        """Return the place of the next command's response."""
+    def add_response(self) -> PipelinedResponse:
+        """Append a response for the next command and return it."""
         response = PipelinedResponse(self._owner, self)
         self._responses.append(response)
         return response
@@ -101,5 +101,5 @@
         return buffers
 
     def clear(self) -> None:
-        """Drop all responses: the connection is closed."""
+        """Drop all responses, as the connection is closed."""
         self._responses.clear()
--- a/runloft/listeners/resp/reading.py
+++ b/runloft/listeners/resp/reading.py
@@ -1,4 +1,4 @@
-"""The reading side of a RESP2 connection: from the socket to complete commands and their arrival times."""
+"""The reading side of a RESP2 connection: complete commands and their arrival times."""
 
 import socket
 
@@ -10,81 +10,83 @@
 
 
 class InputMemory:
-    """The bytes that the receive buffers of all connections of a listener take."""
+    """The memory that the receive buffers of all connections of a listener use, and its limit."""
 
     def __init__(self) -> None:
         self.used_bytes = 0
         self.max_bytes = 1 << 20
 
     def is_exceeded(self) -> bool:
-        """Return whether the buffers take more than they may."""
+        """Return whether the buffers use more than the limit."""
         return self.used_bytes > self.max_bytes
 
     def is_half_used(self) -> bool:
-        """Return whether so much is taken that nothing more is read ahead."""
+        """Return whether more than half of the limit is used, above which nothing is read ahead."""
         return self.used_bytes > self.max_bytes // 2
 
 
 class CommandReader:
     """Reads commands from a connection's socket, which it does not own.
 
-    ``accepted_late``: the first bytes may have waited in the kernel before the connection was accepted.
+    ``may_predate_accept``: the first bytes may have arrived before the connection was accepted.
     """
 
     __slots__ = (
-        "_accepted_late",
         "_accounted_bytes",
         "_arrivals",
         "_clock",
+        "_earliest_arrival_at",
+        "_may_predate_accept",
         "_memory",
         "_sock",
-        "_unread_since",
         "inbox",
-        "partial_since",
+        "incomplete_since",
     )
 
-    def __init__(self, sock: socket.socket, memory: InputMemory, clock: Clock, accepted_late: bool) -> None:
+    def __init__(
+        self, sock: socket.socket, memory: InputMemory, clock: Clock, may_predate_accept: bool
+    ) -> None:
         self.inbox = ReceiveBuffer(MAX_COMMAND_BYTES)
-        self.partial_since: int | None = None  # when the first byte of an incomplete command came
+        self.incomplete_since: int | None = None  # since when a command has been incomplete
         self._sock = sock
         self._memory = memory
         self._clock = clock
-        self._accepted_late = accepted_late
+        self._may_predate_accept = may_predate_accept
         self._arrivals = ArrivalTimes()
         self._accounted_bytes = 0
-        self._unread_since: int | None = None  # the earliest time at which the next bytes may have come
+        self._earliest_arrival_at: int | None = None  # earliest possible arrival of bytes not yet received
 
     def receive(self) -> int:
         """Read once and return the number of bytes, 0 at the end of the stream.
 
-        Raise BlockingIOError if no input is there, BufferError if a command is longer than it may be.
+        Raise BlockingIOError if there is no input, BufferError if a command is longer than the buffer may be.
         """
         try:
             count = self.inbox.receive(self._sock)
         except BlockingIOError:
-            self._unread_since = None  # what comes next comes now
-            self._accepted_late = False
+            self._earliest_arrival_at = None  # the socket is empty: later bytes arrive after this
+            self._may_predate_accept = False
             raise
-        arrived_at = self._unread_since
+        arrived_at = self._earliest_arrival_at
         if arrived_at is None:
-            arrived_at = self._clock() - (data_age_ns(self._sock) if self._accepted_late else 0)
+            arrived_at = self._clock() - (data_age_ns(self._sock) if self._may_predate_accept else 0)
         self._arrivals.add(count, arrived_at)
-        # A read that filled the buffer may have left bytes in the socket, which are as old as these.
-        self._unread_since = arrived_at if self.inbox.is_filled() else None
-        self._accepted_late = self._accepted_late and self.inbox.is_filled()
+        # If the read filled the buffer, the socket may hold more bytes that arrived as early as these.
+        self._earliest_arrival_at = arrived_at if self.inbox.is_filled() else None
+        self._may_predate_accept = self._may_predate_accept and self.inbox.is_filled()
         self._account()
         return count
 
     def read_ahead(self) -> bool:
-        """Read while no command is processed, to learn when they arrived; return False at the stream's end.
+        """Read while commands are not processed, to record arrival times; return False at the stream's end.
 
-        What does not fit stays in the socket and counts as having arrived when the space ran out.
+        Input that does not fit stays in the socket and counts as arrived when the space ran out.
         """
         try:
             while True:
                 if self.inbox.is_full() or self._memory.is_half_used():
-                    if self._unread_since is None:
-                        self._unread_since = self._clock()
+                    if self._earliest_arrival_at is None:
+                        self._earliest_arrival_at = self._clock()
                     return True
                 if not self.receive():
                     return False
@@ -94,7 +96,7 @@
             return False
 
     def next_command(self) -> list[bytes] | None:
-        """Return the words of the next complete command, None if there is none; raise RespError."""
+        """Return the words of the next complete command, or None; raise RespError on a protocol error."""
         inbox = self.inbox
         parsed = resp2.parse_command(inbox.data, inbox.start, inbox.end)
         if parsed is None:
@@ -103,25 +105,25 @@
         return words
 
     def arrival_of_last_command(self, default: int) -> int:
-        """Return when the last byte of the command that was read last arrived, in nanoseconds."""
-        return self._arrivals.of_byte_before(self.unread_bytes(), default)
+        """Return the arrival time of the last byte of the last parsed command, in nanoseconds."""
+        return self._arrivals.of_byte_before(self.unparsed_bytes(), default)
 
-    def unread_bytes(self) -> int:
-        """Return how many bytes have been received and are not parsed yet."""
+    def unparsed_bytes(self) -> int:
+        """Return how many bytes have been received but not parsed."""
         return self.inbox.end - self.inbox.start
 
     def drop_input(self) -> int:
-        """Read once and drop all that is in the buffer; return the number of bytes, 0 at the end."""
+        """Drop the buffered input and read once; return the number of bytes read, 0 at the stream's end."""
         self.inbox.start = self.inbox.end = 0
         return self.inbox.receive(self._sock)
 
     def shrink(self) -> None:
-        """Release the buffer's memory if all of it has been parsed."""
+        """Release the buffer's memory if all received bytes have been parsed."""
         self.inbox.shrink()
         self._account()
 
     def release(self) -> None:
-        """Take the buffer out of the listener's account, when the connection is closed."""
+        """Subtract the buffer from the listener's input memory, when the connection is closed."""
         self._memory.used_bytes -= self._accounted_bytes
 
     def _account(self) -> None:
--- a/runloft/listeners/resp/writing.py
+++ b/runloft/listeners/resp/writing.py
@@ -1,4 +1,4 @@
-"""The writing side of a RESP2 connection: at once where the socket takes it, else in a task of its own."""
+"""The writing side of a RESP2 connection: writes at once, or in a task if the socket would block."""
 
 import socket
 from typing import Protocol
@@ -11,19 +11,19 @@
 
 
 class WriteObserver(Protocol):
-    """The connection that is told how its writing goes."""
+    """The connection's callbacks for the progress of its writer."""
 
     def on_write_blocked(self) -> None:
-        """Act on a client that does not read as fast as it is answered."""
+        """Handle a socket that would block: the client reads more slowly than it is answered."""
 
     def on_write_progress(self) -> None:
-        """Act on bytes that the client has taken."""
+        """Handle a socket that is writable again."""
 
     def on_all_written(self) -> None:
-        """Act on there being nothing left to write."""
+        """Handle an empty send buffer."""
 
     def on_write_failed(self) -> None:
-        """Act on a broken connection."""
+        """Handle a broken connection."""
 
 
 class ResponseWriter:
@@ -35,15 +35,15 @@
         self, sock: socket.socket, task_group: anyio.abc.TaskGroup, clock: Clock, observer: WriteObserver
     ) -> None:
         self.outbox = SendBuffer()
-        self.is_waiting = False  # whether a task waits until the socket takes more
-        self.progress_at = clock()  # when the client last took a byte, or was first seen not to
+        self.is_waiting = False  # whether a task is waiting for the socket to be writable
+        self.progress_at = clock()  # when the socket last was writable or first blocked
         self._sock = sock
         self._task_group = task_group
         self._clock = clock
         self._observer = observer
 
     def flush(self) -> None:
-        """Write what the socket takes, and have a task write the rest."""
+        """Write as much as the socket accepts, and start a task that writes the rest."""
         if self.is_waiting:
             return
         try:
--- a/tests/listeners/test_object_closing.py
+++ b/tests/listeners/test_object_closing.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from runloft.listeners.connection import FREE_ERRORS
+from runloft.listeners.connection import ERRORS_BEFORE_SLOWDOWN
 from runloft.listeners.objects.limits import LINGER_S
 from tests.support.driver import MS
 from tests.support.listener_harness import (
@@ -69,8 +69,8 @@
 
     async def scenario(harness):
         sock, client = harness.connect()
-        sock.sendall(OBJECT_REQUEST.replace(b"GET", b"PATCH") * (FREE_ERRORS + 1) + OBJECT_REQUEST)
-        await harness.wait_until(lambda: client.errors > FREE_ERRORS and not client.is_serving)
+        sock.sendall(OBJECT_REQUEST.replace(b"GET", b"PATCH") * (ERRORS_BEFORE_SLOWDOWN + 1) + OBJECT_REQUEST)
+        await harness.wait_until(lambda: client.errors > ERRORS_BEFORE_SLOWDOWN and not client.is_serving)
         assert not harness.received()
         harness.listener.stop()
         await harness.wait_until(lambda: harness.advance(10) or harness.received())
--- a/tests/listeners/test_resp_closing.py
+++ b/tests/listeners/test_resp_closing.py
@@ -32,12 +32,12 @@
         while len(harness.received()) < open_count:
             await anyio.sleep(0.001)
             harness.advance(0.1)
-        await harness.wait_until(lambda: harness.listener.unread_clients)
+        await harness.wait_until(lambda: harness.listener.paused_clients)
         sock.close()
         for _ in range(9):  # within 0.1 s of the client's own time
             harness.advance(10)
         assert set(harness.disconnected()) == set(harness.received()) and not harness.listener.clients
-        assert not harness.listener.unread_clients
+        assert not harness.listener.paused_clients
 
     run_with_listener(RespHarness, scenario)
 
@@ -52,7 +52,7 @@
         await harness.wait_until(lambda: not harness.listener.clients)
         await anyio.wait_all_tasks_blocked()
         harness.advance(50)
-        assert not harness.listener.unread_clients
+        assert not harness.listener.paused_clients
 
     run_with_listener(RespHarness, scenario)
 
@@ -195,7 +195,7 @@
         sock.sendall(
             read_command(0) + b"".join(b"*2\r\n$4\r\nPING\r\n$3\r\n%03d\r\n" % n for n in range(many))
         )
-        await harness.wait_until(lambda: harness.listener.unread_clients)  # its pipeline is full
+        await harness.wait_until(lambda: harness.listener.paused_clients)  # its pipeline is full
         harness.received()[0].answer(Served(b"ok"))
         wanted = OK + b"".join(b"$3\r\n%03d\r\n" % n for n in range(many))
         got = b""
@@ -235,7 +235,7 @@
         await harness.wait_until(lambda: harness.advance(50) or not harness.listener.clients)
         harness.advance(5000)
         assert (
-            not harness.listener.unread_clients
+            not harness.listener.paused_clients
             and not harness.listener.input_memory.used_bytes
             and not len(harness.timers)
         )
--- a/tests/listeners/test_resp_commands.py
+++ b/tests/listeners/test_resp_commands.py
@@ -3,7 +3,7 @@
 import pytest
 
 from runloft.config.platform_config import config_from_json
-from runloft.listeners.resp.commands import TRAVEL_ALLOWANCE_NS, BadCommandError, CommandTranslator
+from runloft.listeners.resp.commands import NETWORK_DELAY_ALLOWANCE_NS, BadCommandError, CommandTranslator
 from tests.support.driver import MS
 from tests.support.standins import config
 
@@ -19,7 +19,7 @@
 def test_a_command_is_translated_field_by_field():
     got = translate(GOOD + b",r=1")
     assert (got.volume, got.units, got.shard, got.volume_hosts) == (0x3B4D60021, 2.0, 5, 3.0)
-    assert got.time_left_ns == 480 * MS - TRAVEL_ALLOWANCE_NS and got.is_client_retry and got.id == ID
+    assert got.time_left_ns == 480 * MS - NETWORK_DELAY_ALLOWANCE_NS and got.is_client_retry and got.id == ID
     assert b"".join(got.payload.encode_attempt(7 * MS)).count(b"d=7,volume=00000003b4d60021") == 1
     assert translate(GOOD.replace(b"shard=5", b"shard=-1")).shard is None
 
--- a/tests/listeners/test_resp_time_left.py
+++ b/tests/listeners/test_resp_time_left.py
@@ -14,7 +14,7 @@
 
 WAIT_MS = 1000
 SLOWDOWN_MS = 240  # in which nothing is read of a client that sends errors
-DISCONNECT_POLL_MS = 50  # between looks at a client that is not read for now
+DISCONNECT_POLL_INTERVAL_MS = 50  # between looks at a client that is not read for now
 TIMEOUT_MS = 2000
 
 
@@ -49,7 +49,7 @@
         await answer_until_received(harness, MAX_PIPELINED + 9)
         first, late = time_left_ms(harness)[:MAX_PIPELINED], time_left_ms(harness)[MAX_PIPELINED:]
         assert min(first) > TIMEOUT_MS - 100
-        assert max(late) <= TIMEOUT_MS - WAIT_MS + DISCONNECT_POLL_MS
+        assert max(late) <= TIMEOUT_MS - WAIT_MS + DISCONNECT_POLL_INTERVAL_MS
         if more == 9:  # no more is taken off than the wait
             assert min(late) >= TIMEOUT_MS - WAIT_MS - 100
         sock.close()
@@ -68,7 +68,7 @@
         sock.sendall(read_command(0))
         await advance_in_steps(harness, 100)
         await answer_until_received(harness, MAX_PIPELINED + 1)
-        assert TIMEOUT_MS - 250 <= time_left_ms(harness)[-1] <= TIMEOUT_MS - 100 + DISCONNECT_POLL_MS
+        assert TIMEOUT_MS - 250 <= time_left_ms(harness)[-1] <= TIMEOUT_MS - 100 + DISCONNECT_POLL_INTERVAL_MS
         sock.close()
 
     run_with_listener(RespHarness, scenario)
@@ -78,7 +78,7 @@
     async def scenario(harness):
         sock = harness.connect()
         sock.sendall(UNKNOWN_COMMAND * 16 + read_command(0) * 20)
-        await harness.wait_until(lambda: harness.listener.unread_clients)
+        await harness.wait_until(lambda: harness.listener.paused_clients)
         await advance_in_steps(harness, SLOWDOWN_MS)
         await harness.wait_until(lambda: harness.advance(1) or len(harness.received()) >= 16)
         assert max(time_left_ms(harness)) <= TIMEOUT_MS - SLOWDOWN_MS
