--- a/runloft/listeners/objects/reading.py
+++ b/runloft/listeners/objects/reading.py
@@ -100,7 +100,7 @@
                 self._protocol.receive_data(data)
                 received += len(data)
             while received >= MAX_READ_AHEAD_BYTES and not has_half_closed(self._sock):
-                # At the limit nothing more is read, so only polling detects that the client has disconnected.
+                # Nothing more is read: without polling, requests of a disconnected client would be forwarded.
                 await pause(self._services.timers, self._services.clock, DISCONNECT_POLL_INTERVAL_S)
         except (OSError, h11.ProtocolError, anyio.ClosedResourceError):
             pass
--- a/tests/listeners/test_accepting.py
+++ b/tests/listeners/test_accepting.py
@@ -1,4 +1,4 @@
-"""Accepting connections, with scripted sockets."""
+"""Accepting connections from scripted sockets."""
 
 import errno
 
@@ -64,7 +64,7 @@
 
 
 class ScriptedSocket:
-    """A listening socket whose queue gives these results, one after the other; errors are raised."""
+    """A listening socket whose accept queue yields these results in order; errors are raised."""
 
     def __init__(self, *results):
         self.results, self.closed = list(results), False
@@ -82,7 +82,7 @@
 
 
 class AcceptedSocket:
-    """An accepted socket, on which an option may fail."""
+    """An accepted socket on which setting options fails if ``error`` is set."""
 
     def __init__(self, error=None):
         self.error, self.blocking, self.closed = error, True, False
@@ -102,7 +102,7 @@
 
 
 class Client:
-    """A client that is served at once."""
+    """A client whose ``run`` returns at once."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize("number", CONNECTION_ERRORS)
 def test_connections_behind_a_failed_one_are_accepted(number):
-    """An empty queue was reported while connections waited: a shutdown then reset them."""
+    """An empty queue was reported while connections were queued, so a shutdown reset them."""
     listener = listener_with_clients()
     assert listener.accept_waiting(ScriptedSocket(OSError(number, "gone"), AcceptedSocket())) is True
     assert len(listener.clients) == 1
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize("fails_at", ["wait", "client"])
 def test_accepting_continues_after_any_failure(monkeypatch, fails_at):
-    """Any OSError ended the listener's task without a log line: no new client was served."""
+    """An OSError ended the listener's task without a log line, so no new client was served."""
 
     async def scenario():
         listener = listener_with_clients()
--- a/tests/listeners/test_exchanges.py
+++ b/tests/listeners/test_exchanges.py
@@ -1,11 +1,15 @@
-"""Recorded byte exchanges, played against the program and compared.
-
-A file holds one exchange, a step a line; the text after a mark stands for itself and CRLF:
-``> `` the client sends, ``< `` the client gets, ``N> `` a storage node gets, ``N< `` it sends,
-``>$ `` and ``N>$ `` are a command of the words that follow, as an array of bulk strings;
-``<|`` and ``N>|`` a close is seen, ``|>`` and ``N<|`` a side closes.  ``*`` in what is got stands for
-anything.  ``#`` is a comment.  Files named http-* are sent to the object API, whose shared store knows
-one object.
+"""Recorded byte exchanges, replayed against the program.
+
+A file holds one exchange, one step per line: a mark, and a text to which CRLF is added.
+
+- ``> `` the client sends, ``< `` the client receives
+- ``N> `` the storage node receives, ``N< `` it sends
+- ``>$ `` and ``N>$ `` the same with a command: the words that follow, as an array of bulk strings
+- ``<|`` and ``N>|`` the client or the node sees a close, ``|>`` and ``N<|`` it closes
+- ``#`` comment
+
+``*`` in a received text matches anything.  Files named http-* use the object API; its shared store knows one
+object.
 """
 
 import fnmatch
@@ -31,7 +35,7 @@
     def closed(self):
         try:
             return self.lines.readline() == b""
-        except ConnectionResetError:  # closed with something unread
+        except ConnectionResetError:  # closed with unread input
             return True
 
     def close(self):
@@ -51,7 +55,7 @@
         mark, _, rest = step.partition(" ")
         if not step or mark == "#":
             continue
-        if mark == "N<":  # lines in a row go out in one write: what stands behind an answer comes with it
+        if mark == "N<":  # consecutive lines are sent in one write, with any bytes after the answer
             answer += rest.encode() + b"\r\n"
             continue
         if answer:
@@ -65,16 +69,16 @@
         elif mark == "N>$":
             node = node or Side(listening_socket.accept()[0])
             got = [word.decode() for word in words_of(node.lines)]
-            wanted = rest.split()
-            fits = len(got) == len(wanted) and all(map(fnmatch.fnmatchcase, got, map(escaped, wanted)))
-            assert fits, f"line {number}: {got!r}, wanted {wanted!r}"
+            expected = rest.split()
+            matches = len(got) == len(expected) and all(map(fnmatch.fnmatchcase, got, map(escaped, expected)))
+            assert matches, f"line {number}: {got!r}, expected {expected!r}"
         elif mark == "|>":
             client.close()
         elif mark in ("<", "N>"):
             if mark == "N>" and node is None:
                 node = Side(listening_socket.accept()[0])
             got = (client if mark == "<" else node).lines.readline().decode().removesuffix("\r\n")
-            assert fnmatch.fnmatchcase(got, escaped(rest)), f"line {number}: {got!r}, wanted {rest!r}"
+            assert fnmatch.fnmatchcase(got, escaped(rest)), f"line {number}: {got!r}, expected {rest!r}"
         elif mark in ("<|", "N>|"):
             assert (client if mark == "<|" else node).closed(), f"line {number}: no close"
             if mark == "N>|":
--- a/tests/listeners/test_object_api.py
+++ b/tests/listeners/test_object_api.py
@@ -1,4 +1,4 @@
-"""The object API from end to end: the program, object servers, the shared store, discovery."""
+"""End-to-end tests of the object API: the program, object servers, the shared store and discovery."""
 
 import http.client
 import re
@@ -18,12 +18,13 @@
 
 @pytest.fixture
 def world(tmp_path, request):
-    made = World(tmp_path, **getattr(request, "param", {}))
-    yield made
-    made.close()
+    world = World(tmp_path, **getattr(request, "param", {}))
+    yield world
+    world.close()
 
 
-# The stand-ins serve thousands a second, which lets a node leave slow start early; here ColdUnits alone bind.
+# The stand-ins serve thousands of requests per second, so that a node would leave slow start early. With this
+# setting only ColdUnits limits it.
 ONLY_COLD_UNITS = {"Safety": settings()["Safety"] | {"FallMultiple": 0.001}}
 
 
@@ -124,8 +125,8 @@
     assert status == 503 and int(headers["Retry-After"]) >= 1
 
 
-class HalfServer(ObjectServer):
-    """Sends a head and a part of the body, then waits until the test says to end."""
+class PartialServer(ObjectServer):
+    """Sends a head and a part of the body; closes at once if ``go`` is set, else when the client closes."""
 
     def __init__(self):
         self.go, self.closed, self.body = threading.Event(), threading.Event(), b"a" * 1000
@@ -142,28 +143,28 @@
         self.closed.set()
 
 
-def half_world(world):
+def start_partial_server(world):
     world.request("PUT", body=b"x")
     place = next(n for n, s in enumerate(world.servers) if s.objects)
-    half = HalfServer()
-    world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, objects=half.address))
+    partial = PartialServer()
+    world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, objects=partial.address))
     until(lambda: world.request("HEAD", "/volumes/tracks/objects/none")[0] == 404)
     time.sleep(0.1)
-    return half
+    return partial
 
 
 def test_a_client_that_disconnects_mid_range_frees_its_attempt_and_connection(world):
-    half = half_world(world)
+    partial = start_partial_server(world)
     with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\nRange: bytes=0-8999999\r\n\r\n".encode())
         assert until(lambda: sock.recv(65536)).startswith(b"HTTP/1.1 206")
-    assert half.closed.wait(5)  # the node's side is closed soon after the client's
-    half.close()
+    assert partial.closed.wait(5)  # the node's connection is closed soon after the client's
+    partial.close()
 
 
 def test_a_response_that_breaks_off_ends_short_of_its_length(world):
-    half = half_world(world)
-    half.go.set()
+    partial = start_partial_server(world)
+    partial.go.set()
     with world.program.connect("ObjectListener") as sock:
         sock.sendall(f"GET {ITEM} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         got = b""
@@ -171,7 +172,7 @@
             got += data
     head, _, body = got.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 206") and len(body) == 1000
-    half.close()
+    partial.close()
 
 
 def test_a_slow_reader_slows_its_node_down_and_takes_no_memory(world):
@@ -202,9 +203,9 @@
     waiting = threading.Thread(target=lambda: results.append(world.request("PUT", target % 2, b"two;")[0]))
     waiting.start()
     time.sleep(0.3)
-    assert not results and len(old.log) == 2  # it waits: the draining node gets no new request
+    assert not results and len(old.log) == 2  # the draining node gets no new request
     new = ObjectServer()
-    new.uploads = old.uploads  # the shard's data moves on with its new holder
+    new.uploads = old.uploads  # the shard's data moves to its new holder
     world.discovery.tell(entry("127.0.0.1:9", "s-new", place, objects=new.address))
     waiting.join(10)
     assert results == [200] and [t for _, _, t in new.log] == [target % 2]
@@ -225,20 +226,27 @@
 
 
 def test_a_client_that_disconnects_after_much_pipelined_input_frees_its_attempt(world):
-    """After 64 KiB that were read ahead its close went unseen, and its request ran to its end."""
+    """After 64 KiB of read-ahead its close was not detected, and its request ran to completion."""
     world.request("PUT", body=b"x")
     server, reached, held = world.holder(), threading.Event(), threading.Event()
     server.held = SimpleNamespace(wait=lambda seconds: reached.set() or held.wait(seconds))
     with socket.create_connection(("127.0.0.1", world.program.ports["ObjectListener"])) as client:
         client.sendall(b"GET %s HTTP/1.1\r\nHost: x\r\n\r\n" % ITEM.encode() + b"x" * (90 << 10))
         assert reached.wait(5)
-    at = server.connections[-1]
-    until(lambda: at.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b"" if peek(at) else False, 2)
+    node_connection = server.connections[-1]
+    until(
+        lambda: (
+            node_connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
+            if is_readable(node_connection)
+            else False
+        ),
+        2,
+    )
     held.set()
 
 
-def peek(sock):
-    """Whether there is something to be read, the end of the stream too."""
+def is_readable(sock):
+    """Return whether the socket is readable, including at the end of the stream."""
     return select.select([sock], [], [], 0)[0]
 
 
@@ -262,12 +270,12 @@
         thread.start()
     for thread in threads:
         thread.join(10)
-    assert 1 <= len(cold.log) <= 12  # ColdUnits, a unit each, in the rule's two seconds
+    assert 1 <= len(cold.log) <= 12  # ColdUnits within its period of two seconds, one unit per request
     cold.close()
 
 
 def test_floods_of_both_protocols_get_equal_shares_and_one_response_each(tmp_path):
-    lock = threading.Lock()  # one node, two wires: it does one thing at a time
+    lock = threading.Lock()  # one node with two protocols serves one request at a time
     served = {"resp": 0, "http": 0}
     resp, objects = RespNode(0.01, lock), ObjectServer(0.01, lock)
     store, discovery = Redis(), Discovery()
@@ -318,7 +326,7 @@
     conn.request("GET", ITEM)
     until(lambda: len(world.holder().connections) >= 1)
     world.program.process.terminate()
-    time.sleep(0.7)  # past the time in which new connections are taken
+    time.sleep(0.7)  # after the time in which new connections are accepted
     world.holder().held.set()
     answer = conn.getresponse()
     assert (answer.status, answer.read()) == (200, b"data")
@@ -327,9 +335,9 @@
 
 @pytest.fixture(scope="module")
 def shared(tmp_path_factory):
-    made = World(tmp_path_factory.mktemp("shared"))
-    yield made
-    made.close()
+    world = World(tmp_path_factory.mktemp("shared"))
+    yield world
+    world.close()
 
 
 def raw(start, *headers, body=b""):
--- a/tests/listeners/test_object_closing.py
+++ b/tests/listeners/test_object_closing.py
@@ -1,4 +1,4 @@
-"""Closes without the loss of a response, on connections of the object API."""
+"""Closing connections of the object API without losing a response."""
 
 import anyio
 import pytest
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("stops", ["after the response", "before the response"])
 def test_a_request_that_crosses_the_close_does_not_cut_the_last_response(stops):
-    """At SIGTERM a kept connection closed at once: a request then made a reset, which cut the response."""
+    """At SIGTERM an idle connection was closed at once; a request in flight made that a reset."""
 
     async def scenario(harness):
         sock, client = harness.connect()
@@ -34,12 +34,12 @@
         await harness.respond(client, harness.received()[0])
         harness.listener.stop()
         await anyio.wait_all_tasks_blocked()
-        sock.sendall(OBJECT_REQUEST)  # crosses the close
-        harness.listener.stop()  # as each step of the shutdown does
+        sock.sendall(OBJECT_REQUEST)  # in flight when the listener closes
+        harness.listener.stop()  # the shutdown calls it repeatedly
         await anyio.wait_all_tasks_blocked()
         got = await anyio.to_thread.run_sync(read_all, sock)
         assert got.count(b"a") >= OBJECT_SIZE
-        assert len(harness.received()) == 1  # what crossed it is not forwarded
+        assert len(harness.received()) == 1  # the second one is not forwarded
         sock.close()
         await harness.wait_until(lambda: not harness.listener.clients)
 
@@ -65,7 +65,7 @@
 
 
 def test_a_request_that_has_arrived_is_served_before_the_close_of_a_slowed_down_client():
-    """It was read ahead while the one before it was out, and dropped by the close between the two."""
+    """It was read ahead while the previous one was being served, and dropped by a close between the two."""
 
     async def scenario(harness):
         sock, client = harness.connect()
@@ -95,7 +95,7 @@
 
 
 def test_only_idle_connections_are_eviction_candidates():
-    """Fresh connections were evicted first, and kept ones right after their responses."""
+    """New connections were evicted first, and keep-alive connections right after their responses."""
 
     async def scenario(harness):
         (old, _), (answered, client) = harness.connect(), harness.connect()
@@ -105,7 +105,7 @@
         await harness.wait_until(harness.received)
         await harness.respond(client, harness.received()[0])
         fresh, _ = harness.connect()
-        assert [one.sock.getpeername() for one in harness.listener.eviction_candidates()] == [
+        assert [candidate.sock.getpeername() for candidate in harness.listener.eviction_candidates()] == [
             old.getsockname()
         ]
         for sock in (old, answered, fresh):
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("disconnects", [False, True])
 def test_a_request_is_not_posted_if_its_client_disconnects_during_the_store_lookup(disconnects):
-    """Its request was forwarded first and cancelled then; and its time ran from the store's reply."""
+    """The request was forwarded and then cancelled, and its time left was counted from the store's reply."""
 
     async def scenario(harness):
         harness.store.may_answer = anyio.Event()
--- a/tests/listeners/test_resp_closing.py
+++ b/tests/listeners/test_resp_closing.py
@@ -1,4 +1,4 @@
-"""Disconnects of unread clients, and closes without the loss of a response, on RESP2 connections."""
+"""Disconnects of paused clients, and closing RESP2 connections without losing a response."""
 
 import socket
 
@@ -19,12 +19,12 @@
     [
         (b"".join(read_command(0) for _ in range(MAX_PIPELINED + 9)), MAX_PIPELINED),  # a full pipeline
         (read_command(0) + QUIT, 1),
-        (read_command(0) + b"?\r\n", 1),  # its framing is lost
+        (read_command(0) + b"?\r\n", 1),  # protocol error
         (UNKNOWN_COMMAND * 9 + read_command(0) + UNKNOWN_COMMAND * 18, 1),  # slowed down
     ],
 )
 def test_a_client_that_disconnects_while_unread_is_noticed_before_another_attempt(sent, open_count):
-    """Nothing was read of such a client, so its close was not seen and its requests were still forwarded."""
+    """Nothing was read from such a client, so its close was missed and its requests were still forwarded."""
 
     async def scenario(harness):
         sock = harness.connect()
@@ -34,7 +34,7 @@
             harness.advance(0.1)
         await harness.wait_until(lambda: harness.listener.paused_clients)
         sock.close()
-        for _ in range(9):  # within 0.1 s of the client's own time
+        for _ in range(9):  # within 0.1 s of the simulated clock
             harness.advance(10)
         assert set(harness.disconnected()) == set(harness.received()) and not harness.listener.clients
         assert not harness.listener.paused_clients
@@ -43,7 +43,7 @@
 
 
 def test_a_reset_after_many_errors_leaves_no_connection_to_watch():
-    """It was closed at the first response, before the pause for its errors: a poll then found no socket."""
+    """The first response closed it before the pause for its errors; the poll then found a closed socket."""
 
     async def scenario(harness):
         sock = harness.connect()
@@ -58,7 +58,7 @@
 
 
 def test_the_last_response_is_followed_by_a_lingering_close():
-    """A request that crossed the close turned it into a reset, which discarded a response on its way."""
+    """A request in flight turned the close into a reset, which discarded a response in flight."""
 
     async def scenario(harness):
         sock = await harness.connect_and_send_request()
@@ -66,33 +66,33 @@
         harness.received()[0].answer(Served(b"ok"))
         client = next(iter(harness.listener.clients))
         await harness.wait_until(lambda: client.lingering)
-        sock.sendall(read_command(0))  # crosses the close
+        sock.sendall(read_command(0))  # in flight when the listener closes
         assert sock.recv(100) == OK and sock.recv(100) == b""
         assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # no reset
-        harness.listener.stop()  # as each step of the shutdown does
+        harness.listener.stop()  # the shutdown calls it repeatedly
         await anyio.wait_all_tasks_blocked()
-        assert len(harness.received()) == 1 and harness.listener.clients  # what crossed it is not forwarded
+        assert len(harness.received()) == 1 and harness.listener.clients  # the second one is not forwarded
         sock.close()
         harness.advance(40)
         assert not harness.listener.clients
-        rests = harness.connect()
+        idle = harness.connect()
         await anyio.wait_all_tasks_blocked()
         harness.advance(LINGER_NS / MS)
         harness.listener.stop()
         await harness.wait_until(lambda: not harness.listener.clients)
-        rests.close()
+        idle.close()
 
     run_with_listener(RespHarness, scenario)
 
 
 def test_requests_read_before_the_final_stop_are_answered():
-    """What was read last was posted, and the program ended before its response."""
+    """The last requests that were read were posted, but the program ended before their responses."""
 
     async def scenario(harness):
         sock = await harness.connect_and_send_request()
         harness.listener.stop()
         sock.sendall(read_command(0))
-        await harness.wait_until(lambda: len(harness.received()) == 2)  # not between requests: it is read on
+        await harness.wait_until(lambda: len(harness.received()) == 2)  # a busy connection is still read
         harness.listener.stop(last=True)
         await anyio.wait_all_tasks_blocked()
         sock.sendall(read_command(0))
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("trigger", CLOSE_TRIGGERS)
 def test_a_request_that_has_arrived_is_read_before_its_idle_connection_is_closed(trigger):
-    """It is not read yet: a close with unread input would be a reset."""
+    """Closing with unread input would be a reset."""
 
     async def scenario(harness):
         sock = harness.connect()
@@ -187,28 +187,28 @@
 
 
 def test_a_pipeline_longer_than_the_limit_is_answered_completely_and_in_order():
-    """Its first responses wait for an open request; the rest of the pipeline waits in the socket."""
-    many = 3 * MAX_PIPELINED
+    """All responses wait for the first request's; the commands beyond the limit wait in the socket."""
+    ping_count = 3 * MAX_PIPELINED
 
     async def scenario(harness):
         sock = harness.connect()
         sock.sendall(
-            read_command(0) + b"".join(b"*2\r\n$4\r\nPING\r\n$3\r\n%03d\r\n" % n for n in range(many))
+            read_command(0) + b"".join(b"*2\r\n$4\r\nPING\r\n$3\r\n%03d\r\n" % n for n in range(ping_count))
         )
-        await harness.wait_until(lambda: harness.listener.paused_clients)  # its pipeline is full
+        await harness.wait_until(lambda: harness.listener.paused_clients)  # the pipeline is full
         harness.received()[0].answer(Served(b"ok"))
-        wanted = OK + b"".join(b"$3\r\n%03d\r\n" % n for n in range(many))
+        expected = OK + b"".join(b"$3\r\n%03d\r\n" % n for n in range(ping_count))
         got = b""
-        while len(got) < len(wanted):
+        while len(got) < len(expected):
             got += await anyio.to_thread.run_sync(sock.recv, 4096)
-        assert got == wanted
+        assert got == expected
         sock.close()
 
     run_with_listener(RespHarness, scenario)
 
 
 def test_clients_that_have_gone_leave_no_timers_memory_or_watches():
-    """Some disconnect half-way, some send errors, some stay idle, some send a request and disconnect."""
+    """The clients disconnect within a command, send errors, stay idle, or send a request and disconnect."""
     sent = (
         b"",
         PING,
@@ -244,27 +244,27 @@
 
 
 def test_small_writes_are_sent_at_once_on_every_connection():
-    """Small writes that the system holds back are lost if a close becomes a reset."""
+    """Small writes that the kernel delays (Nagle's algorithm) are lost if a close becomes a reset."""
 
     async def scenario(harness):
         sock = harness.connect()
         accepted = next(iter(harness.listener.clients)).sock
-        for one in (accepted, new_client_socket()):
-            assert one.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        for checked in (accepted, new_client_socket()):
+            assert checked.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         sock.close()
 
     run_with_listener(RespHarness, scenario)
 
 
-@pytest.mark.parametrize("more", [9, MAX_PIPELINED + 20])
-def test_commands_read_behind_a_full_pipeline_are_refused_at_the_final_stop(more):
-    """They were read, and dropped unanswered at the final close."""
+@pytest.mark.parametrize("extra_count", [9, MAX_PIPELINED + 20])
+def test_commands_read_behind_a_full_pipeline_are_refused_at_the_final_stop(extra_count):
+    """They were read, then dropped without an answer at the final close."""
 
     async def scenario(harness):
         sock = harness.connect()
-        sock.sendall(read_command(0) * (MAX_PIPELINED + more) + read_command(0)[:-9])
+        sock.sendall(read_command(0) * (MAX_PIPELINED + extra_count) + read_command(0)[:-9])
         await harness.wait_until(lambda: len(harness.received()) == MAX_PIPELINED)
-        for _ in range(6):  # what fits is read ahead
+        for _ in range(6):  # read ahead as much as fits into the buffer
             harness.advance(10)
         client = next(iter(harness.listener.clients))
         assert client.reader.inbox.end > client.reader.inbox.start
@@ -275,8 +275,8 @@
         answers = b""
         while got := sock.recv(65536):
             answers += got
-        assert answers == OK * MAX_PIPELINED + BUSY * more
-        assert len(harness.received()) == MAX_PIPELINED  # none of them was begun
+        assert answers == OK * MAX_PIPELINED + BUSY * extra_count
+        assert len(harness.received()) == MAX_PIPELINED  # none of the refused ones was posted
         harness.advance(101)
         await harness.wait_until(lambda: not harness.listener.clients)
         sock.close()
@@ -285,7 +285,7 @@
 
 
 def test_a_partly_written_response_and_those_behind_it_are_written_completely_at_the_final_stop():
-    """At SIGTERM a response waits for a slow reader: it is not cut, and all that was read is answered."""
+    """At SIGTERM a response waits for a slow reader: it is not cut, and all read commands are answered."""
 
     async def scenario(harness):
         sock = harness.connect()
@@ -304,7 +304,7 @@
         for sink in harness.received()[1:]:
             sink.answer(Served(b"ok"))
         harness.listener.stop(last=True)
-        wanted = len(value) + len(b"$4194304\r\n\r\n") + 3 * len(OK)
+        expected = len(value) + len(b"$4194304\r\n\r\n") + 3 * len(OK)
 
         def read():
             size, last = 0, b""
@@ -323,7 +323,7 @@
                 group.start_soon(ticks)
                 size, last = await anyio.to_thread.run_sync(read)
                 group.cancel_scope.cancel()
-        assert size == wanted and last.endswith(OK * 3)
+        assert size == expected and last.endswith(OK * 3)
         sock.close()
 
     run_with_listener(RespHarness, scenario)
--- a/tests/listeners/test_resp_commands.py
+++ b/tests/listeners/test_resp_commands.py
@@ -1,4 +1,4 @@
-"""Translation of commands into requests, and the rejection of those that deviate."""
+"""Translation of commands into requests, and rejection of invalid commands."""
 
 import pytest
 
@@ -17,10 +17,14 @@
 
 
 def test_a_command_is_translated_field_by_field():
-    got = translate(GOOD + b",r=1")
-    assert (got.volume, got.units, got.shard, got.volume_hosts) == (0x3B4D60021, 2.0, 5, 3.0)
-    assert got.time_left_ns == 480 * MS - NETWORK_DELAY_ALLOWANCE_NS and got.is_client_retry and got.id == ID
-    assert b"".join(got.payload.encode_attempt(7 * MS)).count(b"d=7,volume=00000003b4d60021") == 1
+    request = translate(GOOD + b",r=1")
+    assert (request.volume, request.units, request.shard, request.volume_hosts) == (0x3B4D60021, 2.0, 5, 3.0)
+    assert (
+        request.time_left_ns == 480 * MS - NETWORK_DELAY_ALLOWANCE_NS
+        and request.is_client_retry
+        and request.id == ID
+    )
+    assert b"".join(request.payload.encode_attempt(7 * MS)).count(b"d=7,volume=00000003b4d60021") == 1
     assert translate(GOOD.replace(b"shard=5", b"shard=-1")).shard is None
 
 
@@ -58,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    "more",
+    "arguments",
     [
         {"id_": b""},
         {"id_": ID[:15]},
@@ -68,6 +72,6 @@
         {"word": b"IO.OUT", "body": (b"x",)},
     ],
 )
-def test_ids_of_another_width_and_missing_arguments_are_rejected(more):
+def test_ids_of_another_width_and_missing_arguments_are_rejected(arguments):
     with pytest.raises(BadCommandError):
-        translate(**more)
+        translate(**arguments)
--- a/tests/listeners/test_resp_limits.py
+++ b/tests/listeners/test_resp_limits.py
@@ -1,4 +1,4 @@
-"""What the RESP2 listener allows a client in time and errors, with the program as the platform starts it."""
+"""Time and error limits of the RESP2 listener, with the program in a process of its own."""
 
 import socket
 import time
@@ -13,14 +13,14 @@
 def program(tmp_path_factory):
     discovery = Discovery()
     raw = config(discovery.address, []) | {"limits": {"sockets": 64, "memory_mb": 40}}
-    made = Program(raw, tmp_path_factory.mktemp("listener") / "config.json")
-    yield made
-    made.close()
+    program = Program(raw, tmp_path_factory.mktemp("listener") / "config.json")
+    yield program
+    program.close()
     discovery.close()
 
 
 def receive_all(sock, seconds):
-    """All that a client gets until it is closed."""
+    """Return all that a client receives until its connection is closed."""
     sock.settimeout(seconds)
     got = b""
     try:
@@ -55,7 +55,7 @@
 
 def test_the_command_timeout_of_an_idle_connection_starts_at_the_first_byte(program):
     with program.connect() as sock:
-        for pause in (0, 1.8):  # resting and writing together take longer than a command may
+        for pause in (0, 1.8):  # the pause and the command together exceed the command timeout
             time.sleep(pause)
             sock.sendall(b"*1\r\n$4\r\n")
             time.sleep(pause / 1.5)
@@ -78,7 +78,7 @@
 
 def test_many_silent_connections_do_not_block_other_clients(program):
     silent = []
-    for _ in range(120):  # more than the descriptors allow
+    for _ in range(120):  # more than the descriptor limit allows
         silent.append(socket.create_connection(("127.0.0.1", program.ports["RespListener"]), timeout=10))
     with program.connect() as sock:
         sock.sendall(PING)
--- a/tests/listeners/test_resp_time_left.py
+++ b/tests/listeners/test_resp_time_left.py
@@ -1,4 +1,4 @@
-"""The time left of a request counts from its arrival, however much later it is processed."""
+"""A request's time left counts from its arrival, even if it is processed much later."""
 
 import socket
 from itertools import pairwise
@@ -13,13 +13,13 @@
 from tests.support.listener_harness import RespHarness, run_with_listener
 
 WAIT_MS = 1000
-SLOWDOWN_MS = 240  # in which nothing is read of a client that sends errors
-DISCONNECT_POLL_INTERVAL_MS = 50  # between looks at a client that is not read for now
+SLOWDOWN_MS = 240  # pause in reading from a client that sends errors
+DISCONNECT_POLL_INTERVAL_MS = 50  # for a client whose input is not being read, with a margin
 TIMEOUT_MS = 2000
 
 
 def time_left_ms(harness):
-    """The time left of each request that was posted, in order."""
+    """Return the time left of each posted request, in order."""
     return [event.spec.time_left_ns / MS for event in harness.posted if isinstance(event, RequestReceived)]
 
 
@@ -30,27 +30,27 @@
 
 
 async def answer_until_received(harness, count):
-    """Answer the first requests, and go on until so many have been received."""
+    """Answer the requests received so far, and wait until ``count`` have been received."""
     for sink in harness.received():
         sink.answer(Served(b"ok"))
     await harness.wait_until(lambda: harness.advance(0.01) or len(harness.received()) >= count)
 
 
-@pytest.mark.parametrize("more", [9, 900])  # within what is read ahead of a full pipeline, and beyond
-def test_a_request_that_waited_behind_a_full_pipeline_has_less_time_left(more):
-    """It was given its full time again: its node was sent 0.6 s more than its client had left."""
+@pytest.mark.parametrize("extra_count", [9, 900])  # within the read-ahead buffer, and beyond it
+def test_a_request_that_waited_behind_a_full_pipeline_has_less_time_left(extra_count):
+    """It was given its full time again: its node was told 0.6 s more than its client had left."""
 
     async def scenario(harness):
         sock = harness.connect()
         sender = socket.socket.sendall
-        await anyio.to_thread.run_sync(sender, sock, read_command(0) * (MAX_PIPELINED + more))
+        await anyio.to_thread.run_sync(sender, sock, read_command(0) * (MAX_PIPELINED + extra_count))
         await harness.wait_until(lambda: len(harness.received()) == MAX_PIPELINED)
         await advance_in_steps(harness, WAIT_MS)
         await answer_until_received(harness, MAX_PIPELINED + 9)
         first, late = time_left_ms(harness)[:MAX_PIPELINED], time_left_ms(harness)[MAX_PIPELINED:]
         assert min(first) > TIMEOUT_MS - 100
         assert max(late) <= TIMEOUT_MS - WAIT_MS + DISCONNECT_POLL_INTERVAL_MS
-        if more == 9:  # no more is taken off than the wait
+        if extra_count == 9:  # only the wait is subtracted
             assert min(late) >= TIMEOUT_MS - WAIT_MS - 100
         sock.close()
 
@@ -58,7 +58,7 @@
 
 
 def test_a_request_that_arrives_while_its_client_is_unread_has_its_full_time():
-    """What arrives late in a long pause does not count as having waited from its start."""
+    """A request that arrives late in a long pause does not count as waiting since the pause began."""
 
     async def scenario(harness):
         sock = harness.connect()
@@ -87,17 +87,17 @@
     run_with_listener(RespHarness, scenario)
 
 
-@pytest.mark.parametrize("size", [10, 8000])  # read at once, and in pieces
+@pytest.mark.parametrize("size", [10, 8000])  # read at once, and in several reads
 def test_a_request_that_waited_for_its_connection_to_be_accepted_has_less_time_left(size):
-    """A full listener leaves connections in the kernel's queue, with their requests."""
+    """A listener at its client limit leaves connections and their requests in the kernel's accept queue."""
 
     async def scenario(harness):
         sock = socket.create_connection(harness.listening_socket.getsockname(), timeout=10)
-        most, harness.listener.max_clients = harness.listener.max_clients, 0
+        max_clients, harness.listener.max_clients = harness.listener.max_clients, 0
         sock.sendall(write_command(size))
         assert harness.listener.accept_waiting(harness.listening_socket) is False
-        await anyio.sleep(0.3)  # how long it waited is known by the kernel's clock
-        harness.listener.max_clients = most
+        await anyio.sleep(0.3)  # real time: the kernel measures how long the request waited
+        harness.listener.max_clients = max_clients
         assert harness.listener.accept_waiting(harness.listening_socket) is True
         await harness.wait_until(harness.received)
         assert time_left_ms(harness)[0] <= TIMEOUT_MS - 200
@@ -107,18 +107,18 @@
 
 
 def test_the_time_of_requests_in_a_flood_counts_from_their_arrival():
-    """Each piece that was read counted as new, though all of it had been in the socket."""
+    """Each read's bytes counted as new, although all of them had been in the socket."""
 
     async def scenario(harness):
         sock = socket.create_connection(harness.listening_socket.getsockname(), timeout=10)
-        sock.sendall(read_command(0) * MAX_PIPELINED)  # all of it is here before any of it is read
+        sock.sendall(read_command(0) * MAX_PIPELINED)  # all of it arrives before any of it is read
         harness.listener.accept_waiting(harness.listening_socket)
-        real, taking = harness.listener.post, []
+        post_to_core, received_events = harness.listener.post, []
 
         def post(event):
-            harness.now += 5 * MS  # each takes a while
-            taking.append(event)
-            real(event)
+            harness.now += 5 * MS  # each request takes 5 ms
+            received_events.append(event)
+            post_to_core(event)
 
         harness.listener.post = post
         await harness.wait_until(lambda: len(harness.received()) == MAX_PIPELINED)
--- a/tests/support/listener_harness.py
+++ b/tests/support/listener_harness.py
@@ -1,4 +1,4 @@
-"""A listener by itself: real sockets, a clock that the test moves, and what it posts to the core."""
+"""Harnesses for a listener without the core: real sockets, a simulated clock, and recorded core events."""
 
 import socket
 
@@ -17,11 +17,11 @@
 from tests.support.standins import config
 
 OBJECT_REQUEST = b"GET /volumes/tracks/objects/k HTTP/1.1\r\nHost: x\r\n\r\n"
-OBJECT_SIZE = 60_000  # more than its client takes before it reads, less than the system takes of the listener
+OBJECT_SIZE = 60_000  # larger than the client's receive buffer, smaller than the listener's send buffer
 
 
 class ListenerHarness:
-    """What both listeners' harnesses share; ``listener`` is made by the subclass."""
+    """The common part of both harnesses; subclasses set ``listener``."""
 
     def __init__(self):
         self.now = 100 * SECOND
@@ -31,15 +31,15 @@
         self.listening_socket.setblocking(False)
 
     def received(self):
-        """The sinks of all requests that were posted, in order."""
+        """Return the sinks of all posted requests, in order."""
         return [event.sink for event in self.posted if isinstance(event, RequestReceived)]
 
     def disconnected(self):
-        """The sinks of all requests whose client was reported to have left, in order."""
+        """Return the sinks of all requests whose client was reported as disconnected, in order."""
         return [event.sink for event in self.posted if isinstance(event, ClientDisconnected)]
 
     def advance(self, milliseconds):
-        """Move the clock, and run the timers that are due."""
+        """Advance the clock and run the timers that are due."""
         self.now += int(milliseconds * MS)
         for callback in self.timers.pop_due(self.now):
             callback()
@@ -56,7 +56,7 @@
 
 
 class RespHarness(ListenerHarness):
-    """The RESP2 listener; a test answers its requests where it says so."""
+    """A RESP2 listener; the test answers its requests."""
 
     def __init__(self, group):
         super().__init__()
@@ -69,7 +69,7 @@
         return sock
 
     async def connect_and_send_request(self):
-        """Connect and send a request; it has been posted."""
+        """Connect, send a request and wait until it has been posted."""
         sock = self.connect()
         sock.sendall(read_command(0))
         await self.wait_until(self.received)
@@ -77,7 +77,7 @@
 
 
 class PlaceStore:
-    """A shared store that knows every object; ``may_answer`` holds its answers back."""
+    """A shared store that has a placement for every object; ``may_answer`` delays its answers."""
 
     object_key = staticmethod(lambda volume, key: key)
 
@@ -93,7 +93,7 @@
 
 
 class ObjectHarness(ListenerHarness):
-    """The object API's listener; a test answers its requests where it says so."""
+    """A listener of the object API; the test answers its requests."""
 
     def __init__(self, group):
         super().__init__()
@@ -122,7 +122,7 @@
         return sock, client
 
     async def respond(self, client, exchange):
-        """Respond; all of it is the system's then, and the most of it not the client's yet."""
+        """Answer with an object; most of it then waits in the socket's send buffer."""
         stream = ResponseStream(200, [(b"Content-Length", b"%d" % OBJECT_SIZE)])
         stream.put(b"a" * OBJECT_SIZE)
         stream.finish(True)
@@ -132,7 +132,7 @@
 
 
 def run_with_listener(make_harness, scenario):
-    """Run a coroutine function with a harness, and close what it leaves open."""
+    """Run a scenario with a new harness, and close its sockets afterwards."""
 
     async def run():
         async with anyio.create_task_group() as group:
--- a/tests/support/object_world.py
+++ b/tests/support/object_world.py
@@ -1,4 +1,4 @@
-"""One sidecar with two shards behind it, as the object API's clients see it."""
+"""A sidecar with two shards, accessed through the object API."""
 
 import http.client
 
@@ -9,7 +9,7 @@
 
 
 class World:
-    """The program with its shared store, discovery and two object servers."""
+    """The program with a shared store, discovery and two object servers."""
 
     def __init__(self, path, **extra):
         self.store = Redis()
@@ -32,7 +32,7 @@
         return response.status, dict(response.headers), response.read()
 
     def holder(self):
-        """Which server got the last object or upload."""
+        """Return the server that holds an object or an upload."""
         return next(s for s in self.servers if s.objects or s.uploads)
 
     def close(self):
