--- a/runloft/accounts/__init__.py
+++ b/runloft/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Latency accounts: where each request's time went, and who waited for whom; decisions and state, no I/O."""
+"""Latency accounts: request time by component, and by the volume whose work was waited for; no I/O."""
--- a/runloft/accounts/latency.py
+++ b/runloft/accounts/latency.py
@@ -1,7 +1,7 @@
-"""The components into which a request's time is divided, and the latency of one request.
+"""The latency of one request, broken down into components.
 
-Times are integer nanoseconds of one clock.  At every moment exactly one component runs, so the components
-of a request sum to its total, to the nanosecond, in whatever order events arrive.
+Times are integer nanoseconds on one clock.  Exactly one component is measured at any time, so the components
+of a request sum exactly to its total, in whatever order events arrive.
 """
 
 from dataclasses import dataclass, field
@@ -9,21 +9,21 @@
 
 
 class LatencyComponent(Enum):
-    """What a request's time goes into; the values are labels of the metrics."""
+    """A component of the latency of a request; the value is a metric label."""
 
-    QUEUED_AT_CAPACITY = "held_bound"  # on this host: the node's capacity is in use
-    QUEUED_IN_SLOW_START = "held_cold"  # on this host: the node is warming up
-    QUEUED_WHILE_DRAINING = "held_drain"  # on this host: the node is draining
-    QUEUED_WITHOUT_NODE = "held_no_node"  # on this host: no node holds the shard
-    CONNECTING = "connecting"  # or waiting for a connection
+    QUEUED_AT_CAPACITY = "held_bound"  # queued on this host: the node is at capacity
+    QUEUED_IN_SLOW_START = "held_cold"  # queued on this host: the node is in slow start
+    QUEUED_WHILE_DRAINING = "held_drain"  # queued on this host: the node is draining
+    QUEUED_WITHOUT_NODE = "held_no_node"  # queued on this host: no node serves the shard
+    CONNECTING = "connecting"  # connecting, or waiting for a connection or for the request to be written
     AT_NODE = "out"
     BETWEEN_ATTEMPTS = "between"
-    CLIENT_READING = "reader"  # the request's own client reads the response
+    CLIENT_READING = "reader"  # waiting for the client to read the response
 
 
 @dataclass(slots=True)
 class RequestLatency:
-    """The time of one request by component, from its arrival to its last byte."""
+    """The time of one request by component, from its arrival to its completion."""
 
     volume: int
     request_class: int
@@ -40,14 +40,14 @@
         self.measured_until_ns = self.started_ns
 
     def switch(self, now: int, component: LatencyComponent) -> None:
-        """Begin another component; a clock that went back adds nothing."""
+        """Start measuring another component; a clock that went backwards adds nothing."""
         if self.finished_ns is not None:
             return
         self._measure(now)
         self.component = component
 
     def finish(self, now: int) -> None:
-        """End the request; later calls change nothing."""
+        """End the measurement; later calls have no effect."""
         if self.finished_ns is None:
             self._measure(now)
             self.finished_ns = self.measured_until_ns
@@ -60,5 +60,5 @@
 
     @property
     def total_ns(self) -> int:
-        """The time so far, until the last switch or the end."""
+        """The time measured until the last switch or the end."""
         return self.measured_until_ns - self.started_ns
--- a/runloft/accounts/ledger.py
+++ b/runloft/accounts/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of one sidecar: the latency of open requests, and totals by volume with bounded memory.
+"""The latency ledger of one sidecar: open requests and per-volume totals, in bounded memory.
 
-It observes the reducer and changes nothing there.  For each volume it keeps the time by component and
-whose work the volume waited for: the largest few by name, the rest in one entry.  Volumes beyond the bound
-share one entry too, so that sums are always right.
+The ledger observes the reducer without changing it.  For each volume it records the time by component, and
+the time spent waiting for the work of each volume: the largest few individually, the rest in one entry.
+Volumes beyond the limit share one entry as well, so that sums stay exact.
 """
 
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class _Wait:
-    """A request's wait for one node, from when it was queued for it or sent to it."""
+    """The wait of a request for one node, since the request was queued for it or sent to it."""
 
     node: int
     log_index: int
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """An attempt that is under way."""
+    """An attempt in flight."""
 
     request: int
     node: int
@@ -42,7 +42,7 @@
 
 
 class Ledger:
-    """Observes each step of a request; see ``runloft.core.model.Observer``."""
+    """An observer that measures requests; see ``runloft.core.model.Observer``."""
 
     def __init__(self, settings: Settings, max_volumes: int = MAX_VOLUMES) -> None:
         self.max_volumes = max_volumes
@@ -54,7 +54,7 @@
         self._attempts: dict[int, _Attempt] = {}
 
     def settings_changed(self, settings: Settings) -> None:
-        """Use these classes' latency objectives; classes keep their numbers, more may come."""
+        """Update the latency objectives; existing classes keep their numbers."""
         self.objectives_ns = _objectives_ns(settings)
 
     def request_received(
@@ -64,47 +64,47 @@
         self.open[request] = RequestLatency(volume, request_class, plan, units, now)
 
     def request_queued(self, request: int, now: int, node: int | None, reason: QueueReason) -> None:
-        """Record that a request is queued, for this node if it is known for which."""
+        """Record that a request is queued for a node, or for an unknown node if None."""
         latency = self.open.get(request)
         if latency is None:
             return
         latency.switch(now, COMPONENT_BY_REASON[reason])
-        self._wait_for(request, node, now)
+        self._start_wait(request, node, now)
 
     def attempt_sent(self, request: int, attempt: int, now: int, node: int) -> None:
-        """Record that an attempt of a request is sent."""
+        """Record that an attempt of a request was dispatched to a node."""
         latency = self.open.get(request)
         if latency is None:
             return
         latency.attempts += 1
         latency.switch(now, LatencyComponent.CONNECTING)
-        self._wait_for(request, node, now)
+        self._start_wait(request, node, now)
         self._attempts[attempt] = _Attempt(request, node, latency.volume, latency.units)
         self.nodes.setdefault(node, ServiceLog()).attempt_sent(now)
 
     def attempt_written(self, attempt: int, now: int) -> None:
-        """Record that an attempt's last byte has left: from here on its time is the node's."""
-        known = self._attempts.get(attempt)
-        latency = self.open.get(known.request) if known else None
+        """Record that the last byte of an attempt was sent; time from here on is latency of the node."""
+        sent = self._attempts.get(attempt)
+        latency = self.open.get(sent.request) if sent else None
         if latency is not None and latency.component is LatencyComponent.CONNECTING:
             latency.switch(now, LatencyComponent.AT_NODE)
 
     def response_buffered(self, attempt: int, now: int) -> None:
-        """Record that the node has served an attempt, whose client is still reading."""
-        known = self._attempts.pop(attempt, None)
-        if known is None:
+        """Record that the node has served an attempt and its client is still reading."""
+        sent = self._attempts.pop(attempt, None)
+        if sent is None:
             return
-        self._log_returned(known, now, served=True)
-        if (latency := self.open.get(known.request)) is not None:
+        self._log_returned(sent, now, served=True)
+        if (latency := self.open.get(sent.request)) is not None:
             latency.switch(now, LatencyComponent.CLIENT_READING)
 
     def attempt_finished(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
-        """Record that an attempt is over, whether its request still waits or not."""
-        known = self._attempts.pop(attempt, None)
-        if known is None:
+        """Record that an attempt has ended, whether or not its request is still open."""
+        sent = self._attempts.pop(attempt, None)
+        if sent is None:
             return
-        self._log_returned(known, now, served=outcome in (AttemptOutcome.OK, AttemptOutcome.ERROR))
-        latency = self.open.get(known.request)
+        self._log_returned(sent, now, served=outcome in (AttemptOutcome.OK, AttemptOutcome.ERROR))
+        latency = self.open.get(sent.request)
         if latency is None:
             return
         answered = outcome is AttemptOutcome.OK
@@ -112,7 +112,7 @@
         latency.switch(now, next_component)
 
     def request_completed(self, request: int, now: int, served: bool) -> None:
-        """Record that a request has its final response, or that its client is gone."""
+        """Record that a request has its final response or that its client has disconnected."""
         latency = self.open.pop(request, None)
         if latency is None:
             return
@@ -122,11 +122,11 @@
         self._end_wait(request, latency, latency.measured_until_ns)
 
     def node_forgotten(self, node: int) -> None:
-        """Record that a node is gone for good."""
+        """Record that a node was permanently removed."""
         self.nodes.pop(node, None)
 
     def take_totals(self) -> dict[int, VolumeTotals]:
-        """Return the totals of the period that ends here, and begin another."""
+        """Return the totals of the current period and start a new one."""
         totals = self.totals
         self.totals = {}
         return totals
@@ -140,30 +140,30 @@
         return totals
 
     def _log_returned(self, attempt: _Attempt, now: int, served: bool) -> None:
-        if (log := self.nodes.get(attempt.node)) is not None:
-            log.attempt_returned(now, attempt.volume, attempt.units, served)
+        if (service_log := self.nodes.get(attempt.node)) is not None:
+            service_log.attempt_returned(now, attempt.volume, attempt.units, served)
 
-    def _wait_for(self, request: int, node: int | None, now: int) -> None:
-        """Make a request wait for this node from now on; a wait for the same node goes on."""
+    def _start_wait(self, request: int, node: int | None, now: int) -> None:
+        """Start the wait of a request for a node and end its wait for another; the same node continues it."""
         wait = self._waits.get(request)
         if node is None or (wait is not None and wait.node == node):
             return
         if wait is not None:
             self._end_wait(request, self.open[request], now)
-        log = self.nodes.setdefault(node, ServiceLog())
-        self._waits[request] = _Wait(node, log.begin_wait(), now)
+        service_log = self.nodes.setdefault(node, ServiceLog())
+        self._waits[request] = _Wait(node, service_log.begin_wait(), now)
 
     def _end_wait(self, request: int, latency: RequestLatency, now: int) -> None:
-        """Add what a request waited for to its volume's totals."""
+        """End the wait of a request and add its breakdown to the volume's totals."""
         wait = self._waits.pop(request, None)
         if wait is None:
             return
         totals = self._totals(latency.volume)
-        log = self.nodes.get(wait.node)
-        if log is None:
+        service_log = self.nodes.get(wait.node)
+        if service_log is None:
             totals.unattributed_ns += max(0, now - wait.started_ns)
             return
-        breakdown = log.end_wait(wait.log_index, wait.started_ns, now)
+        breakdown = service_log.end_wait(wait.log_index, wait.started_ns, now)
         for volume, amount in breakdown.by_volume.items():
             totals.waited_for.add(volume, amount)
         totals.stalled_ns += breakdown.stalled
--- a/runloft/accounts/service_log.py
+++ b/runloft/accounts/service_log.py
@@ -1,74 +1,75 @@
-"""Whose work a node did while a request waited for it: a log of its responses, by volume.
+"""A per-node log of responses, which attributes the time that a request waits to the volumes served.
 
-A node answers one attempt after the other.  The time between two responses, as far as the node had
-something of ours, is what the later one's work took: it is credited to that one's volume.  So the credits
-of a stretch of time, clipped to it, sum to the time in which the node was busy for us, and what a request
-waited for is the log between its beginning and its end.  The cost of a wait is the number of responses
-within it; there is none for each pair of volumes.
+A node is modelled as serving one attempt after the other.  The time between two responses, as far as the
+node had attempts of this host, is attributed to the volume of the later one.  The resulting intervals,
+clipped to a wait, sum to the time in which the node was busy for this host during the wait.  The cost of a
+wait is proportional to the number of responses within it; no state is kept for each pair of volumes.
 
-A credit far beyond what the units should take means that the node stalled: the excess is nobody's.
+An interval much longer than expected for its units means that the node stalled; the excess is attributed to
+no volume.
 """
 
 from collections import deque
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-STALL_FACTOR = 4.0  # a response may take so many times what its units take on average
-STALL_NS = 100_000_000  # and so much longer, before the node counts as stalled
-SMOOTHING = 0.05  # weight of a new sample in the mean time of a unit
-MAX_CREDITS = 65_536  # that are kept; a wait that reaches further back is marked as truncated
+# A node has stalled if a response exceeds its expected time by both this factor and this duration.
+STALL_FACTOR = 4.0
+STALL_NS = 100_000_000
+SMOOTHING = 0.05  # weight of a new sample in the mean time per unit
+MAX_INTERVALS = 65_536  # a wait that began before the oldest interval is marked as truncated
 
 
 @dataclass(frozen=True, slots=True)
-class Credit:
-    """One response: whose it was, and the stretch of busy time that it ends."""
+class ServiceInterval:
+    """The interval of service time that ends with a response, and the volume of that response."""
 
     volume: int
     units: float
     start: int
     end: int
-    stalled: int  # of the stretch, nanoseconds at its beginning in which the node stalled
+    stalled: int  # nanoseconds at the beginning of the interval in which the node stalled
 
 
 @dataclass(frozen=True, slots=True)
 class WaitBreakdown:
-    """What a stretch of waiting went into, in nanoseconds."""
+    """The time of a wait in nanoseconds, by what it was spent on."""
 
     by_volume: dict[int, int]
     stalled: int
-    unattributed: int  # the node had nothing of ours, or no response has come back yet
+    unattributed: int  # no attempt of this host at the node, or no response yet
     truncated: bool = False
 
     @property
     def total(self) -> int:
-        """The whole stretch."""
+        """The total time of the wait."""
         return sum(self.by_volume.values()) + self.stalled + self.unattributed
 
 
 class ServiceLog:
-    """One node's responses, as far back as a request still waits."""
+    """The response log of one node, back to the start of the oldest open wait."""
 
     def __init__(self) -> None:
-        self.outstanding = 0  # attempts that the node has of ours
-        self.busy_since = 0  # from where the next credit counts
-        self.credits: deque[Credit] = deque()
-        self.first_index = 0  # of the oldest credit that is kept
+        self.outstanding = 0  # attempts of this host at the node
+        self.busy_since = 0  # start of the next interval
+        self.intervals: deque[ServiceInterval] = deque()
+        self.first_index = 0  # of the oldest interval kept
         self.mean_unit_ns = 0.0
-        self._waits: dict[int, int] = {}  # index of the next credit when a wait began -> number of waits
+        self._waits: dict[int, int] = {}  # next_index when a wait began -> number of waits
 
     @property
     def next_index(self) -> int:
-        """The index that the next credit will have."""
-        return self.first_index + len(self.credits)
+        """The index of the next interval."""
+        return self.first_index + len(self.intervals)
 
     def attempt_sent(self, now: int) -> None:
-        """Record an attempt that is sent to the node."""
+        """Record that an attempt was sent to the node."""
         if self.outstanding == 0:
             self.busy_since = max(now, self.busy_since)
         self.outstanding += 1
 
     def attempt_returned(self, now: int, volume: int, units: float, served: bool) -> None:
-        """Record an attempt that is over; only what the node served is its work."""
+        """Record that an attempt has ended; it is logged only if the node served it."""
         self.outstanding = max(0, self.outstanding - 1)
         if not served:
             return
@@ -80,10 +81,10 @@
             stalled = int(elapsed - expected)
         elif units > 0:
             self._add_sample(elapsed / units)
-        self.credits.append(Credit(volume, units, start, start + elapsed, stalled))
+        self.intervals.append(ServiceInterval(volume, units, start, start + elapsed, stalled))
         self.busy_since = start + elapsed
-        if len(self.credits) > MAX_CREDITS:
-            self.credits.popleft()
+        if len(self.intervals) > MAX_INTERVALS:
+            self.intervals.popleft()
             self.first_index += 1
         self._trim()
 
@@ -94,25 +95,25 @@
             self.mean_unit_ns = unit_ns
 
     def begin_wait(self) -> int:
-        """Record that a request begins to wait; return the index that ``end_wait`` takes."""
+        """Record the start of a wait; return the index to pass to ``end_wait``."""
         index = self.next_index
         self._waits[index] = self._waits.get(index, 0) + 1
         return index
 
     def end_wait(self, index: int, started_ns: int, now: int) -> WaitBreakdown:
-        """Return what the time of a wait went into, and forget the wait."""
+        """End a wait and return the breakdown of its time."""
         truncated = index < self.first_index
         by_volume: dict[int, int] = {}
         stalled = 0
-        for credit in self._credits_from(index):
-            start = max(credit.start, started_ns)
-            end = min(credit.end, now)
+        for interval in self._intervals_from(index):
+            start = max(interval.start, started_ns)
+            end = min(interval.end, now)
             if end <= start:
                 continue
-            stalled_here = max(0, min(credit.start + credit.stalled, end) - start)
+            stalled_here = max(0, min(interval.start + interval.stalled, end) - start)
             stalled += stalled_here
             if end - start > stalled_here:
-                by_volume[credit.volume] = by_volume.get(credit.volume, 0) + end - start - stalled_here
+                by_volume[interval.volume] = by_volume.get(interval.volume, 0) + end - start - stalled_here
         unattributed = max(0, now - started_ns) - stalled - sum(by_volume.values())
         self._forget_wait(index)
         return WaitBreakdown(by_volume, stalled, unattributed, truncated)
@@ -125,16 +126,16 @@
             self._waits.pop(index, None)
         self._trim()
 
-    def _credits_from(self, index: int) -> Iterator[Credit]:
-        # From the right end: what was waited for is the newest part of the log.
-        count = len(self.credits) - max(0, index - self.first_index)
-        for place in range(-count, 0):
-            yield self.credits[place]
+    def _intervals_from(self, index: int) -> Iterator[ServiceInterval]:
+        # Negative indices: a wait covers the newest part of the log, and a deque is fast near its ends.
+        count = len(self.intervals) - max(0, index - self.first_index)
+        for position in range(-count, 0):
+            yield self.intervals[position]
 
     def _trim(self) -> None:
-        """Drop the credits that no wait reaches back to."""
-        # Indices only grow, so the first that was put in is the smallest.
-        needed = next(iter(self._waits), self.next_index)
-        while self.credits and self.first_index < needed:
-            self.credits.popleft()
+        """Drop the intervals older than every open wait."""
+        # Indices only grow, so the first key is the smallest.
+        oldest_needed = next(iter(self._waits), self.next_index)
+        while self.intervals and self.first_index < oldest_needed:
+            self.intervals.popleft()
             self.first_index += 1
--- a/runloft/accounts/totals.py
+++ b/runloft/accounts/totals.py
@@ -1,53 +1,53 @@
-"""Totals of one volume's requests over a period, with bounded memory."""
+"""Per-volume request totals over a period, in bounded memory."""
 
 from dataclasses import dataclass, field
 
 from runloft.accounts.latency import LatencyComponent, RequestLatency
 
-MAX_NAMED = 16  # of the volumes that a volume waited for
-OTHERS = -1  # stands for all that have no entry of their own
+MAX_WAITED_FOR = 16  # volumes with their own entry in a volume's ``waited_for``
+OTHERS = -1  # stands for all volumes without their own entry
 
 
 class TopAmounts:
-    """The largest amounts by volume, and the sum of the rest as ``OTHERS``."""
+    """The largest amounts by volume, with the sum of the rest under ``OTHERS``."""
 
-    __slots__ = ("amounts", "max_named")
+    __slots__ = ("amounts", "max_volumes")
 
-    def __init__(self, max_named: int = MAX_NAMED) -> None:
-        self.max_named = max_named
+    def __init__(self, max_volumes: int = MAX_WAITED_FOR) -> None:
+        self.max_volumes = max_volumes
         self.amounts: dict[int, int] = {}
 
     def add(self, volume: int, amount: int) -> None:
-        """Add to a volume's amount; the smallest of too many goes to the rest."""
+        """Add to the amount of a volume; beyond ``max_volumes`` the smallest amount moves to ``OTHERS``."""
         self.amounts[volume] = self.amounts.get(volume, 0) + amount
-        if len(self.amounts) - (OTHERS in self.amounts) > self.max_named:
-            named = (other for other in self.amounts if other != OTHERS)
-            smallest = min(named, key=lambda other: (self.amounts[other], other))
+        if len(self.amounts) - (OTHERS in self.amounts) > self.max_volumes:
+            listed = (candidate for candidate in self.amounts if candidate != OTHERS)
+            smallest = min(listed, key=lambda candidate: (self.amounts[candidate], candidate))
             self.amounts[OTHERS] = self.amounts.pop(smallest) + self.amounts.get(OTHERS, 0)
 
     def merge(self, other: "TopAmounts") -> None:
-        """Add another's amounts."""
+        """Add the amounts of another instance."""
         for volume, amount in other.amounts.items():
             self.add(volume, amount)
 
     @property
     def total(self) -> int:
-        """The sum of all amounts, which the bound does not change."""
+        """The sum of all amounts, including ``OTHERS``."""
         return sum(self.amounts.values())
 
 
 @dataclass(slots=True)
 class VolumeTotals:
-    """One volume's requests in a period; times in nanoseconds."""
+    """Request totals of one volume in a period; times are in nanoseconds."""
 
     requests: int = 0
     served: int = 0
     late: int = 0
     total_ns: int = 0
     components: dict[LatencyComponent, int] = field(default_factory=dict)
-    waited_for: TopAmounts = field(default_factory=TopAmounts)  # by the volume whose work was waited for
-    stalled_ns: int = 0  # at nodes that stalled
-    unattributed_ns: int = 0  # at nodes from which nothing of ours came back
+    waited_for: TopAmounts = field(default_factory=TopAmounts)  # time by the volume whose work was waited for
+    stalled_ns: int = 0  # time waited while a node was stalled
+    unattributed_ns: int = 0  # no work of this host at the node, no response, or node removed
 
     def add(self, latency: RequestLatency, served: bool, late: bool) -> None:
         """Add one request."""
@@ -59,7 +59,7 @@
             self.components[component] = self.components.get(component, 0) + amount
 
     def merge(self, other: "VolumeTotals") -> None:
-        """Add another's totals, of another period or sidecar."""
+        """Add the totals of another period or sidecar."""
         self.requests += other.requests
         self.served += other.served
         self.late += other.late
--- a/runloft/core/__init__.py
+++ b/runloft/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: the reducer of events, lifecycles of requests and attempts, permissions; no wire in it."""
+"""The protocol-independent core: the event reducer, request and attempt lifecycles, and permissions."""
--- a/runloft/core/attempts.py
+++ b/runloft/core/attempts.py
@@ -1,7 +1,7 @@
-"""The lifecycle of attempts: dispatched, started, streamed, ended; the reducer's docstring has the states.
+"""The lifecycle of attempts, from dispatch to outcome; see ``reducer`` for the states.
 
-Every attempt that the scheduler asks for has exactly one result, and a result that comes after the attempt
-has ended is ignored.
+Every attempt that the scheduler requests gets exactly one result; events for an attempt that has already
+ended are ignored.
 """
 
 from dataclasses import dataclass, replace
@@ -31,21 +31,19 @@
 from runloft.decisions.contract import AttemptOutcome
 from runloft.decisions.outcomes import NEVER_EXECUTED
 
-LOCAL_OUTCOMES = (
-    AttemptOutcome.TIMEOUT,
-    AttemptOutcome.CANCELLED,
-)  # ours: the node may have received nothing
+# Set by this host, not reported by the node: the node may have received nothing.
+LOCAL_OUTCOMES = (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED)
 
 
 @dataclass(slots=True, eq=False)
 class AttemptTimeout:
-    """Due in the timers when an attempt is no longer waited for."""
+    """A timer item that is due when an attempt times out."""
 
     attempt: int
 
 
 class AttemptLifecycle:
-    """All attempts that have no outcome yet, by their number."""
+    """The attempts that have no outcome yet, by number."""
 
     def __init__(self, context: StepContext, endpoints: EndpointTable, requests: RequestLifecycle) -> None:
         self._context = context
@@ -55,9 +53,10 @@
         self._next_numbers = count(1)
 
     def send(self, request_id: int, node_id: int, timeout_ns: int) -> None:
-        """Dispatch a request's next attempt where that is permitted; ``timeout_ns`` 0: until its deadline.
+        """Dispatch the next attempt of a request if it is permitted.
 
-        The scheduler learns in the next step of an attempt that was not sent.
+        ``timeout_ns`` 0 means no timeout besides the deadline.  If the attempt is not permitted, the
+        scheduler gets its NOT_SENT result in the next step.
         """
         context = self._context
         request = self._requests.pending.get(request_id)
@@ -80,13 +79,13 @@
         self._send_to_node(request, index, node_id, node, timeout_ns)
 
     def permit_first_byte(self, number: int, now: int) -> SendPermit:
-        """Return whether an attempt's first byte may leave now, and how long it may be waited for."""
+        """Return whether an attempt's first byte may be sent now, and how long to wait for the outcome."""
         attempt = self.in_flight.get(number)
         node = self._endpoints.nodes.get(attempt.node_id) if attempt else None
         return permissions.permit_first_byte(attempt, node, self._context.settings, now)
 
     def start(self, number: int, announced_wait_ns: int, now: int) -> None:
-        """Record that an attempt's first byte leaves, and check the invariants of that."""
+        """Record that an attempt's first byte is sent, and check the invariants for sending it."""
         attempt = self.in_flight.get(number)
         if attempt is None:
             return
@@ -95,12 +94,12 @@
         INVARIANTS.check_first_byte(attempt, node, self._context.settings, announced_wait_ns, now)
 
     def report_written(self, number: int) -> None:
-        """Tell the observer that an attempt's last byte has left."""
+        """Notify the observer that the last byte of an attempt was sent."""
         if self._context.observer is not None:
             self._context.observer.attempt_written(number, self._context.now)
 
     def start_stream(self, number: int, value: object) -> None:
-        """Start a streamed response; from here on no timeout runs."""
+        """Start a streamed response and cancel the timeout of the attempt."""
         attempt = self.in_flight.get(number)
         if attempt is None or attempt.request.is_complete:
             return
@@ -113,10 +112,10 @@
         context.effects.append(StartResponse(request.sink, value, attempt.node.uid, attempt.node.shard))
 
     def buffer_response(self, number: int) -> None:
-        """Report to the scheduler that a node has served an attempt whose client is still reading.
+        """Report success to the scheduler for an attempt whose response waits for its client to read.
 
-        Without this one long download by a slow client would count as the latency of its node, and requests
-        of all other clients would be shed.
+        Otherwise one long download by a slow client would count as latency of the node, and the requests of
+        all other clients would be shed.
         """
         attempt = self.in_flight.get(number)
         if attempt is None or attempt.outcome_reported or attempt.request.is_complete:
@@ -129,10 +128,10 @@
         context.scheduler_events.append(replace(result, complete=True))
 
     def finish(self, event: AttemptFinished) -> None:
-        """End an attempt with its outcome, and answer its client if that settles the request."""
+        """End an attempt, and send the final response if the outcome completes the request."""
         attempt = self.in_flight.get(event.attempt)
         if attempt is None:
-            return  # a late event of an attempt that has ended
+            return  # the attempt has already ended
         context = self._context
         request = attempt.request
         request.last_outcome = event.outcome
@@ -153,9 +152,9 @@
         self._requests.release(request)
 
     def withdraw(self, number: int) -> None:
-        """End an attempt whose first byte was not permitted when its connection was ready.
+        """End an attempt whose first byte was not permitted once a connection was ready.
 
-        That nothing was sent says nothing about the node, so its result doesn't count against it.
+        Nothing was sent, so the outcome must not count as an error of the node.
         """
         attempt = self.in_flight.get(number)
         if attempt is None:
@@ -165,10 +164,10 @@
         self.finish(AttemptFinished(number, outcome))
 
     def time_out(self, number: int) -> None:
-        """End an attempt that is no longer waited for.
+        """End an attempt that has timed out.
 
-        Its connection is closed before the scheduler learns of it, so that no retry overtakes a copy that is
-        still on its way.
+        Its connection is closed before the scheduler gets the result, so that a retry can't overtake the
+        original while that is still being sent.
         """
         if number not in self.in_flight:
             return
@@ -176,7 +175,7 @@
         self.finish(AttemptFinished(number, AttemptOutcome.TIMEOUT))
 
     def cancel(self, request_id: int, index: int) -> None:
-        """Abort one attempt of a request at the scheduler's wish, unless its response is being streamed."""
+        """Abort an attempt as requested by the scheduler, unless its response is being streamed."""
         request = self._requests.pending.get(request_id)
         attempt = request.in_flight.get(index) if request is not None else None
         if request is None or attempt is None or request.is_streaming:
@@ -185,18 +184,21 @@
         self._requests.release(request)
 
     def abort_stream(self, request: PendingRequest) -> None:
-        """Abort the attempts of a streamed request: the scheduler can't cancel a stream that has started."""
+        """Abort the attempts of a streamed request, which the scheduler can't cancel."""
         for attempt in list(request.in_flight.values()):
             self._abort(attempt, 0, report=not attempt.outcome_reported)
 
     def withdraw_unstarted(self, request_id: int) -> bool:
-        """Abort a request's attempts if none has started; return whether it is certain that nothing ran."""
+        """Abort the attempts of a request if none has started.
+
+        Return whether attempts were aborted and the request certainly hasn't executed.
+        """
         request = self._requests.pending.get(request_id)
         if request is None or request.is_complete or request.ambiguous_since is not None:
             return False
         now = self._context.now
         attempts = list(request.in_flight.values())
-        # One that was dispatched in this very step may be written before it could be aborted.
+        # An attempt dispatched in this step may be written before it can be aborted.
         if not attempts or any(attempt.is_started or attempt.dispatched_at == now for attempt in attempts):
             return False
         for attempt in attempts:
@@ -228,7 +230,7 @@
         self._context.deferred_events.append(result)
 
     def _answer(self, attempt: Attempt, event: AttemptFinished) -> None:
-        """Answer the client if the attempt was served, or has broken off a stream."""
+        """Send the final response if the attempt succeeded or its streamed response broke off."""
         request = attempt.request
         node = attempt.node
         if event.outcome is AttemptOutcome.OK:
@@ -237,14 +239,14 @@
                 trace("request served", request=request.id, id=request.spec.id, node=node.uid)
             reply = Served(event.value, node.uid, node.shard)
             self._context.effects.append(SendResponse(request.sink, reply))
-        elif request.is_streaming:  # the client has a part of the response, so that a retry is no use
+        elif request.is_streaming:  # can't be retried: the client already has part of the response
             self._requests.complete(request)
             self._context.effects.append(SendResponse(request.sink, Failed(event.outcome)))
 
     def _abort(self, attempt: Attempt, latency_ns: int, *, report: bool = True) -> None:
-        """Close an attempt's connection and end the attempt as CANCELLED.
+        """Close the connection of an attempt and end the attempt as CANCELLED.
 
-        ``report``: the scheduler has its result in the next step.
+        If ``report`` is true, the scheduler gets the result in the next step.
         """
         context = self._context
         context.effects.append(AbortAttempt(attempt.number))
@@ -261,7 +263,7 @@
 
     @staticmethod
     def _record_ambiguity(attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Record that the request may have executed, from its first attempt on that may have."""
+        """Record when the first attempt that may have executed was dispatched."""
         request = attempt.request
         may_have_executed = outcome not in NEVER_EXECUTED and not _never_started(attempt, outcome)
         if may_have_executed and request.ambiguous_since is None:
@@ -275,7 +277,7 @@
         used_percent: int | None = None,
         elsewhere_units: int = 0,
     ) -> contract.AttemptResult:
-        """Return an attempt's result as the scheduler takes it."""
+        """Return the result of an attempt as an event for the scheduler."""
         return contract.AttemptResult(
             attempt.request.id,
             attempt.index,
@@ -290,5 +292,5 @@
 
 
 def _never_started(attempt: Attempt, outcome: AttemptOutcome) -> bool:
-    """Return whether an attempt was given up before its first byte left, so that it can't have executed."""
+    """Return whether an attempt was abandoned before its first byte was sent, so it can't have executed."""
     return outcome in LOCAL_OUTCOMES and not attempt.is_started
--- a/runloft/core/client_ids.py
+++ b/runloft/core/client_ids.py
@@ -1,31 +1,31 @@
-"""Identifiers that clients give their requests: no two requests of a protocol may share one.
+"""Client-chosen request ids, which must be unique among the requests of one protocol.
 
-An identifier stays known for a while after its request is complete: a node would take a second request
-that bears it for a copy of the first.
+An id stays reserved for a while after its request is released, because a node would deduplicate a second
+request with the same id against the first.
 """
 
 from collections import deque
 from typing import NamedTuple
 
-RETENTION_NS = 2_000_000_000  # how long the identifier of a completed request stays known
+RETENTION_NS = 2_000_000_000  # how long the id of a released request stays reserved
 
 
 class ClientRequestId(NamedTuple):
-    """A request's identifier, which is unique among the requests of one protocol."""
+    """A client-chosen request id, unique among the requests of one protocol."""
 
     wire: str
     id: bytes
 
 
 class _ReleasedId(NamedTuple):
-    """The identifier of a request that was released at this time."""
+    """The id of a released request, with the time of its release."""
 
     released_at: int
     client_id: ClientRequestId
 
 
 class ClientRequestIds:
-    """The identifiers of pending requests, and of those that were released a short while ago."""
+    """The ids of pending and of recently released requests."""
 
     def __init__(self) -> None:
         self._known: set[ClientRequestId] = set()
@@ -38,15 +38,15 @@
         return client_id in self._known
 
     def add(self, client_id: ClientRequestId) -> None:
-        """Record the identifier of a request that has been admitted."""
+        """Record the id of an admitted request."""
         self._known.add(client_id)
 
     def release(self, client_id: ClientRequestId, now: int) -> None:
-        """Record that the identifier's request is released; it stays known for ``RETENTION_NS``."""
+        """Record the release of a request; its id stays reserved for ``RETENTION_NS``."""
         self._released.append(_ReleasedId(now, client_id))
 
     def expire(self, now: int, max_released: int) -> None:
-        """Remove the identifiers that were released too long ago, and the oldest beyond ``max_released``."""
+        """Remove released ids older than ``RETENTION_NS``, and the oldest beyond ``max_released``."""
         released = self._released
         while released and (released[0].released_at < now - RETENTION_NS or len(released) > max_released):
             self._known.discard(released.popleft().client_id)
--- a/runloft/core/context.py
+++ b/runloft/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the core share: the settings in effect, the time of the step, and the step's output."""
+"""State shared by the parts of the core: settings, the current step's time, and its output."""
 
 from dataclasses import dataclass, field
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class StepContext:
-    """One scheduler's settings, and what the step at ``now`` has produced so far.
+    """The settings of one scheduler, and the output so far of the step at time ``now``.
 
     Times are nanoseconds on the scheduler's own clock.
     """
@@ -23,17 +23,17 @@
     observer: Observer | None = None
     effects: list[Effect] = field(default_factory=list)
     scheduler_events: list[contract.Event] = field(default_factory=list)
-    deferred_events: list[contract.Event] = field(default_factory=list)  # for the scheduler in the next step
+    deferred_events: list[contract.Event] = field(default_factory=list)  # for the next step
 
     def begin_step(self, now: int) -> None:
-        """Start a step: what the last one deferred comes first, and nothing is to be carried out yet."""
+        """Start a step with no effects; events deferred by the previous step come first."""
         self.now = now
         self.effects = []
         self.scheduler_events = self.deferred_events
         self.deferred_events = []
 
     def end_step(self) -> list[Effect]:
-        """Return the step's effects, and keep none of what it was given or produced."""
+        """Return the effects of the step, and clear its effects and scheduler events."""
         effects = self.effects
         self.effects = []
         self.scheduler_events = []
--- a/runloft/core/counters.py
+++ b/runloft/core/counters.py
@@ -1,4 +1,4 @@
-"""Counts of why requests and connections ended, with bounded labels, for the metrics and the log."""
+"""Counters of why requests and connections ended, with bounded label sets, for metrics and logs."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -6,7 +6,7 @@
 
 
 class CounterName(StrEnum):
-    """What is counted; each has a bounded set of reasons. The value is a label of metrics."""
+    """A counter, which has a bounded set of reasons; the value is a metric label."""
 
     CLIENT_CONNECTIONS_CLOSED = "client connections closed"
     NODE_CONNECTIONS_CLOSED = "node connections closed"
@@ -19,7 +19,7 @@
 
 
 class NodeCloseReason(StrEnum):
-    """Why a connection to a node is closed; the value is a label of metrics."""
+    """Why a connection to a node was closed; the value is a metric label."""
 
     ATTEMPT_ABANDONED = "attempt abandoned"
     BROKEN = "broken"
@@ -38,7 +38,7 @@
 
 
 class Counters:
-    """Counts by name and reason."""
+    """Event counts by counter name and reason."""
 
     def __init__(self) -> None:
         self.requests_started = 0
@@ -49,7 +49,7 @@
         self.by_name[name][reason] += 1
 
     def totals(self) -> Totals:
-        """Return all counts that aren't zero, by names that a log line can carry."""
+        """Return the nonzero counts, keyed by names that are valid as log fields."""
         return {"requests_started": self.requests_started} | {
             str(name).replace(" ", "_"): {str(reason): count for reason, count in reasons.items()}
             for name, reasons in self.by_name.items()
@@ -57,4 +57,4 @@
         }
 
 
-COUNTERS = Counters()  # of this process, as the metrics show it
+COUNTERS = Counters()  # shared by the whole process; exported as metrics
--- a/runloft/core/endpoints.py
+++ b/runloft/core/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint table: the storage nodes that discovery has told of, under the numbers of this process."""
+"""The endpoint table: the storage nodes reported by discovery, with their ids in this process."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -15,29 +15,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QueuedFor:
-    """The node that a request waits for, where it is known, and why it isn't forwarded at once."""
+class QueueStatus:
+    """The node that a request waits for, or None if unknown, and why it isn't forwarded at once."""
 
     node_id: int | None
     reason: QueueReason
 
 
 class EndpointTable:
-    """All known nodes, by the number that the scheduler knows them by."""
+    """The known nodes, by the id that the scheduler uses."""
 
     def __init__(self) -> None:
         self.nodes: dict[int, NodeUpdate] = {}
-        self.node_ids: dict[str, int] = {}  # by the node's own identifier
+        self.node_ids: dict[str, int] = {}  # by node uid
         self.start_times = StartTimes()
-        self.wall_clock_is_unreliable = False  # it has been seen to step
+        self.wall_clock_is_unreliable = False  # set once it was seen to step
         self._last_update_at = 0
-        self._node_by_shard: dict[int, int] = {}  # the node listed last; kept where an observer asks for it
+        self._node_by_shard: dict[int, int] = {}  # the last listed; only maintained for an observer
         self._next_node_ids = count(1)
 
     def update(self, event: NodeListUpdate, now: int, *, track_shards: bool) -> contract.NodeList:
-        """Take in a node list and return what the scheduler is to be told of it.
+        """Apply a node list and return the resulting event for the scheduler.
 
-        ``track_shards``: keep which node serves a shard, for ``queued_for``.
+        If ``track_shards`` is true, record which node serves each shard, for ``queue_status``.
         """
         if event.kind is not ListKind.DELTA:
             self._remove_unlisted(event.nodes)
@@ -45,17 +45,17 @@
         changed: dict[int, NodeUpdate] = {}
         for node in event.nodes:
             self._record_start(event, node, now)
-            node_id = self._id_of(node.uid)
+            node_id = self._get_or_assign_id(node.uid)
             self.nodes[node_id] = node
             changed[node_id] = node
             if track_shards:
                 self._node_by_shard[node.shard] = node_id
         self._last_update_at = now
         offset_ns = self.start_times.clock_offset_ns
-        if offset_ns != offset_before_ns:  # it changes the start time of every node
+        if offset_ns != offset_before_ns:  # applies to the start times of all nodes
             log.warning("wall clock offset detected", offset_ms=offset_ns // 1_000_000)
             changed = dict(self.nodes) | changed
-        entries = tuple(self._entry(node_id, node) for node_id, node in changed.items())
+        entries = tuple(self._node_entry(node_id, node) for node_id, node in changed.items())
         return contract.NodeList(event.kind, entries)
 
     def forget(self, node_id: int) -> bool:
@@ -67,21 +67,21 @@
         self.start_times.forget(node.uid)
         return True
 
-    def queued_for(self, shard: int | None, now: int, slow_start_ns: int) -> QueuedFor:
-        """Return what a request for this shard waits for; None as shard: any node may serve it."""
+    def queue_status(self, shard: int | None, now: int, slow_start_ns: int) -> QueueStatus:
+        """Return the queue status of a request for a shard, where None means that any node may serve it."""
         if shard is None:
-            return QueuedFor(None, QueueReason.CAPACITY)
+            return QueueStatus(None, QueueReason.CAPACITY)
         node_id = self._node_by_shard.get(shard)
         node = self.nodes.get(node_id) if node_id is not None else None
         if node is None:
-            return QueuedFor(None, QueueReason.NO_NODE)
+            return QueueStatus(None, QueueReason.NO_NODE)
         if node.state is not NodeState.READY:
-            return QueuedFor(node_id, QueueReason.DRAINING)
-        warming_up = now - self.start_times.local_start_ns(node.uid) < slow_start_ns
-        return QueuedFor(node_id, QueueReason.SLOW_START if warming_up else QueueReason.CAPACITY)
+            return QueueStatus(node_id, QueueReason.DRAINING)
+        in_slow_start = now - self.start_times.local_start_ns(node.uid) < slow_start_ns
+        return QueueStatus(node_id, QueueReason.SLOW_START if in_slow_start else QueueReason.CAPACITY)
 
-    def _id_of(self, uid: str) -> int:
-        """Return a node's number; a node that is not known gets the next one."""
+    def _get_or_assign_id(self, uid: str) -> int:
+        """Return the id of a node, assigning the next one to an unknown node."""
         node_id = self.node_ids.get(uid)
         if node_id is None:
             node_id = next(self._next_node_ids)
@@ -106,6 +106,6 @@
             clock_is_unreliable=self.wall_clock_is_unreliable,
         )
 
-    def _entry(self, node_id: int, node: NodeUpdate) -> contract.NodeEntry:
+    def _node_entry(self, node_id: int, node: NodeUpdate) -> contract.NodeEntry:
         started_ns = self.start_times.local_start_ns(node.uid)
         return contract.NodeEntry(node_id, node.shard, node.state, started_ns, node.zone, node.rating)
--- a/runloft/core/invariants.py
+++ b/runloft/core/invariants.py
@@ -1,7 +1,7 @@
-"""Run-time checks behind the permissions: violations of invariants are counted, and logged with their ids.
+"""Runtime checks of invariants; each violation is counted and logged with the ids concerned.
 
-A check looks at what is about to be done, not at why it was permitted, so that a fault in the permissions, or
-a path that evades them, is found.  Each costs a few comparisons.
+The checks are independent of the permissions, so that they detect a bug in a permission or a code path that
+bypasses it.  Each costs a few comparisons.
 """
 
 from collections import Counter
@@ -15,11 +15,11 @@
 from runloft.decisions.contract import NodeState, Settings
 
 log = structlog.get_logger()
-WAIT_TOLERANCE_NS = 150_000_000  # by which a node may be told a longer wait than its client's
+WAIT_TOLERANCE_NS = 150_000_000  # by which the wait sent to a node may exceed the request's time left
 
 
 class Violation(StrEnum):
-    """An invariant that was violated; the value is a label of metrics."""
+    """An invariant violation; the value is a metric label."""
 
     DUPLICATE_RESPONSE = "second answer"
     SENT_AFTER_DISCONNECT = "sent after client left"
@@ -31,18 +31,18 @@
 
 
 class Invariants:
-    """Counts of violations, by invariant."""
+    """Counts of invariant violations."""
 
     def __init__(self) -> None:
         self.counts: Counter[Violation] = Counter()
 
     def record(self, violation: Violation, **ids: Any) -> None:
-        """Count a violation, and log it with its ids."""
+        """Count a violation and log it with the ids concerned."""
         self.counts[violation] += 1
         log.error("invariant violated", kind=str(violation), **ids)
 
     def totals(self) -> dict[str, int]:
-        """Return the counts by the violation's label."""
+        """Return the counts by metric label."""
         return {str(violation): count for violation, count in self.counts.items()}
 
     def check_first_byte(
@@ -53,7 +53,10 @@
         announced_wait_ns: int,
         now: int,
     ) -> None:
-        """Check an attempt whose first byte leaves now, and for which its node is told this wait."""
+        """Check an attempt whose first byte is sent now.
+
+        ``announced_wait_ns`` is the wait that is sent to its node.
+        """
         request = attempt.request
         if request.is_complete:
             self.record(Violation.SENT_AFTER_DISCONNECT, request=request.id, attempt=attempt.number)
@@ -64,17 +67,20 @@
         if node is None or node.state is not NodeState.READY:
             self.record(Violation.SENT_TO_DRAINING_NODE, request=request.id, attempt=attempt.number)
 
-    def check_response(self, was_answered: bool, **ids: Any) -> None:
-        """Check a final answer."""
-        if was_answered:
+    def check_response(self, already_answered: bool, **ids: Any) -> None:
+        """Check that a request gets its final response only once."""
+        if already_answered:
             self.record(Violation.DUPLICATE_RESPONSE, **ids)
 
-    def check_close(self, unanswered: int, has_unread_input: bool, caused_here: bool, **ids: Any) -> None:
-        """Check the close of a client's connection; ``caused_here``: the client itself didn't cause it."""
-        if caused_here and unanswered:
+    def check_close(self, unanswered: int, has_unread_input: bool, closed_locally: bool, **ids: Any) -> None:
+        """Check that closing a client connection loses neither a request nor unread input.
+
+        ``closed_locally`` tells that the close was not caused by the client.
+        """
+        if closed_locally and unanswered:
             self.record(Violation.REQUEST_DROPPED, unanswered=unanswered, **ids)
-        elif caused_here and has_unread_input:
+        elif closed_locally and has_unread_input:
             self.record(Violation.INPUT_DISCARDED, **ids)
 
 
-INVARIANTS = Invariants()  # of this process, as the metrics show it
+INVARIANTS = Invariants()  # shared by the whole process; exported as metrics
--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -1,6 +1,7 @@
-"""Events that the reducer takes and effects that it returns, independent of any wire protocol.
+"""Input events and output effects of the reducer, independent of any wire protocol.
 
-Times are nanoseconds on the scheduler's own clock: Unix time at its start plus monotonic progress.
+Times are nanoseconds on the scheduler's own clock: the Unix time at process start plus the monotonic time
+elapsed since.
 """
 
 from dataclasses import dataclass
@@ -12,42 +13,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What may be buffered at once, derived from the limits of the process."""
+    """Limits on what may be buffered at once, derived from the limits of the process."""
 
     requests: int = 2048
-    buffered_bytes: int = 48 << 20  # of all bodies together
+    buffered_bytes: int = 48 << 20  # total size of all request bodies
 
 
-SUSPENDED_RETRY_AFTER_NS = 1_000_000_000  # for requests of suspended volumes
+SUSPENDED_RETRY_AFTER_NS = 1_000_000_000  # sent with requests shed because of a suspended volume
 
 
 @dataclass(frozen=True, slots=True)
 class SuspendedVolumes:
-    """Plans (by number) and volumes (by id) not served while no configuration in effect covers them."""
+    """Plans (by number) and volumes (by id) that are suspended: no configuration in effect covers them."""
 
     plans: frozenset[int] = frozenset()
     volumes: frozenset[int] = frozenset()
 
     def covers(self, plan: int, volume: int) -> bool:
-        """Return whether requests of this plan and volume are shed."""
+        """Return whether requests of this plan or volume are shed."""
         return plan in self.plans or volume in self.volumes
 
 
 class Payload(Protocol):
-    """What a connection pool needs to write an attempt; the core passes it through."""
+    """The data that a connection pool needs to write an attempt; opaque to the core."""
 
     @property
     def wire(self) -> str:
-        """The name of the connection pool that can write it."""
+        """The name of the protocol, and of the connection pool that can write the payload."""
 
     @property
     def buffered_bytes(self) -> int:
-        """How much memory it occupies until its request is released."""
+        """The number of bytes that the payload occupies until its request is released."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """A request as its listener has read it."""
+    """A request as parsed by its listener."""
 
     request_class: int
     plan: int
@@ -60,12 +61,15 @@
     volume_hosts: float = 1.0
     is_write: bool = False
     is_client_retry: bool = False
-    id: bytes = b""  # its client's identifier, where the protocol has them; unique among pending requests
+    id: bytes = b""  # client-chosen id, empty if none; unique per protocol among pending requests
 
 
 @dataclass(frozen=True, slots=True)
 class NodeUpdate:
-    """A storage node as discovery reports it; ``started_ns`` is Unix time, 0 where it was long ago."""
+    """A storage node as reported by discovery.
+
+    ``started_ns`` is the start time in Unix time, or 0 if the node started long ago.
+    """
 
     uid: str
     endpoint: str
@@ -77,12 +81,12 @@
     object_endpoint: str = ""
 
 
-# Final answers.
+# Final responses.
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """Served, with the value as a storage node has returned it."""
+    """The request was served; ``value`` is the value that the storage node returned."""
 
     value: object
     node: str = ""
@@ -91,9 +95,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """Not served, and safe to retry after ``retry_after_ns``; 0: no time is named.
+    """The request was not served and can be retried safely.
 
-    ``cause``: how the last attempt ended, or TIMEOUT where the request's time has run out.
+    ``retry_after_ns`` is the delay before a retry, or 0 if none is given.  ``cause`` is the outcome of the
+    last attempt, TIMEOUT if the deadline of the request has expired, or None.
     """
 
     retry_after_ns: int = 0
@@ -102,14 +107,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Not served, and it may have executed; ``cause`` is how the last attempt ended, if there was one."""
+    """The request was not served but may have executed.
+
+    ``cause`` is the outcome of the last attempt, TIMEOUT if the deadline of the request has expired, or None.
+    """
 
     cause: AttemptOutcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """Not a valid request; nothing of it has executed."""
+    """The request is invalid and has not executed."""
 
     reason: str
 
@@ -118,16 +126,16 @@
 
 
 class ResponseSink(Protocol):
-    """Where a request came from and its response goes; the reducer uses it as a key."""
+    """The client's side of a request, which receives the response; the reducer uses it as a key."""
 
     def answer(self, reply: Reply) -> None:
-        """Send the final answer, which comes exactly once."""
+        """Send the final response; called exactly once."""
 
     def begin(self, value: object, node: str, shard: int) -> None:
-        """Start a streamed response; its end comes as the final answer."""
+        """Start a streamed response; the final response ends it."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has disconnected, by a look at its socket."""
+        """Poll the socket and return whether the client has disconnected."""
 
 
 # Events.
@@ -135,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request was read completely."""
+    """A complete request was received."""
 
     sink: ResponseSink
     spec: RequestSpec
@@ -150,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """An attempt's response has started and is forwarded as it arrives."""
+    """The response to an attempt has started and is streamed to the client."""
 
     attempt: int
     value: object = None
@@ -158,14 +166,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseBuffered:
-    """A streamed response waits for its client: from here on its duration says nothing about the node."""
+    """A streamed response waits for its client to read; time from here on is not latency of the node."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt has ended, and its connection carries nothing of it any more."""
+    """An attempt has ended, and its connection no longer carries any of its data."""
 
     attempt: int
     outcome: AttemptOutcome
@@ -176,21 +184,24 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptWithdrawn:
-    """An attempt's first byte was not permitted when its connection was ready; nothing of it was sent."""
+    """An attempt was not sent because its first byte was not permitted once a connection was ready."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestWritten:
-    """An attempt's last byte has left; reported only where accounts are kept."""
+    """The last byte of an attempt was sent; reported only if latency accounts are enabled."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class NodeListUpdate:
-    """A list of storage nodes; ``previous_contact_at``: when discovery was in contact before, 0: unknown."""
+    """A list of storage nodes from discovery.
+
+    ``previous_contact_at`` is when discovery was last in contact before this list, or 0 if unknown.
+    """
 
     kind: ListKind
     nodes: tuple[NodeUpdate, ...] = ()
@@ -199,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reconfigured:
-    """The configuration has changed; pending requests and what was learned about nodes stay."""
+    """The configuration has changed; pending requests and statistics of nodes are kept."""
 
     settings: Settings
     bounds: Bounds
@@ -208,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process is about to exit: pending requests get their final answer now."""
+    """The process is about to exit; pending requests get their final response now."""
 
 
 Event = (
@@ -235,7 +246,7 @@
 
 
 class Observer(Protocol):
-    """Who is notified of each step of a request, where accounts are kept; it changes nothing in the core.
+    """Receives a notification of each step of a request; it must not change the core.
 
     ``now`` is the time of the step in nanoseconds on the scheduler's own clock.
     """
@@ -249,25 +260,25 @@
         """Record that a request was admitted."""
 
     def request_queued(self, request: int, now: int, node: int | None, reason: QueueReason) -> None:
-        """Record that a request is queued on this host, for this node where it is known for which."""
+        """Record that a request is queued on this host for a node, or for an unknown node if None."""
 
     def attempt_sent(self, request: int, attempt: int, now: int, node: int) -> None:
-        """Record that a request's attempt was dispatched to a node."""
+        """Record that an attempt of a request was dispatched to a node."""
 
     def attempt_written(self, attempt: int, now: int) -> None:
-        """Record that an attempt's last byte has left."""
+        """Record that the last byte of an attempt was sent."""
 
     def response_buffered(self, attempt: int, now: int) -> None:
-        """Record that a node has served an attempt, which waits for its own client from here on."""
+        """Record that a node has served an attempt and the response waits for its client to read."""
 
     def attempt_finished(self, attempt: int, now: int, outcome: AttemptOutcome) -> None:
         """Record that an attempt has ended."""
 
     def request_completed(self, request: int, now: int, served: bool) -> None:
-        """Record that a request has its final answer, or that its client is gone."""
+        """Record that a request has its final response or that its client has disconnected."""
 
     def node_forgotten(self, node: int) -> None:
-        """Record that a node is gone for good."""
+        """Record that a node was permanently removed."""
 
 
 # Effects.
@@ -275,10 +286,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Write an attempt to a node; ``wait_ns`` is how long it is waited for from now on.
+    """Write an attempt to a node and wait for its outcome for at most ``wait_ns``, counted from this step.
 
-    Where its first byte leaves later, ``Core.permit_first_byte`` returns whether it still may, and how long
-    it may be waited for then.
+    If the first byte is sent later, ``Core.permit_first_byte`` returns whether it may still be sent and the
+    remaining wait.
     """
 
     attempt: int
@@ -289,14 +300,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AbortAttempt:
-    """Close the connection of an attempt, before anything that follows is written."""
+    """Close the connection of an attempt before any later effect is carried out."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendResponse:
-    """Send a request's final answer to its client."""
+    """Send the final response to a request to its client."""
 
     sink: ResponseSink
     reply: Reply
--- a/runloft/core/permissions.py
+++ b/runloft/core/permissions.py
@@ -1,9 +1,9 @@
-"""Whether a request may start, an attempt may be sent or retried, and a client's connection may be closed.
+"""Permissions to start a request, to send or retry an attempt, and to close a client connection.
 
-Pure functions over the core's records that return why not, or None.  The scheduler decides what should
-happen; these rules restrict what may happen, whatever was decided and however long ago.  They follow the
-protocol pages' rules on sockets, draining, retries and time; ``docs/design/standing.md`` lists each rule's
-paths.
+Pure functions over the core's records that return the reason for a refusal, or None if the action is
+permitted.  The scheduler decides what to do; these rules restrict what may be done, whatever was decided and
+however long ago.  They implement the protocol rules on sockets, draining, retries and deadlines;
+``docs/design/standing.md`` lists the code paths of each rule.
 """
 
 from collections.abc import Collection
@@ -14,14 +14,14 @@
 from runloft.core.records import Attempt, PendingRequest
 from runloft.decisions.contract import Idempotency, NodeState, Settings
 
-PROTOCOL_SHARE = (
-    0.5  # of each bound, for the requests of one protocol: a flood on one leaves room for the other
-)
-VERIFY_AFTER_NS = 10_000_000  # a request received so recently is sent without a look at its client's socket
+# Fraction of each bound that one protocol may use, so that a flood on one can't starve the other.
+PROTOCOL_SHARE = 0.5
+# A client socket is polled before sending only if its request is older than this.
+VERIFY_AFTER_NS = 10_000_000
 
 
 class StartRefusal(StrEnum):
-    """Why a request may not start; the value is a label of metrics."""
+    """Why a request may not start; the value is a metric label."""
 
     AT_CAPACITY = "no room"
     SUSPENDED = "suspended"
@@ -29,7 +29,7 @@
 
 
 class SendRefusal(StrEnum):
-    """Why an attempt may not be sent; the value is a label of metrics."""
+    """Why an attempt may not be sent; the value is a metric label."""
 
     REQUEST_COMPLETE = "request over"
     CLIENT_DISCONNECTED = "client left"
@@ -47,7 +47,7 @@
 
 
 class CloseReason(StrEnum):
-    """Why a client's connection is closed; the value is a label of metrics."""
+    """Why a client connection was closed; the value is a metric label."""
 
     CLIENT_DISCONNECTED = "client left"
     CLIENT_QUIT = "client quit"
@@ -72,7 +72,7 @@
 
 
 class CloseRefusal(StrEnum):
-    """Why a client's connection may not be closed now."""
+    """Why a client connection may not be closed now."""
 
     REQUEST_UNANSWERED = "a request is unanswered"
     RESPONSE_UNWRITTEN = "an answer is unwritten"
@@ -82,10 +82,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPermit:
-    """Whether an attempt's first byte may leave now; true where it may.
+    """Permission to send the first byte of an attempt now; true if granted.
 
-    ``wait_ns`` is how long the attempt may be waited for, 0 where it may not leave.  ``verify``: the sink
-    whose client's socket is to be checked before the byte leaves; None where the request has just come.
+    ``wait_ns`` is how long to wait for the outcome, or 0 if refused.  ``verify`` is the sink whose client
+    must be checked for a disconnect before the byte is sent, or None if the request was received just now.
     """
 
     wait_ns: int = 0
@@ -106,7 +106,7 @@
 ) -> StartRefusal | None:
     """Return why a request may not start, or None.
 
-    ``open_requests`` and ``buffered_bytes`` are what the pending requests of its protocol occupy.
+    ``open_requests`` and ``buffered_bytes`` are the current usage by pending requests of the same protocol.
     """
     full = open_requests >= PROTOCOL_SHARE * bounds.requests
     if full or buffered_bytes + request_bytes > PROTOCOL_SHARE * bounds.buffered_bytes:
@@ -117,7 +117,7 @@
 
 
 def permit_retry(request: PendingRequest, settings: Settings, now: int) -> SendRefusal | None:
-    """Return why no further attempt may be sent for a request that may have executed, or None."""
+    """Return why a request that may have executed may not be retried, or None."""
     if request.ambiguous_since is None:
         return None
     request_class = settings.classes[request.spec.request_class]
@@ -132,7 +132,7 @@
 def permit_send(
     request: PendingRequest, node: NodeUpdate, settings: Settings, now: int
 ) -> SendRefusal | None:
-    """Return why the request's next attempt may not be dispatched to this node, or None."""
+    """Return why the next attempt of a request may not be dispatched to a node, or None."""
     if request.is_complete:
         return SendRefusal.REQUEST_COMPLETE
     if now >= request.deadline:
@@ -151,10 +151,10 @@
 def permit_first_byte(
     attempt: Attempt | None, node: NodeUpdate | None, settings: Settings, now: int
 ) -> SendPermit:
-    """Return whether an attempt's first byte may leave now, however long ago it was dispatched.
+    """Return whether the first byte of an attempt may be sent now, however long ago it was dispatched.
 
-    Until its connection is up, its client may disconnect, its node may drain, be removed or restart, its
-    idempotency window may close and its time may run out.
+    While the connection is being set up, the client may disconnect, the node may drain, be removed or
+    restart, the idempotency window may close, and the deadline may expire.
     """
     if attempt is None or attempt.request.is_complete or attempt.timeout is None:
         return SendPermit(refusal=SendRefusal.REQUEST_COMPLETE)
@@ -170,7 +170,7 @@
 
 
 def _node_refusal(at_dispatch: NodeUpdate, current: NodeUpdate | None) -> SendRefusal | None:
-    """Return why a node is no longer the one that an attempt was dispatched to, or None."""
+    """Return why an attempt may not be sent given how its node changed since dispatch, or None."""
     if current is None:
         return SendRefusal.NODE_UNKNOWN
     if current.state is NodeState.DRAINING:
@@ -189,9 +189,10 @@
     incomplete_bytes: int,
     has_unread_input: bool,
 ) -> CloseRefusal | None:
-    """Return why a client's connection may not be closed, or None; what the client caused always suffices.
+    """Return why a client connection may not be closed, or None.
 
-    ``incomplete_bytes``: read of a command that isn't complete; ``has_unread_input``: a close would lose it.
+    A close caused by the client is always permitted.  ``incomplete_bytes`` is the number of bytes read of an
+    incomplete command; ``has_unread_input`` tells that a close would discard input in the socket.
     """
     if reason in CAUSED_BY_CLIENT:
         return None
--- a/runloft/core/records.py
+++ b/runloft/core/records.py
@@ -1,4 +1,4 @@
-"""The core's records: requests that are pending, and attempts that are in flight.
+"""Records of the core: pending requests and in-flight attempts.
 
 Times are nanoseconds on the scheduler's own clock.
 """
@@ -12,9 +12,9 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request, until it is complete and none of its attempts is in flight.
+    """A request that is incomplete or still has an attempt in flight.
 
-    It is complete once its client has the final answer or has disconnected.
+    A request is complete once its client has the final response or has disconnected.
     """
 
     id: int
@@ -23,7 +23,7 @@
     deadline: int
     received_at: int = 0
     attempt_count: int = 0
-    in_flight: dict[int, "Attempt"] = field(default_factory=dict)  # by the attempt's index in the request
+    in_flight: dict[int, "Attempt"] = field(default_factory=dict)  # by index within the request
     is_complete: bool = False
     is_streaming: bool = False
     last_outcome: AttemptOutcome | None = None
@@ -32,14 +32,14 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt that was handed to a connection pool and has no outcome yet."""
+    """An attempt that was dispatched to a connection pool and has no outcome yet."""
 
     number: int
     request: PendingRequest
     node_id: int
-    node: NodeUpdate  # as it was at dispatch
+    node: NodeUpdate  # state at the time of dispatch
     dispatched_at: int
     index: int = 0  # 0 for the request's first attempt
-    timeout: TimerHandle | None = None  # None once its response is streamed
-    outcome_reported: bool = False  # the scheduler has had its result before it ended
-    is_started: bool = False  # its first byte was permitted to leave
+    timeout: TimerHandle | None = None  # None once the response is streamed
+    outcome_reported: bool = False  # the scheduler got the result before the attempt ended
+    is_started: bool = False  # the first byte was sent
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -1,7 +1,7 @@
-"""The reducer: one scheduler host's state of requests and attempts, and the steps that change it.
+"""The reducer: the requests and attempts of one scheduler host, and the steps that change them.
 
-``Core.step`` takes the events that have come, hands them to the scheduler in one call and returns the effects
-that are to be carried out, in order.  It does no I/O and reads no clock.
+``Core.step`` applies the events that arrived, passes them to the scheduler in one call and returns the
+effects to carry out, in order.  It performs no I/O and reads no clock.
 
 States of a request:
 
@@ -9,13 +9,12 @@
 state      entered by                                     left by
 ========== ============================================== ==============================================
 pending    ``RequestReceived`` that may start             any of the following
-streaming  ``StreamStarted`` of one of its attempts       its attempt's end, ``ClientDisconnected``
-complete   its final answer, or ``ClientDisconnected``    the end of its last attempt in flight
-released   complete, with no attempt in flight            nothing; its client's identifier is known for a
-                                                          while
+streaming  ``StreamStarted`` of one of its attempts       the attempt's end, ``ClientDisconnected``
+complete   final response, or ``ClientDisconnected``      the end of its last attempt in flight
+released   complete, with no attempt in flight            none; the client's id stays reserved for a while
 ========== ============================================== ==============================================
 
-A request that may not start is answered at once and has no state.
+A request that may not start is rejected at once and has no state.
 
 States of an attempt:
 
@@ -23,16 +22,17 @@
 state      entered by                                     left by
 ========== ============================================== ==============================================
 dispatched ``SendAttempt`` that is permitted              ``begin_attempt``, or any end
-started    ``begin_attempt``: its first byte leaves       ``StreamStarted``, or any end
-streaming  ``StreamStarted``: its timeout is off          any end but a timeout
-ended      ``AttemptFinished``, ``AttemptWithdrawn``, its nothing; later events of it are ignored
+started    ``begin_attempt``: its first byte is sent      ``StreamStarted``, or any end
+streaming  ``StreamStarted``: its timeout is cancelled    any end but a timeout
+ended      ``AttemptFinished``, ``AttemptWithdrawn``, its none; later events for it are ignored
            timeout, ``CancelAttempt``, its client's
            disconnect in a stream, or the failure of its
            request before it has started
 ========== ============================================== ==============================================
 
-The first attempt that succeeds is the client's answer.  Every attempt that the scheduler asks for has exactly
-one result: at once, or in the next step where it was not sent or was aborted by an effect of this step.
+The client gets the response of the first attempt that succeeds.  Every attempt that the scheduler requests
+has exactly one result: in the step in which it ends, or in the next one if it was not sent or was aborted by
+an effect of this step.
 """
 
 from collections.abc import Iterable, Mapping
@@ -72,7 +72,7 @@
 
 
 class Core:
-    """One scheduler's state; times are nanoseconds on its own clock."""
+    """The state of one scheduler host; times are nanoseconds on its own clock."""
 
     def __init__(
         self, settings: Settings, seed: int, now: int, timers: TimerQueue, bounds: Bounds | None = None
@@ -96,12 +96,12 @@
 
     @property
     def bounds(self) -> Bounds:
-        """What may be buffered at once."""
+        """The limits on what may be buffered at once."""
         return self._context.bounds
 
     @property
     def suspended(self) -> SuspendedVolumes:
-        """The plans and volumes that are not served for now."""
+        """The plans and volumes that are currently suspended."""
         return self._context.suspended
 
     @suspended.setter
@@ -110,7 +110,7 @@
 
     @property
     def observer(self) -> Observer | None:
-        """Who is notified of each step of a request, where accounts are kept."""
+        """The observer of each step of a request, or None if latency accounts are disabled."""
         return self._context.observer
 
     @observer.setter
@@ -119,12 +119,12 @@
 
     @property
     def requests(self) -> Mapping[int, PendingRequest]:
-        """The requests that are not released, by number."""
+        """The requests that are not released, by id."""
         return self._requests.pending
 
     @property
     def by_sink(self) -> Mapping[ResponseSink, PendingRequest]:
-        """The requests that are not complete, by where their answer goes."""
+        """The requests that are not complete, by sink."""
         return self._requests.by_sink
 
     @property
@@ -134,38 +134,38 @@
 
     @property
     def client_ids(self) -> ClientRequestIds:
-        """The identifiers that clients may not give to another request yet."""
+        """The client-chosen request ids that are in use or still reserved."""
         return self._requests.client_ids
 
     @property
     def usage(self) -> Mapping[str, WireUsage]:
-        """What the requests that are not released occupy, by protocol."""
+        """The buffer usage of requests that are not released, by protocol."""
         return self._requests.usage
 
     @property
     def nodes(self) -> Mapping[int, NodeUpdate]:
-        """The storage nodes, by the number that the scheduler knows them by."""
+        """The storage nodes, by the id that the scheduler uses."""
         return self.endpoints.nodes
 
     @property
     def node_ids(self) -> Mapping[str, int]:
-        """The numbers of the storage nodes, by the identifier that discovery knows them by."""
+        """The scheduler's ids of the storage nodes, by the uid that discovery uses."""
         return self.endpoints.node_ids
 
     def next_at(self, now: int) -> int | None:
-        """Return when the next step is due even if no event comes; None: not at all."""
+        """Return when the next step is due if no event arrives, or None if none is due."""
         return now if self._context.deferred_events else self.timers.next_at()
 
     def permit_first_byte(self, number: int, now: int) -> SendPermit:
-        """Return whether an attempt's first byte may leave now, and how long it may be waited for."""
+        """Return whether an attempt's first byte may be sent now, and how long to wait for the outcome."""
         return self._attempts.permit_first_byte(number, now)
 
     def begin_attempt(self, number: int, announced_wait_ns: int, now: int) -> None:
-        """Record that an attempt's first byte leaves, with the wait that its node is told."""
+        """Record that an attempt's first byte is sent, with the wait that is sent to its node."""
         self._attempts.start(number, announced_wait_ns, now)
 
     def step(self, now: int, events: Iterable[Event]) -> list[Effect]:
-        """Take in all events, ask the scheduler once, and return what is to be done, in order."""
+        """Apply the events, call the scheduler at most once, and return the effects to carry out in order."""
         context = self._context
         context.begin_step(now)
         self._requests.client_ids.expire(now, context.bounds.requests)
@@ -175,7 +175,7 @@
             self._apply_due(item)
         if context.scheduler_events:
             for action in self.scheduler.handle(now, context.scheduler_events):
-                self._carry_out(action)
+                self._execute_action(action)
         return context.end_step()
 
     def _apply(self, event: Event) -> None:
@@ -195,10 +195,10 @@
             case ClientDisconnected(sink):
                 self._disconnect(sink)
             case _:
-                self._apply_to_host(event)
+                self._apply_global(event)
 
-    def _apply_to_host(self, event: NodeListUpdate | Reconfigured | ShutdownStarted) -> None:
-        """Apply an event that belongs to no single request."""
+    def _apply_global(self, event: NodeListUpdate | Reconfigured | ShutdownStarted) -> None:
+        """Apply an event that doesn't concern a single request."""
         match event:
             case NodeListUpdate():
                 self._update_nodes(event)
@@ -216,7 +216,7 @@
             case _ if callable(item):
                 item()
 
-    def _carry_out(self, action: contract.Action) -> None:
+    def _execute_action(self, action: contract.Action) -> None:
         match action:
             case contract.SendAttempt(request_id, node_id, timeout_ns):
                 self._attempts.send(request_id, node_id, timeout_ns)
@@ -231,7 +231,7 @@
             case contract.ForgetNode(node_id):
                 self._forget_node(node_id)
             case contract.HealthCheck() | contract.WatchNodeList():
-                pass  # nodes may not be health-checked here, and the watch is always open
+                pass  # nodes may not be health-checked here, and the watch of the node list is always open
 
     def _disconnect(self, sink: ResponseSink) -> None:
         request = self._requests.disconnect(sink)
@@ -262,10 +262,10 @@
         self._requests.finish(request_id, Shed(retry_after_ns, cause))
 
     def _fail(self, request_id: int) -> None:
-        """Answer that a request has failed, or that it may be retried if certainly nothing ran."""
+        """Fail a request, or shed it as safe to retry if it certainly hasn't executed."""
         cause = self._requests.failure_cause(request_id)
-        nothing_ran = self._attempts.withdraw_unstarted(request_id)
-        self._requests.finish(request_id, Shed(0, cause) if nothing_ran else Failed(cause))
+        not_executed = self._attempts.withdraw_unstarted(request_id)
+        self._requests.finish(request_id, Shed(0, cause) if not_executed else Failed(cause))
 
     def _set_timer(self, at_ns: int, token: int) -> None:
         self.timers.add(max(at_ns, self._context.now + 1), contract.TimerFired(token))
--- a/runloft/core/requests.py
+++ b/runloft/core/requests.py
@@ -1,4 +1,4 @@
-"""The lifecycle of requests: admitted, completed, released; the reducer's docstring has the states."""
+"""The lifecycle of requests, from admission to release; see ``reducer`` for the states."""
 
 from dataclasses import dataclass
 from itertools import count
@@ -26,26 +26,26 @@
 
 @dataclass(slots=True)
 class WireUsage:
-    """What the pending requests of one protocol occupy."""
+    """Number and buffered bytes of the pending requests of one protocol."""
 
     open_requests: int = 0
     buffered_bytes: int = 0
 
 
 class RequestLifecycle:
-    """All pending requests, what they occupy, and the identifiers that their clients gave them."""
+    """The pending requests, their buffer usage by protocol, and their client-chosen ids."""
 
     def __init__(self, context: StepContext, endpoints: EndpointTable) -> None:
         self._context = context
         self._endpoints = endpoints
         self.pending: dict[int, PendingRequest] = {}
-        self.by_sink: dict[ResponseSink, PendingRequest] = {}  # those that are not complete
+        self.by_sink: dict[ResponseSink, PendingRequest] = {}  # incomplete requests only
         self.client_ids = ClientRequestIds()
         self.usage: dict[str, WireUsage] = {}  # by protocol
         self._next_ids = count(1)
 
     def receive(self, sink: ResponseSink, spec: RequestSpec) -> None:
-        """Admit a request and pass it to the scheduler, or answer it at once where it may not start."""
+        """Admit a request and pass it to the scheduler, or reject it at once if it may not start."""
         usage = self._usage_of(spec.payload.wire)
         client_id = ClientRequestId(spec.payload.wire, spec.id)
         refusal = permissions.permit_start(
@@ -69,7 +69,7 @@
         self._context.scheduler_events.append(_scheduler_request(request))
 
     def disconnect(self, sink: ResponseSink) -> PendingRequest | None:
-        """Complete the request of a client that has disconnected; return it unless it is complete."""
+        """Complete the request of a disconnected client; return it, or None if it was already complete."""
         request = self.by_sink.get(sink)
         if request is None or request.is_complete:
             return None
@@ -80,20 +80,20 @@
         return request
 
     def finish(self, request_id: int, reply: Shed | Failed) -> None:
-        """Answer a request that is not served, unless it is complete."""
+        """Send the final response to a request that is not served, unless it is already complete."""
         request = self.pending.get(request_id)
         if request is None or request.is_complete:
             return
         self.complete(request)
-        counted = CounterName.REQUESTS_SHED if isinstance(reply, Shed) else CounterName.REQUESTS_FAILED
-        COUNTERS.add(counted, reply.cause.value if reply.cause else "not tried")
+        counter = CounterName.REQUESTS_SHED if isinstance(reply, Shed) else CounterName.REQUESTS_FAILED
+        COUNTERS.add(counter, reply.cause.value if reply.cause else "not tried")
         if trace.enabled:
             trace("request not served", request=request.id, id=request.spec.id, reply=type(reply).__name__)
         self._context.effects.append(SendResponse(request.sink, reply))
         self.release(request)
 
     def complete(self, request: PendingRequest) -> None:
-        """Record that the client has its final answer or is gone; nothing is owed to it any more."""
+        """Mark a request as complete: its client has the final response or has disconnected."""
         context = self._context
         request.is_complete = True
         if context.observer is not None:
@@ -102,7 +102,7 @@
         del self.by_sink[request.sink]
 
     def release(self, request: PendingRequest) -> None:
-        """Remove a request that is complete once none of its attempts is in flight."""
+        """Remove a request if it is complete and has no attempt in flight."""
         if not request.is_complete or request.in_flight or request.id not in self.pending:
             return
         del self.pending[request.id]
@@ -113,13 +113,17 @@
         usage.buffered_bytes -= payload.buffered_bytes
 
     def failure_cause(self, request_id: int) -> AttemptOutcome | None:
-        """Return why a request can't be served: how its last attempt ended, or TIMEOUT as its time is up."""
+        """Return the outcome of the last attempt, or TIMEOUT if the deadline expires within two ticks.
+
+        TIMEOUT is returned only if an attempt was made.  Return None if the request is unknown or no attempt
+        has ended.
+        """
         request = self.pending.get(request_id)
         if request is None:
             return None
         context = self._context
-        time_is_up = context.now + 2 * context.settings.tick_ns >= request.deadline
-        return AttemptOutcome.TIMEOUT if time_is_up and request.attempt_count else request.last_outcome
+        deadline_near = context.now + 2 * context.settings.tick_ns >= request.deadline
+        return AttemptOutcome.TIMEOUT if deadline_near and request.attempt_count else request.last_outcome
 
     def _usage_of(self, wire: str) -> WireUsage:
         usage = self.usage.get(wire)
@@ -130,7 +134,7 @@
 
     def _refusal_reply(self, refusal: StartRefusal) -> Shed | InvalidRequest:
         match refusal:
-            case StartRefusal.ID_IN_USE:  # a node would take the second request for a copy of the first
+            case StartRefusal.ID_IN_USE:  # a node would deduplicate it against the other request
                 return InvalidRequest("this id is another request's")
             case StartRefusal.SUSPENDED:
                 max_retry_after_ns = self._context.settings.max_retry_after_ns or SUSPENDED_RETRY_AFTER_NS
@@ -152,14 +156,16 @@
                 request.id, context.now, spec.volume, spec.request_class, spec.plan, spec.units
             )
             slow_start_ns = context.settings.slow_start_ns
-            queued_for = self._endpoints.queued_for(spec.shard, context.now, slow_start_ns)
-            context.observer.request_queued(request.id, context.now, queued_for.node_id, queued_for.reason)
+            queue_status = self._endpoints.queue_status(spec.shard, context.now, slow_start_ns)
+            context.observer.request_queued(
+                request.id, context.now, queue_status.node_id, queue_status.reason
+            )
         if trace.enabled:
             trace("request", request=request.id, id=spec.id, time_left_ms=spec.time_left_ns // 1_000_000)
 
 
 def _scheduler_request(request: PendingRequest) -> contract.Request:
-    """Return the request as the scheduler takes it."""
+    """Return the request as an event for the scheduler."""
     spec = request.spec
     return contract.Request(
         id=request.id,
--- a/runloft/core/start_times.py
+++ b/runloft/core/start_times.py
@@ -1,28 +1,28 @@
-"""When storage nodes started, on this process's own clock.
+"""Start times of storage nodes on the clock of this process.
 
-Discovery reports start times in Unix time.  This process read the wall clock once, and it may have been off
-by seconds or an hour then.  Two facts hold without it: a start that is reported as a change happened since
-discovery was last in contact before, and no start lies in the future.
+Discovery reports start times in Unix time.  This process reads the wall clock only once, at its start, when
+it may be wrong by seconds or an hour.  Two facts hold regardless: a start reported as a change happened
+after the previous contact with discovery, and no start lies in the future.
 """
 
 from dataclasses import dataclass
 
-MAX_REPORT_DELAY_NS = 30_000_000_000  # a start reported later than this means that the wall clock is off
+MAX_REPORT_DELAY_NS = 30_000_000_000  # a longer apparent delay means that the wall clock is wrong
 
 
 @dataclass(slots=True)
 class _Start:
-    """A node's last start."""
+    """The most recent start of a node."""
 
-    reported_ns: int  # as discovery reports it, Unix time; 0: long ago
+    reported_ns: int  # Unix time as reported by discovery; 0: long ago
     first_reported_at: int  # own clock
     not_before: int  # own clock
 
 
 class StartTimes:
-    """The last starts of all nodes.
+    """The most recent start of each node.
 
-    ``clock_offset_ns`` is what has to be added to a reported start, as far as it is known.
+    ``clock_offset_ns`` is the correction to add to a reported start, estimated from the reports so far.
     """
 
     def __init__(self) -> None:
@@ -32,28 +32,29 @@
     def record(
         self, uid: str, reported_ns: int, now: int, *, changed_since: int | None, clock_is_unreliable: bool
     ) -> None:
-        """Record a node's reported start.
+        """Record the reported start of a node.
 
-        ``changed_since``: where it is a change, when discovery was in contact before; None: the node may have
-        started at any time.  ``clock_is_unreliable``: the wall clock has been seen to step.
+        ``changed_since`` is the time of the previous contact with discovery if the start is reported as a
+        change, or None if the node may have started at any time.  ``clock_is_unreliable`` tells that the wall
+        clock was seen to step.
         """
-        known = self._starts.get(uid)
-        if known is not None and known.reported_ns == reported_ns:
+        previous = self._starts.get(uid)
+        if previous is not None and previous.reported_ns == reported_ns:
             return
         start = _Start(reported_ns, now, 0)
         self._starts[uid] = start
-        moved_back = known is not None and reported_ns < known.reported_ns
+        moved_back = previous is not None and reported_ns < previous.reported_ns
         if not reported_ns or changed_since is None or moved_back:
             return
-        delay_ns = changed_since - (reported_ns + self.clock_offset_ns)
-        clock_is_off = delay_ns > MAX_REPORT_DELAY_NS
-        if clock_is_off:
-            self.clock_offset_ns += delay_ns
-        if clock_is_off or clock_is_unreliable:
+        apparent_delay_ns = changed_since - (reported_ns + self.clock_offset_ns)
+        clock_is_wrong = apparent_delay_ns > MAX_REPORT_DELAY_NS
+        if clock_is_wrong:
+            self.clock_offset_ns += apparent_delay_ns
+        if clock_is_wrong or clock_is_unreliable:
             start.not_before = changed_since
 
     def local_start_ns(self, uid: str) -> int:
-        """Return a node's start on the own clock; 0 where it was long ago."""
+        """Return when a node started on the clock of this process, or 0 if long ago or unknown."""
         start = self._starts.get(uid)
         if start is None or not start.reported_ns:
             return 0
@@ -61,5 +62,5 @@
         return max(1, min(max(corrected_ns, start.not_before), start.first_reported_at))
 
     def forget(self, uid: str) -> None:
-        """Forget a node that is gone for good."""
+        """Remove a node that was permanently removed from the fleet."""
         self._starts.pop(uid, None)
--- a/runloft/core/timers.py
+++ b/runloft/core/timers.py
@@ -1,4 +1,4 @@
-"""The one sorted queue of everything that is due at some time; the reducer empties it in each step."""
+"""The timer queue; the reducer removes the due items in each step."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, eq=False)
 class TimerHandle:
-    """An item of the queue; ``due_at`` is in nanoseconds on the queue's clock."""
+    """A queued item; ``due_at`` is in nanoseconds on the scheduler's own clock."""
 
     due_at: int
     serial: int
@@ -18,18 +18,19 @@
 
 
 class TimerQueue:
-    """Items by the time at which they are due; items due at one time keep the order of their adding."""
+    """Items sorted by due time; items due at the same time keep the order in which they were added."""
 
     def __init__(self) -> None:
         self._handles: SortedList[TimerHandle] = SortedList(key=attrgetter("due_at", "serial"))
         self._serials = count()
-        self.on_earliest_changed: Callable[[], None] = lambda: None  # called when an item precedes all others
+        # Called when an added item becomes the earliest.
+        self.on_earliest_changed: Callable[[], None] = lambda: None
 
     def __len__(self) -> int:
         return len(self._handles)
 
     def add(self, at_ns: int, item: object) -> TimerHandle:
-        """Add an item and return the handle that removes it."""
+        """Add an item and return a handle for removing it."""
         handle = TimerHandle(at_ns, next(self._serials), item)
         self._handles.add(handle)
         if self._handles[0] is handle:
@@ -42,11 +43,11 @@
             self._handles.discard(handle)
 
     def next_at(self) -> int | None:
-        """Return the earliest time at which an item is due; None where the queue is empty."""
+        """Return the earliest due time, or None if the queue is empty."""
         return self._handles[0].due_at if self._handles else None
 
     def pop_due(self, now: int) -> list[object]:
-        """Remove and return all items that are due, the earliest first."""
+        """Remove and return the due items in order of their due times."""
         due = []
         while self._handles and self._handles[0].due_at <= now:
             due.append(self._handles.pop(0).item)
--- a/runloft/core/trace.py
+++ b/runloft/core/trace.py
@@ -1,4 +1,4 @@
-"""State transitions by id as log events at debug level; off by default, and cheap where it is off."""
+"""Debug-level log events for state transitions; off by default."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class Trace:
-    """A switch and its log call; callers check ``enabled`` first, so that no fields are built in vain."""
+    """Logs state transitions; callers check ``enabled`` first to avoid building unused log fields."""
 
     enabled = False
 
@@ -17,4 +17,4 @@
         log.debug(event, **fields)
 
 
-trace = Trace()  # of this process; the command line switches it on
+trace = Trace()  # shared by the whole process; enabled on the command line
--- a/tests/accounts/test_account_metrics.py
+++ b/tests/accounts/test_account_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of the latency accounts: operators' dashboards go by their names and labels."""
+"""The metrics of the latency accounts, whose names and labels operators' dashboards depend on."""
 
 from runloft.accounts.latency import LatencyComponent
 from runloft.accounts.ledger import Ledger
--- a/tests/accounts/test_unchanged_totals.py
+++ b/tests/accounts/test_unchanged_totals.py
@@ -1,4 +1,4 @@
-"""A random sequence of request steps fed to the ledger, against the totals that version 9c33a60 kept."""
+"""A random sequence of request steps in the ledger; the totals must equal those of version 9c33a60."""
 
 import hashlib
 import json
@@ -14,28 +14,28 @@
 OUTCOMES = (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.NOT_SENT)
 
 
-def rendered(totals):
-    """Return the totals by value, without the names of classes and fields."""
+def render(totals):
+    """Return the values of the totals, without the names of classes and fields."""
     return [
         [
             volume,
-            one.requests,
-            one.served,
-            one.late,
-            one.total_ns,
-            sorted((component.value, amount) for component, amount in one.components.items()),
-            list(one.waited_for.amounts.items()),
-            one.stalled_ns,
-            one.unattributed_ns,
+            volume_totals.requests,
+            volume_totals.served,
+            volume_totals.late,
+            volume_totals.total_ns,
+            sorted((component.value, amount) for component, amount in volume_totals.components.items()),
+            list(volume_totals.waited_for.amounts.items()),
+            volume_totals.stalled_ns,
+            volume_totals.unattributed_ns,
         ]
-        for volume, one in totals.items()
+        for volume, volume_totals in totals.items()
     ]
 
 
-def test_totals_of_a_random_sequence_are_those_of_the_version_before():
+def test_totals_of_a_random_sequence_are_unchanged():
     generator = random.Random(36)
     ledger = Ledger(settings(), max_volumes=12)
-    now, seen = 0, []
+    now, rendered = 0, []
     for step in range(20_000):
         now += generator.choice((0, 1, 1000, 7_000_000, 400_000_000))
         request = generator.randrange(max(1, step // 6 - 20), step // 6 + 2)
@@ -61,7 +61,7 @@
         if generator.random() < 0.001:
             ledger.node_forgotten(node)
         if generator.random() < 0.002:
-            seen.append(rendered(ledger.take_totals()))
-    seen.append(rendered(ledger.take_totals()))
-    assert sum(len(one) for one in seen) > 100
-    assert hashlib.sha256(json.dumps(seen).encode()).hexdigest() == EXPECTED
+            rendered.append(render(ledger.take_totals()))
+    rendered.append(render(ledger.take_totals()))
+    assert sum(len(rows) for rows in rendered) > 100
+    assert hashlib.sha256(json.dumps(rendered).encode()).hexdigest() == EXPECTED
--- a/tests/core/test_attempt_lifecycle.py
+++ b/tests/core/test_attempt_lifecycle.py
@@ -1,4 +1,4 @@
-"""Attempts: one result each, timeouts, cancellation and streamed responses."""
+"""Attempt lifecycle: exactly one result each, timeouts, cancellation and streamed responses."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 from tests.support.driver import MS
 
 
-def test_first_success_is_the_answer_and_later_events_are_ignored():
+def test_first_success_is_the_response_and_later_events_are_ignored():
     harness = CoreHarness()
     sink, (sent,) = harness.receive([SendAttempt(1, 1)])
     assert isinstance(sent, Dispatch) and sent.wait_ns == 600 * MS
@@ -45,20 +45,20 @@
     harness = CoreHarness()
     harness.receive([SendAttempt(1, 1, 100 * MS)])
     effects = harness.step(after=100, actions=[SendAttempt(1, 1)])
-    assert [type(e) for e in effects] == [AbortAttempt, Dispatch] and effects[0].attempt == 1
+    assert [type(effect) for effect in effects] == [AbortAttempt, Dispatch] and effects[0].attempt == 1
     harness.step(AttemptFinished(1, AttemptOutcome.OK, b"late"))
     assert harness.scheduler.results() == [(1, 0, AttemptOutcome.TIMEOUT, False)]
 
 
-@pytest.mark.parametrize("twice", [SendAttempt(1, 1), SendAttempt(1, 9), SendAttempt(1, 2)])
-def test_attempt_that_is_not_permitted_is_not_sent_and_its_result_comes_in_the_next_step(twice):
+@pytest.mark.parametrize("second", [SendAttempt(1, 1), SendAttempt(1, 9), SendAttempt(1, 2)])
+def test_attempt_that_is_not_permitted_is_not_sent_and_its_result_comes_in_the_next_step(second):
     harness = CoreHarness()
     harness.step(NodeListUpdate(ListKind.DELTA, (NodeUpdate("s-2", "127.0.0.1:2", 1),)))
-    _, effects = harness.receive([SendAttempt(1, 1), twice])  # a second copy, an unknown node, another shard
+    _, effects = harness.receive([SendAttempt(1, 1), second])  # duplicate attempt, unknown node, wrong shard
     assert len(effects) == 1
     assert harness.core.next_at(harness.now) == harness.now
     harness.step()
-    assert [o[2] for o in harness.scheduler.results()] == [AttemptOutcome.NOT_SENT]
+    assert [result[2] for result in harness.scheduler.results()] == [AttemptOutcome.NOT_SENT]
 
 
 def test_cancelled_attempt_is_aborted_and_reported_once():
@@ -87,8 +87,8 @@
     assert harness.step(AttemptFinished(1, AttemptOutcome.OK), after=1) == [
         SendResponse(sink, Served(None, "s-1", 0))
     ]
-    (outcome,) = [e for e in harness.scheduler.events if isinstance(e, AttemptResult)]
-    assert outcome.outcome is AttemptOutcome.OK and outcome.complete and outcome.latency_ns == 10 * MS
+    (result,) = [event for event in harness.scheduler.events if isinstance(event, AttemptResult)]
+    assert result.outcome is AttemptOutcome.OK and result.complete and result.latency_ns == 10 * MS
 
 
 def test_disconnect_during_a_stream_aborts_the_attempt():
--- a/tests/core/test_golden_sequence.py
+++ b/tests/core/test_golden_sequence.py
@@ -1,9 +1,9 @@
-"""Seeded random sequences of events through the reducer: the outcome is the same to the digit.
+"""Seeded random sequences of events through the reducer must give exactly the recorded outcomes.
 
-Each sequence's outcome (effects, permits, what the scheduler and the observer are handed, counters, sizes of
-the state) is rendered by value and compared by its digest.  The expected digests come from version 9c33a60,
-before its names and modules were changed.  Names of classes and fields don't show in the rendering: what
-builds and reads them is in ``tests/support/core_vocabulary.py``.
+The outcome of a sequence (effects, permits, scheduler events and actions, observer calls, counters, sizes of
+the state) is rendered by value and compared by digest.  The expected digests were recorded with version
+9c33a60, before its names and modules were changed.  The rendering contains no names of classes or fields;
+the code that depends on them is in ``tests/support/core_vocabulary.py``.
 """
 
 import hashlib
@@ -18,8 +18,8 @@
 UIDS = [f"node-{number}" for number in range(8)]
 WIRES = ["http", "resp"]
 
-# (seed, whether actions are random): the digest.  With random actions the scheduler's own decisions don't
-# show, and what a sensible scheduler would never ask for is asked for too.
+# Digests by (seed, whether actions are random).  Random actions replace the scheduler's decisions, and
+# include actions that the scheduler would never request.
 EXPECTED = {
     (1, False): "7472455bd3cc756376645e1d898f83b02d819ce9054ae69545a5212009aec83a",
     (2, False): "e658357d4256633010f2a8bd155684db28fadddc142918a576526b3ae350a3a6",
@@ -33,21 +33,22 @@
 
 
 class Sequence:
-    """Draws events from a seed, feeds them to a core and keeps what came of each step."""
+    """Feeds events drawn from a seed to a core and records the outcome of each step."""
 
     def __init__(self, seed, random_actions):
         self.random = Random(seed)
         self.now = 1000 * SECOND
-        self.off_ns = self.random.choice([0, 0, 40 * SECOND, -40 * SECOND])  # the wall clock, to discovery's
+        # Difference between the clock of discovery and the wall clock of the core.
+        self.clock_offset_ns = self.random.choice([0, 0, 40 * SECOND, -40 * SECOND])
         decide = self.random_actions if random_actions else None
         self.core = core_api.new_core(core_api.golden_settings(), seed, self.now, decide)
-        self.serial = 0
+        self.request_count = 0
         self.ids = []
-        self.attempts = {}  # number -> whether its first byte has left
+        self.attempts = {}  # number -> whether its first byte was sent
         self.finished = []
         self.nodes = {}
         self.lines = []
-        self.counters = core_api.CounterReading()
+        self.counters = core_api.CounterSnapshot()
 
     def run(self):
         self.step([self.full_list()])
@@ -58,11 +59,11 @@
             if number == STEPS * 2 // 3:
                 core_api.mark_wall_clock_unreliable(self.core)
             self.step([event for event in (self.event() for _ in range(self.count())) if event])
-        self.step([core_api.closing()])
+        self.step([core_api.shutdown_started()])
         for _ in range(300):
             self.now += 20 * MS
             self.step([])
-        self.lines.append(core_api.rendered(self.counters.since()))
+        self.lines.append(core_api.render(self.counters.increase()))
         return hashlib.sha256("\n".join(self.lines).encode()).hexdigest()
 
     def count(self):
@@ -78,17 +79,17 @@
                 self.attempts.pop(aborted, None)
                 self.finished.append(aborted)
         outcome = [effects, scheduler.calls, observer.calls, core_api.state(self.core)]
-        self.lines.append(core_api.rendered(outcome))
+        self.lines.append(core_api.render(outcome))
         scheduler.calls, observer.calls = [], []
-        self.let_first_bytes_go()
+        self.start_attempts()
 
-    def let_first_bytes_go(self):
-        """Ask for attempts' first bytes, now or some steps later, as connections do when they are up."""
+    def start_attempts(self):
+        """Request permission for first bytes, now or some steps later, as connections do once open."""
         if self.attempts and self.random.random() < 0.3:
             any_attempt = self.random.choice(list(self.attempts))
             self.lines.append(core_api.permit_first_byte(self.core, any_attempt, self.now)[0])
-        for attempt, begun in list(self.attempts.items()):
-            if begun or self.random.random() < 0.4:
+        for attempt, is_started in list(self.attempts.items()):
+            if is_started or self.random.random() < 0.4:
                 continue
             permit, wait_ns = core_api.permit_first_byte(self.core, attempt, self.now)
             self.lines.append(permit)
@@ -101,7 +102,7 @@
             (self.request, 30),
             (self.finish, 26),
             (self.withdraw, 3),
-            (self.written, 8),
+            (self.finish_writing, 8),
             (self.start_stream, 5),
             (self.buffer_response, 3),
             (self.disconnect, 4),
@@ -109,23 +110,23 @@
             (self.full_list, 0.5),
             (self.failed_list, 0.3),
             (self.reconfigure, 0.7),
-            (self.call_later, 1),
+            (self.schedule_callback, 1),
         ]
         makers, weights = zip(*kinds, strict=True)
         return self.random.choices(makers, weights)[0]()
 
     def request(self):
-        self.serial += 1
+        self.request_count += 1
         wire = self.random.choice(WIRES)
-        known = self.ids and self.random.random() < 0.1
-        id_ = self.random.choice(self.ids[-20:]) if known else b"id-%d" % self.serial
+        reuse_id = self.ids and self.random.random() < 0.1
+        id_ = self.random.choice(self.ids[-20:]) if reuse_id else b"id-%d" % self.request_count
         if self.random.random() < 0.3:
             id_ = b""
         else:
             self.ids.append(id_)
         return core_api.request_received(
-            core_api.Sink(self.serial),
-            core_api.Payload(self.serial, wire, self.random.choice([10, 100, 400])),
+            core_api.Sink(self.request_count),
+            core_api.Payload(self.request_count, wire, self.random.choice([10, 100, 400])),
             request_class=self.random.randrange(core_api.class_count(self.core)),
             plan=self.random.randrange(2),
             volume=self.random.randrange(6),
@@ -137,34 +138,34 @@
             write=self.random.random() < 0.3,
         )
 
-    def any_attempt(self, begun=True):
-        """Pick an attempt that is out, or at times one that has ended or never was."""
+    def any_attempt(self, is_started=True):
+        """Pick an attempt in flight, or sometimes one that has ended or never existed."""
         if self.finished and self.random.random() < 0.05:
             return self.random.choice(self.finished)
-        numbers = [number for number, has_begun in self.attempts.items() if has_begun is begun]
+        numbers = [number for number, started in self.attempts.items() if started is is_started]
         return self.random.choice(numbers) if numbers else self.random.randrange(1, 2000)
 
-    def end(self, attempt):
+    def record_end(self, attempt):
         self.attempts.pop(attempt, None)
         self.finished.append(attempt)
 
     def finish(self):
-        attempt = self.any_attempt(begun=self.random.random() < 0.9)
+        attempt = self.any_attempt(is_started=self.random.random() < 0.9)
         succeeds = self.random.random() < 0.6
         outcome = core_api.OUTCOME_OK if succeeds else self.random.choice(core_api.OUTCOMES)
-        self.end(attempt)
+        self.record_end(attempt)
         value = b"value-%d" % attempt if outcome is core_api.OUTCOME_OK else None
         used_percent = self.random.choice([None, 10, 95])
         elsewhere_units = self.random.choice([0, 0, 2])
         return core_api.attempt_finished(attempt, outcome, value, used_percent, elsewhere_units)
 
     def withdraw(self):
-        attempt = self.any_attempt(begun=False)
-        self.end(attempt)
+        attempt = self.any_attempt(is_started=False)
+        self.record_end(attempt)
         return core_api.attempt_withdrawn(attempt)
 
-    def written(self):
-        return core_api.written(self.any_attempt())
+    def finish_writing(self):
+        return core_api.request_written(self.any_attempt())
 
     def start_stream(self):
         attempt = self.any_attempt()
@@ -176,29 +177,29 @@
 
     def disconnect(self):
         sinks = core_api.open_sinks(self.core)
-        gone = not sinks or self.random.random() < 0.1
-        return core_api.client_disconnected(core_api.Sink(0) if gone else self.random.choice(sinks))
+        use_unknown = not sinks or self.random.random() < 0.1
+        return core_api.client_disconnected(core_api.Sink(0) if use_unknown else self.random.choice(sinks))
 
     def node(self, uid):
         shard = UIDS.index(uid) % 6
         endpoint = f"127.0.0.1:{9000 + shard + (100 if self.random.random() < 0.05 else 0)}"
         states = core_api.NODE_STATES
         node_state = self.random.choices(states, (16, 3, 3))[0]
-        old = self.nodes.get(uid)
-        started_ns = old if old is not None and self.random.random() < 0.7 else self.start_ns()
+        previous = self.nodes.get(uid)
+        started_ns = previous if previous is not None and self.random.random() < 0.7 else self.start_ns()
         self.nodes[uid] = started_ns
         rating = self.random.choice([1.0, 0.5])
         return core_api.node(uid, endpoint, shard, node_state, started_ns, shard % 2, rating)
 
     def start_ns(self):
-        ago = self.random.choice([0, 500 * MS, 2 * SECOND, 20 * SECOND, 3600 * SECOND])
-        return 0 if self.random.random() < 0.2 else self.now + self.off_ns - ago
+        uptime_ns = self.random.choice([0, 500 * MS, 2 * SECOND, 20 * SECOND, 3600 * SECOND])
+        return 0 if self.random.random() < 0.2 else self.now + self.clock_offset_ns - uptime_ns
 
     def node_delta(self):
         chosen = self.random.sample(UIDS, self.random.choice([0, 1, 1, 2]))
         nodes = [self.node(uid) for uid in chosen]
-        heard_before = self.random.choice([0, self.now - 200 * MS])
-        return core_api.node_list(core_api.LIST_DELTA, nodes, heard_before)
+        previous_contact_at = self.random.choice([0, self.now - 200 * MS])
+        return core_api.node_list(core_api.LIST_DELTA, nodes, previous_contact_at)
 
     def full_list(self):
         kind = self.random.choice(core_api.LIST_KINDS[1:3])
@@ -208,17 +209,17 @@
         return core_api.node_list(core_api.LIST_KINDS[3], [self.node(UIDS[0])], 0)
 
     def reconfigure(self):
-        more = (core_api.fast_class(),) if core_api.class_count(self.core) > 7 else ()
+        more_classes = (core_api.fast_class(),) if core_api.class_count(self.core) > 7 else ()
         if self.random.random() < 0.3:
-            more = (core_api.fast_class(),)
-        conf = core_api.golden_settings(self.random.choice([2, 3, 4]), more)
+            more_classes = (core_api.fast_class(),)
+        settings = core_api.golden_settings(self.random.choice([2, 3, 4]), more_classes)
         requests, buffered_bytes = self.random.choice([(60, 6000), (30, 3000), (8, 900)])
         plans = [1] if self.random.random() < 0.1 else []
         volumes = self.random.sample(range(6), self.random.choice([0, 0, 2]))
-        return core_api.reconfigured(conf, requests, buffered_bytes, plans, volumes)
+        return core_api.reconfigured(settings, requests, buffered_bytes, plans, volumes)
 
-    def call_later(self):
-        number = self.serial
+    def schedule_callback(self):
+        number = self.request_count
         at_ns = self.now + self.random.randrange(50) * MS
         core_api.schedule_call(self.core, at_ns, lambda: self.lines.append(f"called {number}"))
 
@@ -238,5 +239,5 @@
 
 
 @pytest.mark.parametrize("seed, random_actions", EXPECTED)
-def test_outcome_of_a_seeded_sequence_is_the_same_as_in_the_version_before(seed, random_actions):
+def test_outcome_of_a_seeded_sequence_is_unchanged(seed, random_actions):
     assert Sequence(seed, random_actions).run() == EXPECTED[seed, random_actions]
--- a/tests/core/test_invariants.py
+++ b/tests/core/test_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants: each violation is counted where no permission prevents it."""
+"""Invariants: each violation is counted if no permission prevents it."""
 
 from dataclasses import replace
 
@@ -20,31 +20,39 @@
 
 
 VIOLATIONS = {
-    Violation.SENT_AFTER_DISCONNECT: lambda i: violations_at_first_byte(i, pending_request(is_complete=True)),
-    Violation.WAIT_TOO_LONG: lambda i: violations_at_first_byte(
-        i, pending_request(), announced_wait_ns=SECOND + permissions.VERIFY_AFTER_NS, now=200 * MS
+    Violation.SENT_AFTER_DISCONNECT: lambda invariants: violations_at_first_byte(
+        invariants, pending_request(is_complete=True)
     ),
-    Violation.CONCURRENT_ATTEMPTS: lambda i: violations_at_first_byte(
-        i, pending_request(in_flight={0: 1, 1: 2})
+    Violation.WAIT_TOO_LONG: lambda invariants: violations_at_first_byte(
+        invariants, pending_request(), announced_wait_ns=SECOND + permissions.VERIFY_AFTER_NS, now=200 * MS
     ),
-    Violation.SENT_TO_DRAINING_NODE: lambda i: violations_at_first_byte(
-        i, pending_request(), replace(NODE, state=NodeState.DRAINING)
+    Violation.CONCURRENT_ATTEMPTS: lambda invariants: violations_at_first_byte(
+        invariants, pending_request(in_flight={0: 1, 1: 2})
+    ),
+    Violation.SENT_TO_DRAINING_NODE: lambda invariants: violations_at_first_byte(
+        invariants, pending_request(), replace(NODE, state=NodeState.DRAINING)
+    ),
+    Violation.DUPLICATE_RESPONSE: lambda invariants: (
+        invariants.check_response(True) or set(invariants.counts)
+    ),
+    Violation.REQUEST_DROPPED: lambda invariants: (
+        invariants.check_close(1, False, True) or set(invariants.counts)
+    ),
+    Violation.INPUT_DISCARDED: lambda invariants: (
+        invariants.check_close(0, True, True) or set(invariants.counts)
     ),
-    Violation.DUPLICATE_RESPONSE: lambda i: i.check_response(True) or set(i.counts),
-    Violation.REQUEST_DROPPED: lambda i: i.check_close(1, False, True) or set(i.counts),
-    Violation.INPUT_DISCARDED: lambda i: i.check_close(0, True, True) or set(i.counts),
 }
 
 
-@pytest.mark.parametrize("kind", Violation)
-def test_each_violation_is_counted_without_permissions(kind):
-    assert VIOLATIONS[kind](Invariants()) == {kind}
+@pytest.mark.parametrize("violation", Violation)
+def test_each_violation_is_counted_without_permissions(violation):
+    assert VIOLATIONS[violation](Invariants()) == {violation}
 
 
 def test_permitted_steps_are_not_counted():
     invariants = Invariants()
     violations_at_first_byte(invariants, pending_request())
     invariants.check_response(False)
-    invariants.check_close(2, True, False)  # the client's own doing
+    invariants.check_close(2, True, False)  # closed by the client
     invariants.check_close(0, False, True)
     assert not invariants.counts
--- a/tests/core/test_random_settings.py
+++ b/tests/core/test_random_settings.py
@@ -1,4 +1,4 @@
-"""Random settings: whatever can be configured, the core keeps its rules and nothing crashes."""
+"""Random valid configurations: the core satisfies its rules and doesn't crash."""
 
 import heapq
 import random
@@ -30,7 +30,7 @@
 from tests.support.driver import MS, SECOND
 
 AMBIGUOUS_OUTCOMES = (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)
-OUTCOMES = [  # None: the node never answers
+OUTCOMES = [  # None: the node never responds
     AttemptOutcome.OK,
     AttemptOutcome.ERROR,
     AttemptOutcome.FULL,
@@ -76,10 +76,10 @@
 
 @st.composite
 def configs(draw):
-    names = {"unique_by": lambda row: row["Name"], "min_size": 1}
-    plans = [row | draw(LIMIT) for row in draw(st.lists(PLAN, max_size=3, **names))]
-    inner = {
-        "Classes": draw(st.lists(CLASS, max_size=4, **names)),
+    unique_names = {"unique_by": lambda row: row["Name"], "min_size": 1}
+    plans = [row | draw(LIMIT) for row in draw(st.lists(PLAN, max_size=3, **unique_names))]
+    raw_settings = {
+        "Classes": draw(st.lists(CLASS, max_size=4, **unique_names)),
         "ServiceLevels": plans,
         "Safety": draw(RETRY_BUDGET)
         | draw(SLOW_START)
@@ -95,13 +95,13 @@
         ),
         "Extra": {"MaxUnits": 8} | draw(st.sampled_from([{}, {"UsualUnits": 2, "ColdUnits": 12}])),
     }
-    more = {"GroupSize": st.sampled_from([1, 40]), "Discovery": st.just("subscribe"), "Tick": st.just(MS)}
-    inner |= draw(json_object({}, **more))
-    return {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": inner}
+    optional = {"GroupSize": st.sampled_from([1, 40]), "Discovery": st.just("subscribe"), "Tick": st.just(MS)}
+    raw_settings |= draw(json_object({}, **optional))
+    return {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": raw_settings}
 
 
 class OpenRequest:
-    """A request's sink, with what the test knows of it."""
+    """The sink of a request, with the state that the checks need."""
 
     def __init__(self):
         self.spec = None
@@ -114,7 +114,7 @@
 
 
 class Simulation:
-    """A core among nodes that fail, drain, go and restart; each rule is checked as effects come."""
+    """A core with nodes that fail, drain, restart and are removed; checks the rules on each effect."""
 
     def __init__(self, raw, seed):
         config = config_from_json(raw)
@@ -126,14 +126,14 @@
         self.translator = CommandTranslator(config)
         self.core = Core(config.settings, seed, self.now, TimerQueue())
         self.serial = count()
-        self.scheduled = []  # events to come: time, serial, the event or what makes it
-        self.deadlines = {}  # of the requests that are not answered
-        self.attempts = {}  # in flight: the request, and when it was dispatched
-        self.in_order = defaultdict(list)  # the requests with a key, as they came
-        self.key_rests = {}  # until when a key rests after an ambiguous attempt, and of which request
+        self.scheduled = []  # heap of (time, serial, event or function that returns one)
+        self.deadlines = {}  # of incomplete requests
+        self.attempts = {}  # in flight: number -> (request, dispatch time)
+        self.in_order = defaultdict(list)  # in-order requests by key, in order of arrival
+        self.key_blocked = {}  # key -> (end of the wait after an ambiguous attempt, request)
         self.received_at = []
         self.retried_at = []
-        self.plan_tokens = {}  # level, and when it was that
+        self.plan_tokens = {}  # plan -> (token level, time of that level)
         self.nodes = {f"s-{n}": NodeUpdate(f"s-{n}", f"127.0.0.1:{n + 1}", n, zone=n % 2) for n in range(3)}
 
     def schedule(self, at, event):
@@ -149,10 +149,10 @@
         end = self.now + 2 * longest_ns + 10 * SECOND
         while self.now < end and self.advance():
             pass
-        assert not self.deadlines, "no final answer"
+        assert not self.deadlines, "a request got no final response by the end of the simulation"
 
     def advance(self):
-        """Step at the next time at which something happens; return whether there was one."""
+        """Step at the time of the next event or timer; return whether there was one."""
         times = [self.scheduled[0][0]] if self.scheduled else []
         timer = self.core.next_at(self.now)
         if timer is not None:
@@ -172,7 +172,7 @@
         request_class = self.settings.classes[number]
         time_left_ms = max(30, request_class.deadline_ns // MS)
         key = self.random.randrange(3)  # 0: no key
-        plan = self.random.choice(self.plan_names)  # each plan has a volume of its own
+        plan = self.random.choice(self.plan_names)  # each plan has its own volume
         attributes = f"c={self.class_names[number]},t={plan},d={time_left_ms}"
         attributes += f",volume={self.plan_names.index(plan):016x}"
         attributes += f",units={self.random.randint(1, 8)},shard={self.random.randint(-1, 3)},hosts=1"
@@ -199,21 +199,23 @@
     def node_change(self):
         uid = self.random.choice(list(self.nodes))
         state = self.random.choice([NodeState.READY, NodeState.DRAINING, NodeState.GONE])
-        old = self.nodes[uid]
-        changed = NodeUpdate(uid, old.endpoint, old.shard, state, started_ns=self.now, zone=old.zone)
+        previous = self.nodes[uid]
+        changed = NodeUpdate(
+            uid, previous.endpoint, previous.shard, state, started_ns=self.now, zone=previous.zone
+        )
         self.nodes[uid] = changed
         return NodeListUpdate(ListKind.DELTA, (changed,))
 
     def step(self, *events):
         for event in events:
             if isinstance(event, AttemptFinished):
-                self.attempt_ended(event.attempt, event.outcome)
+                self.record_end(event.attempt, event.outcome)
         for effect in self.core.step(self.now, events):
             match effect:
                 case Dispatch():
                     self.check_dispatch(effect)
                 case AbortAttempt(attempt):
-                    self.attempt_ended(attempt, AttemptOutcome.TIMEOUT)
+                    self.record_end(attempt, AttemptOutcome.TIMEOUT)
                 case SendResponse(request, reply):
                     self.check_reply(request, reply)
 
@@ -223,13 +225,13 @@
         request.is_complete = True
         request_class = request.request_class
         with_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-        anywhere = with_key and request_class.idempotency_scope is IdempotencyScope.ALL
+        in_any_scope = with_key and request_class.idempotency_scope is IdempotencyScope.ALL
         if isinstance(reply, Shed):
-            safe_to_retry = request_class.idempotency is Idempotency.IDEMPOTENT or anywhere
+            safe_to_retry = request_class.idempotency is Idempotency.IDEMPOTENT or in_any_scope
             assert safe_to_retry or (request.ambiguous_since is None and not request.in_flight)
         assert isinstance(reply, Served | Failed | Shed)
 
-    def attempt_ended(self, number, outcome):
+    def record_end(self, number, outcome):
         if number not in self.attempts:
             return
         request, dispatched_at = self.attempts.pop(number)
@@ -237,7 +239,7 @@
         if outcome in AMBIGUOUS_OUTCOMES and request.ambiguous_since is None:
             request.ambiguous_since = dispatched_at
         if outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET):
-            self.key_rests[request.spec.key] = (self.now + self.settings.ambiguity_wait_ns, request)
+            self.key_blocked[request.spec.key] = (self.now + self.settings.ambiguity_wait_ns, request)
 
     def check_dispatch(self, effect):
         request = self.core.attempts[effect.attempt].request.sink
@@ -249,7 +251,7 @@
         self.check_idempotency(request, effect.node)
         self.check_order(request)
         self.check_budget(request)
-        self.begin(request, effect)
+        self.start_attempt(request, effect)
 
     def check_idempotency(self, request, node):
         if request.ambiguous_since is None:
@@ -270,21 +272,21 @@
         if not request.request_class.in_order or not request.spec.key:
             return
         same_key = self.in_order[request.spec.key]
-        ahead = same_key[: same_key.index(request)]
-        assert all(other.is_complete and not other.in_flight for other in ahead)
-        until, owner = self.key_rests.get(request.spec.key, (0, request))
+        earlier = same_key[: same_key.index(request)]
+        assert all(other.is_complete and not other.in_flight for other in earlier)
+        blocked_until, owner = self.key_blocked.get(request.spec.key, (0, request))
         if owner.request_class.in_order and owner is not request:
-            assert self.now >= until
+            assert self.now >= blocked_until
 
     def check_budget(self, request):
-        """Check a retry against the retry budget, and a first attempt against its plan's limit."""
+        """Check a retry against the retry budget, or a first attempt against the limit of its plan."""
         settings = self.settings
         if request.attempt_count:
             self.retried_at.append(self.now)
             if window_ns := settings.retry_budget_window_ns:
-                retried = sum(at > self.now - window_ns for at in self.retried_at)
-                received = sum(at > self.now - window_ns for at in self.received_at)
-                assert retried <= settings.retry_budget_base + settings.retry_budget_ratio * received
+                retry_count = sum(at > self.now - window_ns for at in self.retried_at)
+                request_count = sum(at > self.now - window_ns for at in self.received_at)
+                assert retry_count <= settings.retry_budget_base + settings.retry_budget_ratio * request_count
             return
         plan = settings.plans[request.spec.plan]
         if plan.limit:
@@ -294,7 +296,7 @@
             assert level >= -plan.limit_slack
             self.plan_tokens[request.spec.plan] = (level, self.now)
 
-    def begin(self, request, effect):
+    def start_attempt(self, request, effect):
         if not request.attempt_count:
             request.first_node = effect.node.uid
         request.attempt_count += 1
--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer with the real scheduler: what gone nodes leave behind, and failed connects."""
+"""The reducer with the real scheduler: release of the state of removed nodes, and failed connects."""
 
 from runloft.core.model import (
     AttemptFinished,
@@ -16,7 +16,7 @@
 from tests.support.driver import Host, gone, request_class, settings
 
 
-def test_state_of_gone_nodes_and_their_requests_is_released():
+def test_state_of_removed_nodes_and_their_requests_is_released():
     harness = CoreHarness(scripted=False)
     core = harness.core
     scheduler = core.scheduler
@@ -31,13 +31,15 @@
         for effect in harness.receive(shard=number % 9, id=b"%d" % number)[1]:
             harness.step(AttemptFinished(effect.attempt, AttemptOutcome.OK, b"v"), after=1)
             sent += 1
-        harness.receive(shard=20_000 + number)  # of no node
+        harness.receive(shard=20_000 + number)  # a shard without a node
         harness.step(node_list(number, NodeState.GONE))
-    assert sent == 3000 and len(core.nodes) < 3000  # a minute's worth
-    harness.step(node_list(0, NodeState.GONE), after=70_000)  # a forgotten node that is listed as gone again
+    assert (
+        sent == 3000 and len(core.nodes) < 3000
+    )  # nodes are forgotten about a minute after they are removed
+    harness.step(node_list(0, NodeState.GONE), after=70_000)  # a forgotten node is listed as gone again
     harness.step(node_list(0, NodeState.GONE), after=70_000)
     harness.step(after=5000)
-    assert len(core.nodes) == len(core.node_ids) == len(scheduler.nodes) == 1  # the harness's own
+    assert len(core.nodes) == len(core.node_ids) == len(scheduler.nodes) == 1  # the node of the harness
     assert not any((core.requests, core.attempts, core.by_sink, core.client_ids))
     assert not any((scheduler.requests, scheduler.state.queues, scheduler.key_order.waiting))
     assert not len(harness.timers)
@@ -58,4 +60,4 @@
     host = Host(settings(request_class(deadline=1000)))
     id_ = host.ask()
     host.wait(480)
-    assert any(isinstance(a, ShedRequest) for a in host.end(id_, AttemptOutcome.CONNECT_FAILED))
+    assert any(isinstance(action, ShedRequest) for action in host.end(id_, AttemptOutcome.CONNECT_FAILED))
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests: admitted within bounds, answered once, released with their client identifiers."""
+"""Request lifecycle: admission limits, exactly one response, and release of client-chosen ids."""
 
 import pytest
 
@@ -24,14 +24,14 @@
 
 def test_requests_of_one_protocol_cannot_use_up_the_capacity_of_the_other():
     harness = CoreHarness()
-    big = FakePayload("http", 8 << 20)
-    answers = [harness.receive(payload=big)[1] for _ in range(4)]
-    assert answers[:3] == [[], [], []] and answers[3][0].reply == Shed()
+    large = FakePayload("http", 8 << 20)
+    effects = [harness.receive(payload=large)[1] for _ in range(4)]
+    assert effects[:3] == [[], [], []] and effects[3][0].reply == Shed()
     assert harness.receive(wire="resp")[1] == []
 
 
 @pytest.mark.parametrize("after, is_admitted", [(0, False), (1000, False), (2100, True)])
-def test_client_identifier_stays_in_use_for_a_while_after_its_request_is_complete(after, is_admitted):
+def test_client_id_stays_in_use_for_a_while_after_its_request_is_complete(after, is_admitted):
     harness = CoreHarness()
     harness.receive([SendAttempt(1, 1)], id=b"same")
     rejected = InvalidRequest("this id is another request's")
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("finish", [ShedRequest(1, 7), FailRequest(1)])
-def test_final_answer_is_sent_once_and_the_attempt_still_has_a_result(finish):
+def test_final_response_is_sent_once_and_the_attempt_still_has_a_result(finish):
     harness = CoreHarness()
     sink, effects = harness.receive(
         [SendAttempt(1, 1), finish, ShedRequest(1), FailRequest(1), SendAttempt(1, 1)]
@@ -50,15 +50,15 @@
     reply = Shed(7) if isinstance(finish, ShedRequest) else Failed()
     assert effects[1:] == [SendResponse(sink, reply)]
     assert harness.step(AttemptFinished(1, AttemptOutcome.OK, b"v"), after=1) == []
-    assert sorted(o[2].name for o in harness.scheduler.results()) == ["NOT_SENT", "OK"]
+    assert sorted(result[2].name for result in harness.scheduler.results()) == ["NOT_SENT", "OK"]
 
 
-def test_every_request_has_one_answer_by_its_deadline_with_the_real_scheduler():
+def test_every_request_has_one_response_by_its_deadline_with_the_real_scheduler():
     harness = CoreHarness(scripted=False)
     sinks = [harness.receive()[0] for _ in range(40)]
-    answered = []
+    responded = []
     harness.step(NodeListUpdate(ListKind.DELTA, (NodeUpdate("s-1", "", 0, NodeState.DRAINING),)))
     for _ in range(700):
-        answered += [e.sink for e in harness.step(after=1) if isinstance(e, SendResponse)]
-    assert len(answered) == len(set(answered)) and set(answered) <= set(sinks)
+        responded += [effect.sink for effect in harness.step(after=1) if isinstance(effect, SendResponse)]
+    assert len(responded) == len(set(responded)) and set(responded) <= set(sinks)
     assert not harness.core.requests and not harness.core.attempts
--- a/tests/support/core_harness.py
+++ b/tests/support/core_harness.py
@@ -1,4 +1,4 @@
-"""A core under test with a clock of its own and, unless asked otherwise, a scripted scheduler."""
+"""A core under test with its own clock and, by default, a scripted scheduler."""
 
 from dataclasses import dataclass
 
@@ -12,16 +12,16 @@
 NODE = NodeUpdate("s-1", "127.0.0.1:1", 0)
 
 
-def pending_request(**more):
-    """Build a request with a second left at time 0, whose sink is a word."""
+def pending_request(**overrides):
+    """Build a pending request with one second left at time 0 and the sink ``"sink"``."""
     spec = RequestSpec(0, 0, 1, 1.0, SECOND, 0, None)
-    return PendingRequest(1, "sink", spec, SECOND, **more)
+    return PendingRequest(1, "sink", spec, SECOND, **overrides)
 
 
-def one_class_settings(idempotency=Idempotency.IDEMPOTENT, **more):
+def one_class_settings(idempotency=Idempotency.IDEMPOTENT, **overrides):
     """Build settings of one class with an idempotency window of 500 ms."""
-    the_class = request_class(idempotency, deadline=1000, idempotency_window_ns=500 * MS)
-    return settings(the_class, **more)
+    class_settings = request_class(idempotency, deadline=1000, idempotency_window_ns=500 * MS)
+    return settings(class_settings, **overrides)
 
 
 @dataclass(eq=False)
@@ -31,7 +31,7 @@
 
 
 class ScriptedScheduler:
-    """Answers with the actions that a test puts in, and keeps the events that it was handed."""
+    """A scheduler that returns scripted actions and records the events that it receives."""
 
     def __init__(self):
         self.events = []
@@ -48,19 +48,19 @@
 
 
 class CoreHarness:
-    """A core, its clock and its scheduler; first bytes leave at once, as where connections are up."""
+    """A core with its clock and scheduler; permitted attempts are sent at once, as on open connections."""
 
-    def __init__(self, scripted=True, **more):
+    def __init__(self, scripted=True, **overrides):
         self.now = SECOND
         self.timers = TimerQueue()
-        self.core = Core(settings(request_class(deadline=600), **more), 1, self.now, self.timers)
+        self.core = Core(settings(request_class(deadline=600), **overrides), 1, self.now, self.timers)
         self.scheduler = ScriptedScheduler()
         if scripted:
             self.core.scheduler = self.scheduler
         self.step(NodeListUpdate(ListKind.CACHED, (NODE,)))
 
     def step(self, *events, after=0, actions=()):
-        """Let so many milliseconds pass, and step with these events and the scheduler's next actions."""
+        """Advance the clock by ``after`` milliseconds, then step with the events and scripted actions."""
         self.now += int(after * MS)
         if actions:
             self.scheduler.scripted_actions.append(list(actions))
@@ -70,10 +70,10 @@
                 self.core.begin_attempt(effect.attempt, effect.wait_ns, self.now)
         return effects
 
-    def receive(self, actions=(), wire="resp", **more):
+    def receive(self, actions=(), wire="resp", **overrides):
         """Step with a new request; return its sink and the effects."""
         sink = object()
-        facts = {"shard": 0, "payload": FakePayload(wire)} | more
-        volume = facts.pop("volume", 1)
-        spec = RequestSpec(0, 0, volume, 1.0, 600 * MS, **facts)
+        fields = {"shard": 0, "payload": FakePayload(wire)} | overrides
+        volume = fields.pop("volume", 1)
+        spec = RequestSpec(0, 0, volume, 1.0, 600 * MS, **fields)
         return sink, self.step(RequestReceived(sink, spec), actions=actions)
--- a/tests/support/core_vocabulary.py
+++ b/tests/support/core_vocabulary.py
@@ -1,7 +1,7 @@
-"""The names that the golden sequence needs of the reducer: the one place to adapt when they change.
+"""The interface of the golden sequence test to the reducer, to be adapted when names in the reducer change.
 
-Everything here builds a value or reads one.  The digests in ``tests/core/test_golden_sequence.py`` depend
-on values and on the order of enum members, union members and fields; on no name.
+The functions here build or read values.  The digests in ``tests/core/test_golden_sequence.py`` depend on
+values and on the order of enum members, union members and fields, but not on names.
 """
 
 from dataclasses import dataclass, fields, is_dataclass
@@ -27,7 +27,7 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 
-# Position in these, not the name, stands for a type in what is rendered.
+# A type is rendered as its position in this list, not by its name.
 TYPES = [
     *get_args(model.Effect),
     *get_args(model.Reply),
@@ -44,14 +44,14 @@
 
 @dataclass(eq=False)
 class Sink:
-    """A client's side of a request, known by its number."""
+    """The client side of a request, identified by its number."""
 
     number: int
 
 
 @dataclass(frozen=True)
 class Payload:
-    """What a connection would write, known by its request's number."""
+    """The payload of a request, identified by the number of the request."""
 
     number: int
     wire: str
@@ -59,7 +59,7 @@
 
 
 class RecordingObserver:
-    """Keeps each call as the method's position and its arguments."""
+    """Records each call as the position of the method and its arguments."""
 
     def __init__(self):
         self.calls = []
@@ -70,7 +70,7 @@
 
 
 class RecordingScheduler:
-    """Keeps what a scheduler is handed and asks for; ``decide`` may ask in the scheduler's place."""
+    """Records the events and actions of a scheduler; ``decide`` can replace its decisions."""
 
     def __init__(self, scheduler, decide=None):
         self.scheduler = scheduler
@@ -85,10 +85,10 @@
         return actions
 
 
-def rendered(value):
-    """Render a value without the name of any class or field."""
+def render(value):
+    """Render a value without names of classes or fields."""
     if is_dataclass(value) and not isinstance(value, Sink | Payload):
-        content = ",".join(rendered(getattr(value, field.name)) for field in fields(value))
+        content = ",".join(render(getattr(value, field.name)) for field in fields(value))
         return f"<{TYPES.index(type(value)) if type(value) in TYPES else '?'}:{content}>"
     match value:
         case Sink(number) | Payload(number):
@@ -98,18 +98,18 @@
         case Enum():
             return f"@{list(type(value)).index(value)}"
         case dict():
-            return "{" + ",".join(f"{rendered(k)}={rendered(v)}" for k, v in sorted(value.items())) + "}"
+            return "{" + ",".join(f"{render(k)}={render(v)}" for k, v in sorted(value.items())) + "}"
         case frozenset():
-            return rendered(sorted(value))
+            return render(sorted(value))
         case tuple() | list():
-            return "[" + ",".join(rendered(item) for item in value) + "]"
+            return "[" + ",".join(render(item) for item in value) + "]"
         case None | bool() | int() | float() | str() | bytes():
             return repr(value)
-    raise TypeError(f"no rendering for {type(value)}")
+    raise TypeError(f"can't render a value of type {type(value)}")
 
 
 def golden_settings(max_attempts=4, more_classes=()):
-    """Build settings with a class for each effect and group, a streamed and an in-order one."""
+    """Build settings with classes of each idempotency and scope, one of them streamed, one in order."""
     classes = [
         ClassSettings(80 * MS, 700 * MS, 1.0, 0.3, Idempotency.IDEMPOTENT),
         ClassSettings(90 * MS, 900 * MS, 3.0, 0.0, Idempotency.NOT_IDEMPOTENT),
@@ -156,7 +156,7 @@
 
 
 def fast_class():
-    """Build a class that a reconfiguration adds."""
+    """Build the class that a reconfiguration adds."""
     return ClassSettings(20 * MS, 200 * MS, 1.0, 0.0, Idempotency.IDEMPOTENT)
 
 
@@ -169,7 +169,7 @@
 
 
 def new_core(settings, seed, now, decide=None):
-    """Build a core whose scheduler and observer record what they are handed."""
+    """Build a core with a recording scheduler and a recording observer."""
     core = Core(settings, seed, now, TimerQueue(), model.Bounds(60, 6000))
     core.scheduler = RecordingScheduler(core.scheduler, decide)
     core.observer = RecordingObserver()
@@ -177,12 +177,12 @@
 
 
 def schedule_call(core, at_ns, call):
-    """Let the core's timers call a function, as connections and discovery do."""
+    """Add a callback to the core's timers, as connections and discovery do."""
     return core.timers.add(at_ns, call)
 
 
 def open_sinks(core):
-    """Return the sinks that are owed an answer."""
+    """Return the sinks of incomplete requests."""
     return list(core.by_sink)
 
 
@@ -195,7 +195,7 @@
 
 
 def node_of_request(core, request):
-    """Return a node that has the request's shard, or a number that is no node's."""
+    """Return the id of a node that serves the request's shard, or an unknown id."""
     shard = core.requests[request].spec.shard if request in core.requests else None
     return next((id_ for id_, node_ in core.nodes.items() if shard in (None, node_.shard)), 999)
 
@@ -209,14 +209,14 @@
 
 
 def usage(core):
-    """Return what pending requests occupy, by protocol."""
-    used = sorted(core.usage.items())
-    rows = [[wire, usage_.open_requests, usage_.buffered_bytes] for wire, usage_ in used]
+    """Return the buffer usage of pending requests, by protocol."""
+    by_wire = sorted(core.usage.items())
+    rows = [[wire, usage_.open_requests, usage_.buffered_bytes] for wire, usage_ in by_wire]
     return [row for row in rows if any(row[1:])]
 
 
 def state(core):
-    """Return what the core holds, by sizes and numbers."""
+    """Return the state of the core as sizes, ids and times."""
     return [
         len(core.requests),
         len(core.by_sink),
@@ -231,17 +231,17 @@
     ]
 
 
-class CounterReading:
-    """What the process's counters have gone up by since this was made."""
+class CounterSnapshot:
+    """A snapshot of the process's counters, for measuring their increase since."""
 
     def __init__(self):
         self._started = COUNTERS.requests_started
-        self._before = {what: COUNTERS.by_name[what].copy() for what in CounterName}
+        self._before = {name: COUNTERS.by_name[name].copy() for name in CounterName}
 
-    def since(self):
+    def increase(self):
         rows = [
-            sorted((str(k), n) for k, n in (COUNTERS.by_name[w] - self._before[w]).items())
-            for w in CounterName
+            sorted((str(reason), n) for reason, n in (COUNTERS.by_name[name] - self._before[name]).items())
+            for name in CounterName
         ]
         return [COUNTERS.requests_started - self._started, rows]
 
@@ -278,7 +278,7 @@
     return model.AttemptWithdrawn(attempt)
 
 
-def written(attempt):
+def request_written(attempt):
     return model.RequestWritten(attempt)
 
 
@@ -286,16 +286,16 @@
     return model.NodeUpdate(uid, endpoint, shard, state_, started_ns, zone, rating)
 
 
-def node_list(kind, nodes, heard_before):
-    return model.NodeListUpdate(kind, tuple(nodes), heard_before)
+def node_list(kind, nodes, previous_contact_at):
+    return model.NodeListUpdate(kind, tuple(nodes), previous_contact_at)
 
 
-def reconfigured(settings, requests, held_bytes, plans, volumes):
+def reconfigured(settings, requests, buffered_bytes, plans, volumes):
     suspended = model.SuspendedVolumes(frozenset(plans), frozenset(volumes))
-    return model.Reconfigured(settings, model.Bounds(requests, held_bytes), suspended)
+    return model.Reconfigured(settings, model.Bounds(requests, buffered_bytes), suspended)
 
 
-def closing():
+def shutdown_started():
     return model.ShutdownStarted()
 
 
@@ -310,7 +310,7 @@
 
 
 def dispatched(effect):
-    """Return the attempt's number, its node's id and its wait where the effect sends one."""
+    """Return attempt number, node uid and wait if the effect dispatches an attempt, else None."""
     match effect:
         case model.Dispatch(attempt, node_, _, wait_ns):
             return attempt, node_.uid, wait_ns
@@ -318,7 +318,7 @@
 
 
 def aborted(effect):
-    """Return the attempt's number where the effect closes its connection."""
+    """Return the attempt number if the effect aborts an attempt, else None."""
     match effect:
         case model.AbortAttempt(attempt):
             return attempt
@@ -326,9 +326,9 @@
 
 
 def permit_first_byte(core, attempt, now):
-    """Return the whole permit, as rendered, and whether the first byte may leave."""
+    """Return the rendered permit, and the wait if the first byte may be sent, else None."""
     permit = core.permit_first_byte(attempt, now)
-    return rendered([permit.wait_ns, permit.refusal, permit.verify]), permit.wait_ns if permit else None
+    return render([permit.wait_ns, permit.refusal, permit.verify]), permit.wait_ns if permit else None
 
 
 def begin_attempt(core, attempt, wait_ns, now):
@@ -341,7 +341,7 @@
 
 
 def random_action(random, now, request, attempt_index, node_):
-    """Build an action that a scheduler may or may not sensibly ask for."""
+    """Build a random action, which need not be a valid one for the request."""
     match random.choices(range(7), (40, 8, 8, 8, 6, 1, 1))[0]:
         case 0:
             return contract.SendAttempt(request, node_, random.choice([0, 30 * MS, 120 * MS]))
