--- a/runloft/accounts/ledger.py
+++ b/runloft/accounts/ledger.py
@@ -144,7 +144,10 @@
             service_log.attempt_returned(now, attempt.volume, attempt.units, served)
 
     def _start_wait(self, request: int, node: int | None, now: int) -> None:
-        """Start the wait of a request for a node and end its wait for another; the same node continues it."""
+        """Start the wait of a request for a node, and end its wait for another node if there is one.
+
+        If the request already waits for this node, that wait continues.
+        """
         wait = self._waits.get(request)
         if node is None or (wait is not None and wait.node == node):
             return
--- a/runloft/core/attempts.py
+++ b/runloft/core/attempts.py
@@ -31,7 +31,7 @@
 from runloft.decisions.contract import AttemptOutcome
 from runloft.decisions.outcomes import NEVER_EXECUTED
 
-# Set by this host, not reported by the node: the node may have received nothing.
+# Outcomes decided by this host: the node may not have received anything.
 LOCAL_OUTCOMES = (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED)
 
 
--- a/runloft/core/permissions.py
+++ b/runloft/core/permissions.py
@@ -117,7 +117,7 @@
 
 
 def permit_retry(request: PendingRequest, settings: Settings, now: int) -> SendRefusal | None:
-    """Return why a request that may have executed may not be retried, or None."""
+    """Return why a retry is refused because an earlier attempt may have executed, or None."""
     if request.ambiguous_since is None:
         return None
     request_class = settings.classes[request.spec.request_class]
--- a/tests/core/test_random_settings.py
+++ b/tests/core/test_random_settings.py
@@ -225,9 +225,9 @@
         request.is_complete = True
         request_class = request.request_class
         with_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-        in_any_scope = with_key and request_class.idempotency_scope is IdempotencyScope.ALL
+        deduplicated_everywhere = with_key and request_class.idempotency_scope is IdempotencyScope.ALL
         if isinstance(reply, Shed):
-            safe_to_retry = request_class.idempotency is Idempotency.IDEMPOTENT or in_any_scope
+            safe_to_retry = request_class.idempotency is Idempotency.IDEMPOTENT or deduplicated_everywhere
             assert safe_to_retry or (request.ambiguous_since is None and not request.in_flight)
         assert isinstance(reply, Served | Failed | Shed)
 
