--- a/runloft/agreement/ballot.py
+++ b/runloft/agreement/ballot.py
@@ -1,6 +1,6 @@
-"""Which sidecars have accepted a stage, which a commit goes on without, and whose answers are missing.
+"""Which sidecars have accepted a stage, which ones a commit may exclude, and whose answers are missing.
 
-The rules by which a sidecar may be excluded are those of ``fencing``.
+``fencing`` explains when a sidecar may be excluded.
 """
 
 from collections.abc import Mapping
@@ -20,17 +20,18 @@
 
 @dataclass
 class Ballot:
-    """The sidecars that a commit excludes, those that are fenced for certain, and the missing answers."""
+    """The sidecars that a commit excludes, those that are certainly fenced, and those it has to wait for."""
 
-    excluded: dict[str, ExchangeCount] = field(default_factory=dict)  # with the exchanges answered
-    fenced: dict[str, ExchangeCount] = field(default_factory=dict)  # with the exchanges sent
-    missing: set[str] = field(default_factory=set)
+    excluded: dict[str, ExchangeCount] = field(default_factory=dict)  # exchanges answered so far, by name
+    fenced: dict[str, ExchangeCount] = field(default_factory=dict)  # exchanges sent so far, by name
+    missing: set[str] = field(default_factory=set)  # have not accepted, or don't serve the base yet
 
 
 def stage_obstacle(view: StoreView, token: str, verdicts: Mapping[str, Verdict]) -> str:
-    """Return why the stage with a token can't be committed, an empty text if it can.
+    """Return why the stage with this token can't be committed, or an empty string if it can.
 
-    Another rollout's stage, a sidecar that refuses, and one whose lease can't be read are obstacles.
+    A stage of another rollout, a sidecar that refuses the stage and a sidecar without a readable lease
+    each prevent a commit.
     """
     if view.stage is not None and view.stage.token != token:
         return f"another roll-out is under way, by {view.stage.staged_by}"
@@ -43,18 +44,18 @@
         return f"refused by {' | '.join(refusals)}"
     if unreadable := view.sidecars_without_lease():
         names = ", ".join(sorted(unreadable))
-        return f"known by no lease of this version, so it can't be left out: {names}"
+        return f"no lease in this version's format, so these sidecars can't be excluded: {names}"
     return ""
 
 
 def _has_answered(lease: Lease, verdicts: Mapping[str, Verdict]) -> bool:
-    """Return whether a sidecar has answered; one that restarted after its answer has to answer again."""
+    """Return whether a sidecar has answered; after a restart it has to answer again."""
     verdict = verdicts.get(lease.name)
     return verdict is not None and verdict.incarnation == lease.incarnation
 
 
 class SidecarTracker:
-    """Measures for how long a sidecar has got no answer, and for how long it has sent nothing."""
+    """Measures how long a sidecar has received no answer, and how long it has sent nothing."""
 
     def __init__(self) -> None:
         self.unanswered_ns = 0
@@ -63,13 +64,13 @@
         self._sent = StalenessTracker()
 
     def observe(self, lease: Lease, now: int) -> None:
-        """Take the sidecar's lease as seen at ``now``."""
+        """Record the sidecar's lease as seen at ``now``."""
         self.unanswered_ns = self._answered.observe(lease.answered, now)
         self.silent_ns = self._sent.observe(lease.sent, now)
 
 
 class SidecarObserver:
-    """Watches all sidecars and the committed generation over a rollout's views."""
+    """Tracks all sidecars and the committed generation over the views of a rollout."""
 
     def __init__(self, lease_ns: int, fence_ns: int) -> None:
         self._lease_ns = lease_ns
@@ -79,7 +80,7 @@
         self._committed_unchanged_ns = 0
 
     def observe(self, view: StoreView, now: int) -> None:
-        """Take a view as seen at ``now``."""
+        """Record a view as seen at ``now``."""
         committed_state = (rank_of(view.committed), view.epoch)
         self._committed_unchanged_ns = self._committed.observe(committed_state, now)
         for name, lease in view.leases.items():
@@ -88,7 +89,7 @@
     def count(
         self, view: StoreView, verdicts: Mapping[str, Verdict], base: CommittedGeneration | None
     ) -> Ballot:
-        """Return the ballot on a stage over ``base``, given the verdicts on that stage."""
+        """Return the ballot on a stage that is to replace ``base``, given the verdicts on it."""
         ballot = Ballot()
         for name, lease in view.leases.items():
             serves_base = base is not None and lease.version == base.version
@@ -104,7 +105,7 @@
         return ballot
 
     def late_sidecars(self, view: StoreView, version: Version) -> frozenset[str]:
-        """Return the sidecars that get answers and don't serve a version."""
+        """Return the sidecars that receive answers but don't serve ``version``."""
         return frozenset(
             name
             for name, lease in view.leases.items()
@@ -115,7 +116,7 @@
         return self._sidecars[name].unanswered_ns >= self._lease_ns
 
     def _may_be_excluded(self, lease: Lease, would_be_one_behind: bool) -> bool:
-        """Return whether the next generation may be committed without a sidecar's answer."""
+        """Return whether the next generation may be committed without this sidecar's answer."""
         earlier_leases_expired = self._committed_unchanged_ns >= self._fence_expiry_ns(lease)
         return self._is_unanswered(lease.name) and (would_be_one_behind or earlier_leases_expired)
 
--- a/runloft/agreement/codec.py
+++ b/runloft/agreement/codec.py
@@ -1,8 +1,8 @@
-"""The agreement's records as the store and the local snapshot hold them: one JSON object for each.
+"""Encoding of the agreement's records in the store and in the local snapshot: one JSON object for each.
 
-The keys are part of the storage format: sidecars of two versions share one store during an upgrade, so
-every key is spelled out here and none is derived from a field's name.  Keys are sorted and nothing is
-added between them, so that equal records have equal bytes.
+The keys are part of the storage format.  Sidecars of two versions share one store during an upgrade, so
+every key is spelled out here rather than derived from a field's name.  Keys are sorted and no whitespace
+is added, so that equal records have equal bytes.
 """
 
 import json
@@ -12,7 +12,8 @@
 from runloft.agreement.records import CommittedGeneration, Lease, Stage, Verdict
 
 FORMAT = 1
-LEASE_FORMAT = 2  # 1 had no fence and ran out by the store's clock: whoever writes it can't be left out
+# Format 1 had no fence and expired by the store's clock: a sidecar that writes it can't be excluded.
+LEASE_FORMAT = 2
 
 
 def encode_committed(committed: CommittedGeneration) -> str:
@@ -32,7 +33,7 @@
 
 
 def decode_committed(text: str | bytes) -> CommittedGeneration:
-    """Return the committed generation that a text holds; raise RecordError if it holds none."""
+    """Decode a committed generation; raise RecordError if the text isn't one."""
     raw = _decode(text, FORMAT)
     try:
         previous = raw["before"]
@@ -46,7 +47,7 @@
             epoch=int(raw.get("era", 0)),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(f"not what is in force: {error!r}") from error
+        raise RecordError(f"invalid committed generation: {error!r}") from error
 
 
 def encode_stage(stage: Stage) -> str:
@@ -64,7 +65,7 @@
 
 
 def decode_stage(text: str | bytes) -> Stage:
-    """Return the stage that a text holds; raise RecordError if it holds none."""
+    """Decode a stage; raise RecordError if the text isn't one."""
     raw = _decode(text, FORMAT)
     try:
         return Stage(
@@ -75,7 +76,7 @@
             epoch=int(raw.get("era", 0)),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(f"no stage: {error!r}") from error
+        raise RecordError(f"invalid stage: {error!r}") from error
 
 
 def encode_lease(lease: Lease) -> str:
@@ -102,7 +103,7 @@
 
 
 def decode_lease(text: str | bytes) -> Lease:
-    """Return the lease that a text holds; raise RecordError if it holds none."""
+    """Decode a lease; raise RecordError if the text isn't one."""
     raw = _decode(text, LEASE_FORMAT)
     try:
         return Lease(
@@ -122,7 +123,7 @@
             holds_reserves=bool(raw["reserves"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(f"no lease: {error!r}") from error
+        raise RecordError(f"invalid lease: {error!r}") from error
 
 
 def encode_verdict(verdict: Verdict) -> str:
@@ -139,7 +140,7 @@
 
 
 def decode_verdict(text: str | bytes) -> Verdict:
-    """Return the verdict that a text holds; raise RecordError if it holds none."""
+    """Decode a verdict; raise RecordError if the text isn't one."""
     raw = _decode(text, FORMAT)
     try:
         return Verdict(
@@ -149,7 +150,7 @@
             refusals=tuple(str(reason) for reason in raw["refusals"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(f"no verdict: {error!r}") from error
+        raise RecordError(f"invalid verdict: {error!r}") from error
 
 
 def _encode(record: Json) -> str:
@@ -160,7 +161,10 @@
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise RecordError(f"no record: {error}") from error
+        raise RecordError(f"invalid JSON: {error}") from error
     if not isinstance(raw, dict) or raw.get("format") != expected_format:
-        raise RecordError("a record of another format")
+        raise RecordError(
+            f"expected a record of format {expected_format}, "
+            f"got {raw.get('format') if isinstance(raw, dict) else raw!r:.80}"
+        )
     return raw
--- a/runloft/agreement/content.py
+++ b/runloft/agreement/content.py
@@ -1,6 +1,6 @@
-"""The content of a generation: the figures by which volumes are served.
+"""The content of a generation: the settings by which volumes are served.
 
-Sidecars' own matters (listeners, limits, slots, the store) are no part of it.
+Settings that belong to one sidecar (listeners, limits, slots, the store) are not part of it.
 """
 
 import hashlib
@@ -16,13 +16,13 @@
 FORMAT = 1
 VOLUME_KEYS = ("id", "plan", "hosts")
 DIGEST_DIGITS = 16
-Row = Mapping[str, Any]  # one class, plan or volume, in the wire's names and units
-Json = Mapping[str, Any]  # a whole document, such as an operator's file as it was read
+Row = Mapping[str, Any]  # one class, plan or volume, in wire names and units
+Json = Mapping[str, Any]  # a whole document, such as a parsed operator's file
 
 
 @dataclass(frozen=True)
 class Content:
-    """The figures of one generation, in the wire's names and units, each by its name."""
+    """The settings of one generation: tables of rows by name, in wire names and units."""
 
     classes: Mapping[str, Row] = field(default_factory=dict)
     plans: Mapping[str, Row] = field(default_factory=dict)
@@ -30,7 +30,7 @@
     shared: Mapping[str, Row] = field(default_factory=dict)
 
     def as_json(self) -> Json:
-        """Return it as plain values; the keys are part of the storage format."""
+        """Return the content as plain values; the keys are part of the storage format."""
         return {
             "format": FORMAT,
             "classes": dict(self.classes),
@@ -39,17 +39,20 @@
             "shared": dict(self.shared),
         }
 
-    @cached_property  # every exchange compares ranks, and a large fleet's content takes long to hash
+    @cached_property  # every exchange compares ranks, and hashing a large fleet's content is slow
     def digest(self) -> str:
-        """Return a digest that is the same for the same figures, in whatever order they stand."""
+        """Return a digest of the settings, which doesn't depend on the order of entries."""
         text = json.dumps(self.as_json(), sort_keys=True, separators=(",", ":"))
         return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_DIGITS]
 
 
 def content_from_json(raw: Any) -> Content:
-    """Return the content that ``as_json`` returned; raise ContentError for anything else."""
+    """Return the content of a value from ``as_json``; raise ContentError for any other value."""
     if not isinstance(raw, dict) or raw.get("format") != FORMAT:
-        raise ContentError("no content of a known format")
+        raise ContentError(
+            f"expected content of format {FORMAT}, "
+            f"got {raw.get('format') if isinstance(raw, dict) else raw!r:.80}"
+        )
     return Content(
         classes=_rows(raw, "classes"),
         plans=_rows(raw, "plans"),
@@ -61,12 +64,12 @@
 def _rows(raw: Json, table: str) -> Mapping[str, Row]:
     rows = raw.get(table)
     if not isinstance(rows, dict) or not all(isinstance(row, dict) for row in rows.values()):
-        raise ContentError(f"{table} holds no rows")
+        raise ContentError(f"expected an object of objects as {table!r}, got {rows!r:.80}")
     return rows
 
 
 def content_of_file(raw: Json) -> Content:
-    """Return what one sidecar's file says; ``raw`` is the file as it was read, in the wire's units."""
+    """Return the content of one sidecar's file; ``raw`` is the parsed file, in wire units."""
     settings = raw.get("settings", {})
     volumes = raw.get("objects", {}).get("volumes", {})
     return Content(
@@ -81,12 +84,12 @@
 
 
 def without_name(row: Row) -> Row:
-    """Return a row of a file's table without its name."""
+    """Return a row of a file's table without its ``Name``."""
     return {key: value for key, value in row.items() if key != "Name"}
 
 
 def merged(contents: Iterable[Content]) -> Content:
-    """Return several contents as one; where two have an entry, the later one's counts."""
+    """Return the union of several contents; later entries replace earlier ones of the same name."""
     result = Content({}, {}, {}, {})
     for content in contents:
         result = Content(
@@ -99,16 +102,17 @@
 
 
 def completed(content: Content, defaults: Content) -> Content:
-    """Return a content with the entries of ``defaults`` that it lacks; itself if it lacks none."""
+    """Return a content with the entries of ``defaults`` that it lacks, or ``content`` itself if none."""
     result = merged((defaults, content))
     return content if result == content else result
 
 
 def intermediate(old: Content, new: Content) -> Content:
-    """Return a step between two contents, whose reserves are the smaller of both.
+    """Return a step between two contents, in which each plan has the smaller reserve of both.
 
-    While it is served beside either of the two, no volume then counts more than that one reserves.
-    Everything else is the new one's; a volume that changes its plan gets the plan that reserves less.
+    While sidecars serve the step and either content at the same time, no volume counts for more than that
+    content reserves for it.  A volume that changes its plan gets the plan that reserves less.  Classes and
+    plans that only the old content has are kept; everything else is the new content's.
     """
     plans: dict[str, Row] = {}
     for name, row in new.plans.items():
--- a/runloft/agreement/epoch.py
+++ b/runloft/agreement/epoch.py
@@ -1,4 +1,4 @@
-"""The epochs of the store, as a sidecar sees them: a new one is trusted once old leases have expired."""
+"""The store's epochs as a sidecar sees them: a new one is trusted once all earlier leases have expired."""
 
 from runloft.agreement.effects import CloseEpoch, OpenEpoch
 from runloft.agreement.fencing import StalenessTracker, fence_expiry_ns
@@ -6,7 +6,7 @@
 
 
 class TrustedEpoch:
-    """The epoch of the store whose answers renew a sidecar's lease; ``number`` 0: none as yet."""
+    """The epoch in which the store's answers renew a sidecar's lease; ``number`` is 0 if there is none."""
 
     def __init__(self, fence_ns: int) -> None:
         self.number = 0
@@ -14,10 +14,10 @@
         self._tracker = StalenessTracker()
 
     def update(self, view: StoreView, highest_seen: int, now: int) -> list[OpenEpoch | CloseEpoch]:
-        """Take the epoch of a view; ``highest_seen`` is the one of the highest generation seen.
+        """Record the epoch of a view; ``highest_seen`` is the epoch of the highest generation seen.
 
-        Return what is to be written: a new epoch where the store has none or too low a one, and that the
-        previous one is closed when this one has been observed for longer than any fence.
+        Return the writes to make: ``OpenEpoch`` if the store has no epoch or one below ``highest_seen``,
+        ``CloseEpoch`` for the previous epoch once this one has been observed for longer than any fence.
         """
         if not view.epoch or view.epoch < highest_seen:
             return [OpenEpoch(max(view.now_ns, highest_seen, self.number) + 1, view.epoch)]
--- a/runloft/agreement/errors.py
+++ b/runloft/agreement/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the agreement; all of them share one base."""
+"""Exceptions of the agreement, with a common base class."""
 
 from pathlib import Path
 
@@ -6,19 +6,19 @@
 
 
 class AgreementError(RunloftError):
-    """Base of the agreement's errors."""
+    """Base class of the agreement's exceptions."""
 
 
 class ContentError(AgreementError, ValueError):
-    """A value that was read isn't the content of a generation."""
+    """A value that was read isn't a valid content of a generation."""
 
 
 class RecordError(AgreementError, ValueError):
-    """A text that was read isn't a record of its kind: another version's, another program's, or cut off."""
+    """A text isn't a record of the expected kind: truncated, or written by another version or program."""
 
 
 class StoreError(AgreementError):
-    """The shared store didn't answer, or what it holds can't be used."""
+    """An operation on the shared store failed."""
 
 
 class StoreUnavailableError(StoreError):
@@ -26,15 +26,15 @@
 
 
 class StoreContentError(StoreError):
-    """The shared store holds something that is no record of the agreement."""
+    """The shared store holds data that isn't a valid record of the agreement."""
 
 
 class StoreContentionError(StoreError):
-    """Other writers interfered with each attempt of a transaction."""
+    """Other clients changed the watched keys during every attempt of a transaction."""
 
 
 class SnapshotError(AgreementError):
-    """A local snapshot that can't be trusted, or a directory that can't be used; ``path`` is the file."""
+    """A local snapshot can't be trusted or written; ``path`` is its file."""
 
     def __init__(self, path: Path, reason: object) -> None:
         super().__init__(f"{path}: {reason}")
@@ -42,8 +42,8 @@
 
 
 class SnapshotReadError(SnapshotError):
-    """A local snapshot's file that could not be read this time; a later attempt may succeed."""
+    """The file of a local snapshot could not be read; a later attempt may succeed."""
 
 
 class NoSafePathError(AgreementError):
-    """No sequence of generations leads from the committed one to the wanted one within the capacity."""
+    """No sequence of generations leads from the committed content to the wanted one within the capacity."""
--- a/runloft/agreement/local_snapshot.py
+++ b/runloft/agreement/local_snapshot.py
@@ -1,9 +1,9 @@
-"""The local snapshot of the committed generation: one file in a directory that the operator names.
+"""The local snapshot of the committed generation: one file in a directory that the operator configures.
 
-A sidecar that restarts while the shared store is unavailable serves by it.  The file is written beside the
-old one, synced and renamed over it, so that a kill or a full disk leaves one of the two intact.  A file
-that can't be trusted (cut off, another version's, another sidecar's, a wrong checksum) is reported and
-ignored.
+A sidecar that restarts while the shared store is unavailable serves the generation in it.  The file is
+written under a temporary name, synced and renamed over the old one, so that a kill or a full disk leaves
+one of the two intact.  A file that can't be trusted (truncated, from another version or another sidecar,
+wrong checksum) is reported and ignored.
 """
 
 import os
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What was committed when the snapshot was written, and how long ago that is."""
+    """The generation that was committed when the snapshot was written, and the snapshot's age."""
 
     committed: CommittedGeneration
     age_s: float
 
 
 def read_boot_time() -> BootTime | None:
-    """Return the time since this machine was booted; None where the system doesn't provide it."""
+    """Return the time since this machine booted, or None if the system doesn't provide it."""
     try:
         boot = BOOT_ID_FILE.read_text().strip()
         return BootTime(boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME))
@@ -51,7 +51,7 @@
 
 
 class LocalSnapshot:
-    """One sidecar's snapshot file; ``name`` is the sidecar's."""
+    """The snapshot file of the sidecar ``name``."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         self.boot_time = boot_time
 
     def write(self, committed: CommittedGeneration) -> None:
-        """Replace the file, or leave it as it was; raise SnapshotError if it can't be written."""
+        """Replace the file atomically; raise SnapshotError if that fails."""
         data = encode_snapshot(SnapshotRecord(self.name, self.unix_ns(), committed, self.boot_time()))
         new_file = self.path.with_suffix(NEW_FILE_SUFFIX)
         try:
@@ -78,9 +78,9 @@
             raise SnapshotError(self.path, error) from error
 
     def read(self) -> Snapshot | None:
-        """Return the snapshot; None if there is none.
+        """Return the snapshot, or None if there is none.
 
-        Raise SnapshotReadError if the file can't be read now, SnapshotError if it can't be trusted.
+        Raise SnapshotReadError if the file can't be read, SnapshotError if it can't be trusted.
         """
         try:
             data = self.path.read_bytes()
@@ -96,12 +96,12 @@
             raise SnapshotError(self.path, error) from error
 
     def read_with_retries(self, sleep: Callable[[float], None] = time.sleep) -> Snapshot | None:
-        """Return what ``read`` returns; a file that can't be read for a moment is read again."""
+        """Return the result of ``read``, which is retried a few times while the file can't be read."""
         for _ in range(READ_RETRIES):
             try:
                 return self.read()
             except SnapshotReadError as error:
-                log.warning("local snapshot can't be read yet", error=str(error))
+                log.warning("reading the local snapshot failed, will be retried", error=str(error))
                 sleep(READ_RETRY_WAIT_S)
         return self.read()
 
@@ -111,16 +111,18 @@
             return None
         matching = [record for record in records if record.name == self.name]
         if not matching:
-            raise RecordError(f"no whole copy is left in it: it is {records[-1].name}'s")
+            raise RecordError(
+                f"expected a snapshot of sidecar {self.name!r}, got one of {records[-1].name!r}"
+            )
         return self._snapshot(max(matching, key=lambda record: record.committed.rank))
 
     def _snapshot(self, record: SnapshotRecord) -> Snapshot:
         if record.name != self.name:
-            raise RecordError(f"it is {record.name}'s")
+            raise RecordError(f"expected a snapshot of sidecar {self.name!r}, got one of {record.name!r}")
         return Snapshot(record.committed, self._age_s(record))
 
     def _age_s(self, record: SnapshotRecord) -> float:
-        """Return the age by the time since boot; after a reboot by the wall clock, which may be stepped."""
+        """Return the age by the time since boot or, after a reboot, by the wall clock, which may step."""
         now = self.boot_time()
         written = record.boot_time
         if now is not None and written is not None and written.boot == now.boot:
--- a/runloft/agreement/snapshot_format.py
+++ b/runloft/agreement/snapshot_format.py
@@ -1,7 +1,7 @@
-"""The format of a local snapshot's file: a line with the format, one with a checksum, and a JSON object.
+"""The format of a local snapshot's file: a line with the format, a line with a checksum, and a JSON object.
 
-The object's keys are part of the storage format and are spelled out here.  The version before kept its
-snapshot in an embedded store (LMDB); ``decode_lmdb_pages`` reads what is left of it.
+The object's keys are part of the storage format and are spelled out here.  An older version kept its
+snapshot in an embedded store (LMDB); ``decode_lmdb_pages`` reads the snapshots in such a file.
 """
 
 import hashlib
@@ -15,12 +15,12 @@
 FORMAT = b"runloft-copy-2\n"
 LMDB_FORMAT = b"runloft-copy-1\n"
 LMDB_MAGIC = b"\xde\xc0\xef\xbe"
-LMDB_MAGIC_OFFSET = 16  # in the first meta page
+LMDB_MAGIC_OFFSET = 16  # bytes into the first meta page
 
 
 @dataclass(frozen=True, slots=True)
 class BootTime:
-    """Time since this machine was booted, which nothing steps; ``boot`` identifies the boot."""
+    """Time since this machine booted, by a clock that never steps; ``boot`` identifies the boot."""
 
     boot: str
     since_ns: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRecord:
-    """What a snapshot's file holds: a sidecar's committed generation, and when it was written."""
+    """The content of a snapshot's file: a sidecar's committed generation, and when it was written."""
 
     name: str  # of the sidecar
     unix_ns: int
@@ -37,7 +37,7 @@
 
 
 def encode_snapshot(record: SnapshotRecord) -> bytes:
-    """Return the content of a snapshot's file."""
+    """Return the bytes of a snapshot's file."""
     raw: dict[str, object] = {
         "name": record.name,
         "at_ns": record.unix_ns,
@@ -51,23 +51,23 @@
 
 
 def decode_snapshot(data: bytes) -> SnapshotRecord:
-    """Return what a snapshot's file holds; raise RecordError if it is another version's or corrupt."""
+    """Decode a snapshot's file; raise RecordError if it is corrupt or from another version."""
     if not data.startswith(FORMAT):
-        raise RecordError("another version's copy, or none")
+        raise RecordError(f"expected a file that begins with {FORMAT!r}, got {data[: len(FORMAT)]!r}")
     checksum, _, body = data[len(FORMAT) :].partition(b"\n")
     return _decode_body(checksum, body)
 
 
 def is_lmdb(data: bytes) -> bool:
-    """Return whether a file begins with a meta page of the embedded store."""
+    """Return whether a file begins with an LMDB meta page."""
     return data[LMDB_MAGIC_OFFSET : LMDB_MAGIC_OFFSET + len(LMDB_MAGIC)] == LMDB_MAGIC
 
 
 def decode_lmdb_pages(data: bytes) -> list[SnapshotRecord]:
-    """Return the intact snapshots in the pages of the version before's file, an empty list if it has none.
+    """Return the intact snapshots in the pages of an LMDB file, or an empty list if it holds no snapshots.
 
-    The embedded store's own reader isn't used: it maps the file, and its process is killed where pages
-    are missing.  Raise RecordError if there are snapshots and none of them is intact.
+    The LMDB library isn't used: it maps the file, and a missing page kills the process with SIGBUS.
+    Raise RecordError if there are snapshots and none of them is intact.
     """
     records: list[SnapshotRecord] = []
     failure: Exception | None = None
@@ -80,13 +80,15 @@
         except ValueError as error:
             failure = error
     if not records and failure is not None:
-        raise RecordError(f"no whole copy is left in it: {failure}") from failure
+        raise RecordError(f"no intact snapshot in the file: {failure}") from failure
     return records
 
 
 def _decode_body(checksum: bytes, body: bytes) -> SnapshotRecord:
     if _checksum(body) != checksum:
-        raise RecordError("its sum is wrong")
+        raise RecordError(
+            f"SHA-256 checksum mismatch over {len(body)} bytes: the snapshot is damaged or truncated"
+        )
     try:
         raw = json.loads(body)
         has_boot_time = "boot" in raw
@@ -97,7 +99,7 @@
             boot_time=BootTime(str(raw["boot"]), int(raw["boot_ns"])) if has_boot_time else None,
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise RecordError(repr(error)) from error
+        raise RecordError(f"invalid snapshot: {error!r}") from error
 
 
 def _checksum(body: bytes) -> bytes:
--- a/runloft/agreement/snapshot_writer.py
+++ b/runloft/agreement/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes local snapshots, so that neither the lease nor the exit waits for the disk."""
+"""The thread that writes local snapshots, so that neither lease renewals nor the exit wait for the disk."""
 
 import threading
 
@@ -9,13 +9,13 @@
 from runloft.agreement.records import CommittedGeneration
 
 log = structlog.get_logger()
-MIN_RETRY_WAIT_S = 0.25  # between attempts of a write that fails, doubled with each
+MIN_RETRY_WAIT_S = 0.25  # after the first failed write; doubled after each further one
 MAX_RETRY_WAIT_S = 30.0
-EXIT_TIMEOUT_S = 0.2  # for a write that is under way when the program ends
+EXIT_TIMEOUT_S = 0.2  # for the pending write when the program exits
 
 
 class SnapshotWriter:
-    """Writes the newest generation that was submitted, in a thread of its own, until it is written."""
+    """Writes the newest submitted generation in a thread of its own, with retries until it is written."""
 
     def __init__(self, snapshot: LocalSnapshot) -> None:
         self.snapshot = snapshot
@@ -27,11 +27,11 @@
 
     @property
     def is_behind(self) -> bool:
-        """Return whether a submitted generation isn't written yet."""
+        """Return whether a submitted generation has not been written yet."""
         return self._pending is not None
 
     def submit(self, committed: CommittedGeneration) -> None:
-        """Have a generation written, in place of an earlier one that still waits."""
+        """Queue a generation for writing, in place of an earlier one that is still pending."""
         with self._changed:
             self._pending = committed
             self._changed.notify()
@@ -40,7 +40,7 @@
             self._thread.start()
 
     def stop(self, timeout_s: float = EXIT_TIMEOUT_S) -> None:
-        """Write what is pending, if that takes no longer than the timeout."""
+        """Stop the thread after the pending write, and wait for it no longer than the timeout."""
         with self._changed:
             self._stopped = True
             self._changed.notify()
--- a/runloft/agreement/store.py
+++ b/runloft/agreement/store.py
@@ -1,10 +1,11 @@
 """The client of the agreement's store (Redis): exchanges, views, and writes as transactions.
 
-An exchange reads and writes a fixed number of small records, however many sidecars there are; the names,
-leases and verdicts of all are read by a rollout alone.  Each write names what it expects to find, and is
-carried out entirely or not at all.
+An exchange reads and writes a fixed number of small records, however many sidecars there are; only a
+rollout reads the names, leases and verdicts of all sidecars.  Each write states what it expects the store
+to hold, and takes effect entirely or not at all.
 
-A lease doesn't expire by the store's clock, which may step: a rollout watches its activity (``fencing``).
+Leases don't expire by the store's clock, which may step: a rollout observes each sidecar's activity
+(``fencing``).
 """
 
 from collections.abc import Awaitable, Callable
@@ -34,8 +35,8 @@
     StoreUnavailableError,
 )
 from runloft.agreement.records import EpochRecord, ExchangeCount, StoreView
-from runloft.agreement.store_protocol import VERDICT_LEASES, StoreKeys
-from runloft.agreement.store_reader import SMALL_RECORDS, StoreReader
+from runloft.agreement.store_protocol import VERDICT_LIFETIME_LEASES, StoreKeys
+from runloft.agreement.store_reader import SMALL_RECORD_COUNT, StoreReader
 from runloft.agreement.store_transactions import StoreTransactions
 
 MAX_CONNECTIONS = 2
@@ -45,10 +46,10 @@
 
 
 class AgreementStore:
-    """One client of the store.  Every operation raises StoreError if it can't be carried out."""
+    """A client of the store.  Every operation raises StoreError if it can't be carried out."""
 
     def __init__(self, url: str, prefix: str, lease_ns: int, timeout_s: float) -> None:
-        """Take the store's address, the keys' prefix, and the timeout of each exchange with it."""
+        """``prefix`` is that of all keys; ``timeout_s`` limits each connect, send and receive."""
         self.lease_ms = max(1, lease_ns // NS_PER_MS)
         pool = redis.asyncio.BlockingConnectionPool.from_url(
             url,
@@ -56,9 +57,9 @@
             socket_timeout=timeout_s,
             socket_connect_timeout=timeout_s,
             max_connections=MAX_CONNECTIONS,
-            driver_info=None,  # no exchange about names before the one that matters
+            driver_info=None,  # no CLIENT SETINFO on new connections, which costs a round trip
             timeout=timeout_s,
-            # No retries of its own: the state machines know what is lost and when to retry.
+            # The client doesn't retry: the state machines handle lost replies and schedule the retries.
             retry=Retry(NoBackoff(), 0),
         )
         self._redis: Any = redis.asyncio.Redis.from_pool(pool)
@@ -73,35 +74,35 @@
     # Reading
 
     async def exchange(self, effect: Exchange) -> StoreView:
-        """Write a lease and return what a sidecar needs, in one round trip."""
-        return await self._guard(lambda: self._exchange(effect))
+        """Write a lease and read a sidecar's view; one round trip, unless a large record has changed."""
+        return await self._convert_errors(lambda: self._exchange(effect))
 
     async def _exchange(self, effect: Exchange) -> StoreView:
         lease = effect.lease
         verdict = effect.verdict
         pipe = self._redis.pipeline(transaction=False)
-        # Written before anything is read: a sidecar that has seen a generation is known by then.
+        # The lease is written before anything is read, so a sidecar that has seen a generation is known.
         pipe.set(self._keys.lease(lease.name), encode_lease(lease))
         pipe.sadd(self._keys.sidecars, lease.name)
         if verdict is not None:
             pipe.hset(self._keys.verdicts, verdict.name, encode_verdict(verdict))
-            pipe.pexpire(self._keys.verdicts, VERDICT_LEASES * self.lease_ms)
+            pipe.pexpire(self._keys.verdicts, VERDICT_LIFETIME_LEASES * self.lease_ms)
         self._reader.queue_small_records(pipe)
         replies = await pipe.execute()
-        return await self._reader.view(replies[-SMALL_RECORDS:])
+        return await self._reader.view(replies[-SMALL_RECORD_COUNT:])
 
     async def view(self) -> StoreView:
-        """Return everything there is, as a rollout needs it."""
-        return await self._guard(self._reader.full_view)
+        """Return a view with the records of all sidecars, as a rollout needs it."""
+        return await self._convert_errors(self._reader.full_view)
 
     # Writes of a sidecar
 
     async def open_epoch(self, effect: OpenEpoch) -> None:
-        """Open an epoch in a store that has lost its data, unless another sidecar has."""
+        """Open an epoch in a store that has lost its data, if its epoch is still the expected one."""
         await self._put_epoch(EpochRecord(effect.epoch), effect.expected)
 
     async def close_epoch(self, effect: CloseEpoch) -> None:
-        """Record that the epoch before is closed, if the epoch is still this one."""
+        """Record that the previous epoch is closed, if the store's epoch is still the effect's."""
         await self._put_epoch(EpochRecord(effect.epoch, previous_closed=True), effect.epoch)
 
     async def _put_epoch(self, epoch: EpochRecord, expected: int) -> None:
@@ -110,22 +111,22 @@
         )
 
     async def repair(self, effect: RepairStore) -> None:
-        """Put back what the store has lost, unless it holds a higher generation."""
+        """Restore a generation that the store has lost, unless it holds this one or a higher one."""
         await self._transact(lambda pipe: self._transactions.repair(pipe, effect), self._keys.committed)
 
     async def bootstrap(self, effect: Bootstrap) -> None:
-        """Put a first generation, if there is none."""
+        """Write the first generation, unless the store holds one."""
         committed = effect.committed
         await self._transact(lambda pipe: self._transactions.bootstrap(pipe, committed), self._keys.committed)
 
     async def add_own_entries(self, effect: AddOwnEntries) -> bool:
-        """Add entries to the committed generation; return False if it isn't the expected one any more."""
+        """Add entries to the committed generation; return False if it is no longer the expected one."""
         return await self._transact(
             lambda pipe: self._transactions.add_own_entries(pipe, effect), self._keys.committed
         )
 
     async def leave(self, sidecar: str, incarnation: str) -> None:
-        """Remove a sidecar that shuts down, so that it doesn't count as silent."""
+        """Remove a sidecar that shuts down, so that it isn't considered silent."""
         await self._transact(
             lambda pipe: self._transactions.leave(pipe, sidecar, incarnation), self._keys.lease(sidecar)
         )
@@ -133,13 +134,13 @@
     # Writes of a rollout
 
     async def put_stage(self, effect: PutStage) -> bool:
-        """Write or renew a stage; return False if another is there, or another generation committed."""
+        """Write or renew a stage; return False if there is another stage, or another committed generation."""
         return await self._transact(
             lambda pipe: self._transactions.put_stage(pipe, effect), self._keys.committed, self._keys.stage
         )
 
     async def commit(self, effect: CommitGeneration) -> bool:
-        """Commit a generation; return False if anything has changed since the last view."""
+        """Commit a generation; return False if the store has changed since the last view."""
         return await self._transact(
             lambda pipe: self._transactions.commit(pipe, effect),
             self._keys.committed,
@@ -149,25 +150,25 @@
         )
 
     async def drop_stage(self, effect: DropStage) -> None:
-        """Remove a stage, if it is still this one."""
+        """Remove a stage, if the store still holds the one with this token."""
         await self._transact(lambda pipe: self._transactions.drop_stage(pipe, effect), self._keys.stage)
 
     async def forget(self, sidecar: str, sent: ExchangeCount | None) -> bool:
-        """Remove a sidecar that is gone; return False if it has sent an exchange since.
+        """Remove a sidecar that no longer runs; return False if it has sent an exchange since.
 
-        ``sent`` None: it has no lease that can be read; one of another version stays.
+        ``sent`` is None if there is no lease; a sidecar whose lease can't be decoded isn't removed.
         """
         return await self._transact(
             lambda pipe: self._transactions.forget(pipe, sidecar, sent), self._keys.lease(sidecar)
         )
 
-    # Parts of these
+    # Transactions
 
     async def _transact(self, prepare: Callable[[Any], Awaitable[bool]], *watched: str) -> bool:
-        """Carry out a write that ``prepare`` has checked and queued; return whether it was."""
-        return await self._guard(lambda: self._attempt(prepare, watched))
+        """Execute a write that ``prepare`` checks and queues; return whether it was executed."""
+        return await self._convert_errors(lambda: self._execute(prepare, watched))
 
-    async def _attempt(self, prepare: Callable[[Any], Awaitable[bool]], watched: tuple[str, ...]) -> bool:
+    async def _execute(self, prepare: Callable[[Any], Awaitable[bool]], watched: tuple[str, ...]) -> bool:
         for _ in range(MAX_TRANSACTION_ATTEMPTS):
             async with self._redis.pipeline(transaction=True) as pipe:
                 await pipe.watch(*watched)
@@ -176,15 +177,17 @@
                 try:
                     await pipe.execute()
                 except WatchError:
-                    continue  # another client was faster: check again
+                    continue  # another client has changed a watched key: check again
                 return True
-        raise StoreContentionError("others write all the time")
+        raise StoreContentionError(
+            f"transaction failed {MAX_TRANSACTION_ATTEMPTS} times: other clients changed its keys each time"
+        )
 
-    async def _guard(self, operation: Callable[[], Awaitable[T]]) -> T:
-        """Carry out an operation; raise whatever the store may cause as StoreError."""
+    async def _convert_errors(self, operation: Callable[[], Awaitable[T]]) -> T:
+        """Run an operation; convert the exceptions that the store can cause to StoreError."""
         try:
             return await operation()
         except (RedisError, OSError, TimeoutError) as error:
             raise StoreUnavailableError(f"{type(error).__name__}: {error}") from error
         except (RecordError, TypeError, ValueError, IndexError, AttributeError) as error:
-            raise StoreContentError(f"the store holds what is not ours: {error}") from error
+            raise StoreContentError(f"unexpected data under the agreement's keys: {error}") from error
--- a/runloft/agreement/store_protocol.py
+++ b/runloft/agreement/store_protocol.py
@@ -1,9 +1,10 @@
-"""How the agreement's records lie in Redis: keys, tags, the epoch, and replies read back.
+"""How the agreement's records are stored in Redis: keys, tags, the epoch, and the decoding of replies.
 
 Keys, all under the prefix: ``force`` (the committed generation), ``names`` (a set of the known sidecars),
-``lease:NAME`` and ``era`` (no expiry), ``stage`` (expires unless renewed), ``verdicts`` (a hash, expires
-with its stage).  ``force:rank`` and ``stage:token`` are tags, written with the two large records, so that
-these are read when they have changed and not with every exchange.  Other keys are left alone.
+``lease:NAME`` and ``era`` (the epoch) don't expire; ``stage`` expires unless it is renewed, and
+``verdicts`` (a hash) expires after it.  ``force:rank`` and ``stage:token`` are tags, written together with
+the two large records, so that those are read when their tag has changed and not with every exchange.
+Other keys are neither read nor written.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,9 +16,9 @@
 from runloft.agreement.records import CommittedGeneration, EpochRecord
 
 log = structlog.get_logger()
-STAGE_LEASES = 2  # a stage expires after so many leases, unless it is renewed
-VERDICT_LEASES = 2 * STAGE_LEASES
-TAG_WORDS = 6  # epoch, generation, digest, token, time it takes effect, digest of the previous content
+STAGE_LIFETIME_LEASES = 2  # until an unrenewed stage expires
+VERDICT_LIFETIME_LEASES = 2 * STAGE_LIFETIME_LEASES
+TAG_WORDS = 6  # epoch, generation, digest, token, effective time, digest of the previous content
 TAG_TIME_INDEX = 4
 EPOCH_CLOSED = b"settled"
 NS_PER_S = 1_000_000_000
@@ -26,7 +27,7 @@
 
 
 class StoreKeys:
-    """The keys under a prefix."""
+    """The keys of all records under a prefix."""
 
     def __init__(self, prefix: str) -> None:
         self.committed = f"{prefix}:force"
@@ -44,21 +45,21 @@
 
 
 class NamedReply(NamedTuple):
-    """A reply of the store, and the name of the record that it should hold."""
+    """A reply of the store, and the name of the sidecar whose record it should hold."""
 
     name: bytes | str
     text: bytes | None
 
 
 def encode_tag(committed: CommittedGeneration) -> bytes:
-    """Return the tag of a committed generation, which differs wherever the record does."""
+    """Return the tag of a committed generation, which changes whenever the record does."""
     previous = committed.previous.digest if committed.previous else ""
     words = (*committed.rank, committed.token, committed.effective_at_ns, previous)
     return " ".join(map(str, words)).encode()
 
 
 def effective_at_ns_of(tag: bytes) -> int | None:
-    """Return when the generation with a tag takes effect; None where it is no tag."""
+    """Return when the generation with this tag takes effect, or None if the tag is malformed."""
     words = tag.split(b" ")
     if len(words) != TAG_WORDS or not words[TAG_TIME_INDEX].isdigit():
         return None
@@ -71,7 +72,7 @@
 
 
 def decode_epoch(text: bytes | None) -> EpochRecord:
-    """Return the epoch that a text holds; the record of no epoch where it holds none."""
+    """Decode an epoch; return ``EpochRecord()`` if the text is missing or malformed."""
     words = text.split() if text is not None else []
     if not words or not words[0].isdigit() or words[1:] not in ([], [EPOCH_CLOSED]):
         return EpochRecord()
@@ -85,22 +86,22 @@
 
 
 def decode_text(value: bytes | str) -> str:
-    """Return a name as text."""
+    """Return a value as ``str``."""
     return value.decode() if isinstance(value, bytes) else value
 
 
 def decode_names(reply: Iterable[bytes | str]) -> frozenset[str]:
-    """Return the members of a set of names."""
+    """Decode the members of a set of names."""
     return frozenset(map(decode_text, reply))
 
 
 def decode_readable(replies: Iterable[NamedReply], decode: Callable[[bytes], T]) -> dict[str, T]:
-    """Return the records that can be read, by name; report and ignore the others."""
+    """Return the records that can be decoded, by name; log and ignore the others."""
     records = {}
     for name, text in replies:
         try:
             if text is not None:
                 records[decode_text(name)] = decode(text)
         except RecordError as error:
-            log.warning("a record in the store is ignored", name=decode_text(name), error=str(error))
+            log.warning("an invalid record in the store is ignored", name=decode_text(name), error=str(error))
     return records
--- a/runloft/agreement/store_reader.py
+++ b/runloft/agreement/store_reader.py
@@ -1,4 +1,4 @@
-"""Reading the store's view: the small records with each exchange, the large ones when they have changed."""
+"""Reading views of the store: small records with each exchange, large ones only if they have changed."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
@@ -19,20 +19,20 @@
     encode_tag,
 )
 
-SMALL_RECORDS = 4  # that every view needs: the time, the epoch and the two tags
+SMALL_RECORD_COUNT = 4  # read for every view: the time, the epoch and the two tags
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
 class Cached(Generic[T]):
-    """A large record with the tag under which it was read."""
+    """A large record, and the tag that it had when it was read."""
 
     tag: bytes
     record: T
 
 
 class StoreReader:
-    """Reads views, and caches the two large records between them."""
+    """Reads views, and caches the two large records between reads."""
 
     def __init__(self, redis: Any, keys: StoreKeys) -> None:
         self._redis = redis
@@ -41,7 +41,7 @@
         self._stage: Cached[Stage] | None = None
 
     def queue_small_records(self, pipe: Any) -> None:
-        """Queue the commands that read the ``SMALL_RECORDS``."""
+        """Queue the commands that read the small records, ``SMALL_RECORD_COUNT`` in number."""
         pipe.time()
         pipe.get(self._keys.epoch)
         pipe.get(self._keys.committed_tag)
@@ -66,7 +66,7 @@
         )
 
     async def full_view(self) -> StoreView:
-        """Return a view with everything a rollout needs, the leases and verdicts included."""
+        """Return a view as a rollout needs it, with all sidecars, leases and verdicts."""
         pipe = self._redis.pipeline(transaction=True)
         pipe.smembers(self._keys.sidecars)
         pipe.hgetall(self._keys.verdicts)
@@ -80,7 +80,7 @@
         return replace(view, sidecars=sidecars, leases=leases, verdicts=answers)
 
     async def leases(self, client: Any, sidecars: Iterable[str]) -> dict[str, Lease]:
-        """Return the leases that can be read of the named sidecars."""
+        """Return those leases of the named sidecars that can be decoded."""
         names = sorted(sidecars)
         texts = await client.mget([self._keys.lease(name) for name in names]) if names else []
         replies = (NamedReply(name, text) for name, text in zip(names, texts, strict=True))
@@ -89,12 +89,12 @@
     async def _read(
         self, key: str, tag: bytes | None, cached: Cached[T] | None, decode: Callable[[bytes], T]
     ) -> Cached[T] | None:
-        """Return a large record, read again if its tag has changed; else what was cached."""
+        """Return a large record: the cached one, or a new one if the tag has changed."""
         if tag is None or (cached is not None and cached.tag == tag):
             return cached
         text = await self._redis.get(key)
         if text is None:
-            return cached  # it expired between the two reads
+            return cached  # the record has expired since its tag was read
         # In a thread: the content of a large fleet takes some milliseconds to decode.
         return Cached(tag, await anyio.to_thread.run_sync(decode, text))
 
@@ -103,9 +103,9 @@
         return cached.record if cached is not None and cached.tag == tag else None
 
     def _assemble_committed(self, tag: bytes) -> None:
-        """Build the committed generation from its stage and the one before, if both were read.
+        """Build the committed generation from its stage and the previous generation, if both are cached.
 
-        A change is then read once by each sidecar that was asked about it, and not again when committed.
+        A sidecar that has read the stage thus doesn't read the same content again once it is committed.
         """
         last = self._committed
         stage = self._stage
--- a/runloft/agreement/store_transactions.py
+++ b/runloft/agreement/store_transactions.py
@@ -1,8 +1,8 @@
 """The writes to the store: each checks what it expects to find, then queues its commands.
 
-Every method takes the pipeline of a transaction whose keys are watched; it returns whether the write is to
-be carried out, and has queued the commands for it then.  A write whose watched keys change before it is
-executed is tried again from the check on.
+Every method takes the pipeline of a transaction whose keys are watched, and returns whether the write is to
+be executed; if so, its commands are queued.  If a watched key changes before the execution, the caller
+repeats the write from the check on.
 """
 
 from dataclasses import replace
@@ -24,7 +24,7 @@
 )
 from runloft.agreement.records import CommittedGeneration, EpochRecord, ExchangeCount, Rank, rank_of
 from runloft.agreement.store_protocol import (
-    STAGE_LEASES,
+    STAGE_LIFETIME_LEASES,
     NamedReply,
     StoreKeys,
     decode_epoch,
@@ -38,17 +38,17 @@
 
 
 class StoreTransactions:
-    """The writes to the store under one prefix."""
+    """The writes to the records under one prefix."""
 
     def __init__(self, keys: StoreKeys, reader: StoreReader, lease_ms: int) -> None:
         self._keys = keys
         self._reader = reader
-        self._stage_ms = STAGE_LEASES * lease_ms
+        self._stage_ms = STAGE_LIFETIME_LEASES * lease_ms
 
     # Of a sidecar
 
     async def put_epoch(self, pipe: Any, epoch: EpochRecord, expected: int) -> bool:
-        """Write an epoch, if the store's is still the expected one."""
+        """Write an epoch, if the store's epoch is still the expected one."""
         if await self._epoch(pipe) != expected:
             return False
         pipe.multi()
@@ -56,7 +56,7 @@
         return True
 
     async def repair(self, pipe: Any, effect: RepairStore) -> bool:
-        """Put back what the store has lost, unless it holds a higher generation."""
+        """Restore a generation that the store has lost, unless it holds this one or a higher one."""
         if await self._rank(pipe) >= effect.committed.rank:
             return False
         pipe.multi()
@@ -64,7 +64,7 @@
         return True
 
     async def bootstrap(self, pipe: Any, committed: CommittedGeneration) -> bool:
-        """Put a first generation, if there is none."""
+        """Write the first generation, unless the store holds one."""
         if await pipe.exists(self._keys.committed):
             return False
         pipe.multi()
@@ -72,7 +72,7 @@
         return True
 
     async def add_own_entries(self, pipe: Any, effect: AddOwnEntries) -> bool:
-        """Replace the committed generation by one with more entries, if it is still the expected one."""
+        """Replace the committed generation with one of more entries, if it is still the expected one."""
         if await self._rank(pipe) != effect.expected:
             return False
         pipe.multi()
@@ -80,7 +80,7 @@
         return True
 
     async def leave(self, pipe: Any, sidecar: str, incarnation: str) -> bool:
-        """Remove a sidecar that shuts down, unless its successor is there already."""
+        """Remove a sidecar that shuts down, unless a new incarnation of it has written its lease already."""
         text = await pipe.get(self._keys.lease(sidecar))
         if text is None or decode_lease(text).incarnation != incarnation:
             return False
@@ -91,7 +91,7 @@
     # Of a rollout
 
     async def put_stage(self, pipe: Any, effect: PutStage) -> bool:
-        """Write or renew a stage, unless another is there or another generation is committed."""
+        """Write or renew a stage, unless there is another stage, or another committed generation."""
         token = await self._stage_token(pipe)
         is_other = token is not None and token != effect.stage.token
         if is_other or await self._rank(pipe) != effect.expected:
@@ -102,7 +102,7 @@
         return True
 
     async def drop_stage(self, pipe: Any, effect: DropStage) -> bool:
-        """Remove a stage, if it is still this one."""
+        """Remove a stage, if the store still holds the one with this token."""
         if await self._stage_token(pipe) != effect.token:
             return False
         pipe.multi()
@@ -110,7 +110,7 @@
         return True
 
     async def commit(self, pipe: Any, effect: CommitGeneration) -> bool:
-        """Commit a generation, if everything is as it was in the last view."""
+        """Commit a generation, if the store still holds what the effect expects."""
         if not await self._is_as_expected(pipe, effect):
             return False
         effective_at_ns = decode_time(await pipe.time()) + effect.delay_ns
@@ -132,25 +132,28 @@
         return await self._rank(pipe) == effect.expected
 
     async def _has_activity(self, pipe: Any, effect: CommitGeneration) -> bool:
-        """Return whether an excluded sidecar has got an answer, or a fenced one has sent an exchange."""
+        """Return whether an excluded sidecar has received an answer, or a fenced one has sent an exchange."""
         leases = await self._reader.leases(pipe, effect.excluded.keys() | effect.fenced.keys())
-        if any(name not in leases or leases[name].answered != was for name, was in effect.excluded.items()):
+        if any(
+            name not in leases or leases[name].answered != answered
+            for name, answered in effect.excluded.items()
+        ):
             return True
-        return any(name not in leases or leases[name].sent != was for name, was in effect.fenced.items())
+        return any(name not in leases or leases[name].sent != sent for name, sent in effect.fenced.items())
 
     async def forget(self, pipe: Any, sidecar: str, sent: ExchangeCount | None) -> bool:
-        """Remove a sidecar, if it has sent no exchange since; None: it has no lease that can be read."""
+        """Remove a sidecar, if it has sent no exchange since; ``sent`` is None if there is no lease."""
         text = await pipe.get(self._keys.lease(sidecar))
         lease = decode_readable([NamedReply(sidecar, text)], decode_lease).get(sidecar)
         if lease is None and text is not None:
-            return False  # of another version: it isn't known whether the sidecar is there
+            return False  # a lease of another version or a corrupt one: the sidecar may be running
         if (lease.sent if lease else None) != sent:
             return False
         pipe.multi()
         self._remove_sidecar(pipe, sidecar)
         return True
 
-    # Parts of these
+    # Helpers
 
     async def _rank(self, pipe: Any) -> Rank:
         text = await pipe.get(self._keys.committed)
--- a/runloft/agreement/voter.py
+++ b/runloft/agreement/voter.py
@@ -1,4 +1,4 @@
-"""How a sidecar answers a rollout's stage: it checks whether it could serve the staged content."""
+"""How a sidecar answers the stage of a rollout: it checks whether it could serve the staged content."""
 
 from collections.abc import Callable
 
@@ -6,14 +6,14 @@
 from runloft.agreement.effects import AgreementEvent, LogEvent
 from runloft.agreement.records import Rank, Stage, Verdict
 
-MAX_REFUSALS = 8  # in a verdict
+MAX_REFUSALS = 8  # stored in a verdict
 MAX_LOGGED_REFUSALS = 3
 
 
 class Voter:
     """One sidecar's verdict on the stage that the store holds.
 
-    ``validate`` returns why this sidecar can't serve a content, an empty list if it can.
+    ``validate`` returns the reasons why this sidecar can't serve a content, an empty list if it can.
     """
 
     def __init__(self, name: str, incarnation: str, validate: Callable[[Content], list[str]]) -> None:
@@ -23,10 +23,10 @@
         self.verdict: Verdict | None = None
 
     def answer(self, stage: Stage | None, highest: Rank) -> LogEvent | None:
-        """Set the verdict on a stage; return what to log if it is a new one.
+        """Update the verdict on a stage; return the event to log if the verdict is new.
 
-        ``highest`` is the rank of the highest generation seen.  The verdict goes with every exchange until
-        another stage is there.
+        ``highest`` is the rank of the highest generation seen.  The verdict is sent with every exchange
+        until the store holds another stage or none.
         """
         if stage is None:
             self.verdict = None
