--- a/runloft/agreement/ballot.py
+++ b/runloft/agreement/ballot.py
@@ -34,7 +34,7 @@
     each prevent a commit.
     """
     if view.stage is not None and view.stage.token != token:
-        return f"another roll-out is under way, by {view.stage.staged_by}"
+        return f"another rollout is under way, started by {view.stage.staged_by}"
     refusals = [
         f"{name}: {'; '.join(verdict.refusals)}"
         for name, verdict in sorted(verdicts.items())
@@ -115,10 +115,13 @@
     def _is_unanswered(self, name: str) -> bool:
         return self._sidecars[name].unanswered_ns >= self._lease_ns
 
-    def _may_be_excluded(self, lease: Lease, would_be_one_behind: bool) -> bool:
-        """Return whether the next generation may be committed without this sidecar's answer."""
+    def _may_be_excluded(self, lease: Lease, holds_no_older_reserves: bool) -> bool:
+        """Return whether the next generation may be committed without this sidecar's answer.
+
+        ``holds_no_older_reserves``: it holds no reserves of a generation before the committed one.
+        """
         earlier_leases_expired = self._committed_unchanged_ns >= self._fence_expiry_ns(lease)
-        return self._is_unanswered(lease.name) and (would_be_one_behind or earlier_leases_expired)
+        return self._is_unanswered(lease.name) and (holds_no_older_reserves or earlier_leases_expired)
 
     def _fence_expiry_ns(self, lease: Lease) -> int:
         return fence_expiry_ns(max(self._fence_ns, lease.fence_ns))
--- a/runloft/agreement/snapshot_writer.py
+++ b/runloft/agreement/snapshot_writer.py
@@ -26,7 +26,7 @@
         self._stopped = False
 
     @property
-    def is_behind(self) -> bool:
+    def has_pending_write(self) -> bool:
         """Return whether a submitted generation has not been written yet."""
         return self._pending is not None
 
@@ -46,7 +46,7 @@
             self._changed.notify()
         if self._thread is not None:
             self._thread.join(timeout_s)
-        if self.is_behind:
+        if self.has_pending_write:
             log.warning("local snapshot not written before exit", failures=self.failures)
 
     def _run(self) -> None:
--- a/runloft/agreement/store.py
+++ b/runloft/agreement/store.py
@@ -49,7 +49,7 @@
     """A client of the store.  Every operation raises StoreError if it can't be carried out."""
 
     def __init__(self, url: str, prefix: str, lease_ns: int, timeout_s: float) -> None:
-        """``prefix`` is that of all keys; ``timeout_s`` limits each connect, send and receive."""
+        """``prefix`` starts every key; ``timeout_s`` limits each wait for a connection or a reply."""
         self.lease_ms = max(1, lease_ns // NS_PER_MS)
         pool = redis.asyncio.BlockingConnectionPool.from_url(
             url,
@@ -102,7 +102,7 @@
         await self._put_epoch(EpochRecord(effect.epoch), effect.expected)
 
     async def close_epoch(self, effect: CloseEpoch) -> None:
-        """Record that the previous epoch is closed, if the store's epoch is still the effect's."""
+        """Record that the previous epoch is closed, if the store's epoch is still ``effect.epoch``."""
         await self._put_epoch(EpochRecord(effect.epoch, previous_closed=True), effect.epoch)
 
     async def _put_epoch(self, epoch: EpochRecord, expected: int) -> None:
@@ -150,7 +150,7 @@
         )
 
     async def drop_stage(self, effect: DropStage) -> None:
-        """Remove a stage, if the store still holds the one with this token."""
+        """Remove the stage, if it still has the effect's token."""
         await self._transact(lambda pipe: self._transactions.drop_stage(pipe, effect), self._keys.stage)
 
     async def forget(self, sidecar: str, sent: ExchangeCount | None) -> bool:
--- a/runloft/agreement/store_transactions.py
+++ b/runloft/agreement/store_transactions.py
@@ -1,7 +1,7 @@
 """The writes to the store: each checks what it expects to find, then queues its commands.
 
 Every method takes the pipeline of a transaction whose keys are watched, and returns whether the write is to
-be executed; if so, its commands are queued.  If a watched key changes before the execution, the caller
+be executed; its commands are queued then.  If a watched key changes before the execution, the caller
 repeats the write from the check on.
 """
 
@@ -102,7 +102,7 @@
         return True
 
     async def drop_stage(self, pipe: Any, effect: DropStage) -> bool:
-        """Remove a stage, if the store still holds the one with this token."""
+        """Remove the stage, if it still has the effect's token."""
         if await self._stage_token(pipe) != effect.token:
             return False
         pipe.multi()
--- a/tests/agreement/test_codec.py
+++ b/tests/agreement/test_codec.py
@@ -21,9 +21,9 @@
     "text", ["", "{", "[]", '{"format": 2}', '{"format": 1}', '{"format":1,"generation":"x"}']
 )
 def test_a_text_that_is_no_record_raises_record_error(text):
-    for read in (decode_committed, decode_stage, decode_lease, decode_verdict):
+    for decode in (decode_committed, decode_stage, decode_lease, decode_verdict):
         with pytest.raises(RecordError):
-            read(text)
+            decode(text)
 
 
 def test_encoded_records_decode_to_equal_records():
--- a/tests/agreement/test_rollout.py
+++ b/tests/agreement/test_rollout.py
@@ -131,7 +131,7 @@
     rollout = roll_out(fleet, CONTENTS[2])
     assert (
         rollout.phase is RolloutPhase.STOPPED
-        and "no lease of this version" in rollout.reason
+        and "no lease in this version's format" in rollout.reason
         and "old" in rollout.reason
     )
 
--- a/tests/agreement/test_sidecars.py
+++ b/tests/agreement/test_sidecars.py
@@ -123,7 +123,7 @@
     assert states == {"ingest": "agrees", "old": "unknown"} and "is ignored" in done.stderr
     shutil.copy(pair.fleet, pair.path / "files" / "fleet.toml")
     out = pair.tool("roll", "out", pair.path / "files", status=1)
-    assert "known by no lease of this version, so it can't be left out: old" in out
+    assert "no lease in this version's format, so these sidecars can't be excluded: old" in out
 
 
 def test_volumes_missing_from_the_generation_are_suspended_and_answered_with_retry_after(pair):
--- a/tests/agreement/test_store.py
+++ b/tests/agreement/test_store.py
@@ -18,7 +18,7 @@
 )
 from runloft.agreement.errors import StoreError
 from runloft.agreement.records import NO_RANK, CommittedGeneration, Stage, Verdict
-from tests.support.stores import LEASE_NS, ONE, TWO, make_lease, run_against_stores
+from tests.support.stores import FIRST_CONTENT, LEASE_NS, SECOND_CONTENT, make_lease, run_against_stores
 
 
 def test_a_generation_is_bootstrapped_once_then_staged_answered_and_committed():
@@ -30,12 +30,12 @@
             and not view.epoch
             and abs(view.now_ns - time.time_ns()) < 5e9
         )
-        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
-        await other.bootstrap(Bootstrap(CommittedGeneration(1, TWO)))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, FIRST_CONTENT)))
+        await other.bootstrap(Bootstrap(CommittedGeneration(1, SECOND_CONTENT)))
         first = (await other.exchange(Exchange(make_lease("s1")))).committed
-        assert first.content == ONE
-        assert not await other.add_own_entries(AddOwnEntries(CommittedGeneration(2, TWO), NO_RANK))
-        stage = Stage("t.0", 2, TWO, "me")
+        assert first.content == FIRST_CONTENT
+        assert not await other.add_own_entries(AddOwnEntries(CommittedGeneration(2, SECOND_CONTENT), NO_RANK))
+        stage = Stage("t.0", 2, SECOND_CONTENT, "me")
         assert await store.put_stage(PutStage(stage, first.rank))
         assert not await other.put_stage(PutStage(replace(stage, token="u.0"), first.rank))
         verdict = Verdict("s0", "i", "t.0", ())
@@ -43,17 +43,20 @@
         seen = await other.view()
         assert seen.verdicts == {"s0": verdict} and seen.leases.keys() == {"s0", "s1"} == seen.sidecars
         await store.open_epoch(OpenEpoch(7, 0))
-        put = CommitGeneration(
-            CommittedGeneration(2, TWO, 0, ONE, "t.0", "me", 7), first.rank, frozenset(("s0", "s1")), LEASE_NS
+        effect = CommitGeneration(
+            CommittedGeneration(2, SECOND_CONTENT, 0, FIRST_CONTENT, "t.0", "me", 7),
+            first.rank,
+            frozenset(("s0", "s1")),
+            LEASE_NS,
         )
-        assert not await other.commit(replace(put, sidecars=frozenset(("s0",))))
-        assert not await other.commit(replace(put, committed=replace(put.committed, token="x.0")))
-        assert not await other.commit(replace(put, committed=replace(put.committed, epoch=6)))
-        assert await other.commit(put)
+        assert not await other.commit(replace(effect, sidecars=frozenset(("s0",))))
+        assert not await other.commit(replace(effect, committed=replace(effect.committed, token="x.0")))
+        assert not await other.commit(replace(effect, committed=replace(effect.committed, epoch=6)))
+        assert await other.commit(effect)
         view = await store.exchange(Exchange(make_lease()))
-        assert view.committed.rank == put.committed.rank and view.stage is None
+        assert view.committed.rank == effect.committed.rank and view.stage is None
         assert 0 < view.committed.effective_at_ns - view.now_ns <= LEASE_NS
-        assert not await store.commit(put)
+        assert not await store.commit(effect)
 
     run_against_stores(check)
 
@@ -61,29 +64,27 @@
 def test_a_commit_fails_if_an_excluded_sidecar_is_active_and_removes_fenced_ones():
     async def check(server, store, other):
         await store.open_epoch(OpenEpoch(7, 0))
-        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, FIRST_CONTENT)))
         await store.exchange(Exchange(make_lease()))
-        await other.exchange(Exchange(make_lease("s1", asked=5, heard=4)))
-        rank = (0, 1, ONE.digest)
-        assert await store.put_stage(PutStage(Stage("t.0", 2, TWO), rank))
+        await other.exchange(Exchange(make_lease("s1", sent=5, answered=4)))
+        rank = (0, 1, FIRST_CONTENT.digest)
+        assert await store.put_stage(PutStage(Stage("t.0", 2, SECOND_CONTENT), rank))
         names = frozenset(("s0", "s1"))
-        put = CommitGeneration(
-            CommittedGeneration(2, TWO, token="t.0", epoch=7),
+        effect = CommitGeneration(
+            CommittedGeneration(2, SECOND_CONTENT, token="t.0", epoch=7),
             rank,
             names,
             LEASE_NS,
             {"s1": ("i", 4)},
             {"s1": ("i", 5)},
         )
-        await other.exchange(Exchange(make_lease("s1", asked=6, heard=5)))  # it gets answers again
-        assert not await store.commit(replace(put, fenced={}))
-        assert not await store.commit(replace(put, excluded={}))
+        await other.exchange(Exchange(make_lease("s1", sent=6, answered=5)))  # it receives answers again
+        assert not await store.commit(replace(effect, fenced={}))
+        assert not await store.commit(replace(effect, excluded={}))
         assert not await store.forget("s1", ("i", 5))
-        assert await store.commit(replace(put, excluded={"s1": ("i", 5)}, fenced={"s1": ("i", 6)}))
+        assert await store.commit(replace(effect, excluded={"s1": ("i", 5)}, fenced={"s1": ("i", 6)}))
         assert (await store.view()).sidecars == {"s0"} == (await store.view()).leases.keys()
-        await other.exchange(
-            Exchange(make_lease("s1", asked=7, heard=5))
-        )  # without answers, but it is running
+        await other.exchange(Exchange(make_lease("s1", sent=7, answered=5)))  # without answers, but running
         assert await store.forget("s1", ("i", 7)) and (await store.view()).sidecars == {"s0"}
 
     run_against_stores(check)
@@ -100,7 +101,7 @@
         assert (await store.view()).previous_epoch_closed
         await other.open_epoch(OpenEpoch(12, 7))
         assert ((await store.view()).epoch, (await store.view()).previous_epoch_closed) == (12, False)
-        server.keys.data[b"t:era"] = b"an era"  # no record of an epoch
+        server.keys.data[b"t:era"] = b"an era"  # not a valid epoch
         assert (await store.view()).epoch == 0
 
     run_against_stores(check)
@@ -133,10 +134,10 @@
 
 
 def test_an_exchange_costs_the_same_for_any_number_of_sidecars():
-    """Counted at the store."""
+    """Commands and bytes, as counted by the store."""
 
     async def check(server, store, other):
-        async def counted():
+        async def cost_of_exchange():
             before = server.keys.count, server.traffic.received, server.traffic.sent
             await store.exchange(Exchange(make_lease()))
             return (
@@ -145,12 +146,12 @@
                 server.traffic.sent - before[2],
             )
 
-        server.keys.unix_ns = lambda: 1_700_000_000_123_456_789  # whose text is always as long
-        await store.exchange(Exchange(make_lease()))  # its connection is there
-        alone = await counted()
+        server.keys.unix_ns = lambda: 1_700_000_000_123_456_789  # so that the time always has the same length
+        await store.exchange(Exchange(make_lease()))  # opens the connection
+        alone = await cost_of_exchange()
         for number in range(200):
             await other.exchange(Exchange(make_lease(f"other-{number:030}")))
-        assert await counted() == alone and alone[0] == 6 and sum(alone[1:]) < 1000
+        assert await cost_of_exchange() == alone and alone[0] == 6 and sum(alone[1:]) < 1000
 
     run_against_stores(check)
 
@@ -158,23 +159,32 @@
 def test_a_committed_generation_is_not_read_again_after_its_stage_was_read():
     async def check(server, store, other):
         await store.open_epoch(OpenEpoch(7, 0))
-        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
-        await other.exchange(Exchange(make_lease()))  # it never reads the stage
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, FIRST_CONTENT)))
+        await other.exchange(Exchange(make_lease()))  # s0 never reads the stage
         await store.exchange(Exchange(make_lease("s1")))
-        rank = (0, 1, ONE.digest)
-        assert await other.put_stage(PutStage(Stage("t.0", 2, TWO, "me", 7), rank))
-        assert (await store.exchange(Exchange(make_lease("s1")))).stage.content == TWO
-        committed = CommittedGeneration(2, TWO, 0, ONE, "t.0", "me", 7)
+        rank = (0, 1, FIRST_CONTENT.digest)
+        assert await other.put_stage(PutStage(Stage("t.0", 2, SECOND_CONTENT, "me", 7), rank))
+        assert (await store.exchange(Exchange(make_lease("s1")))).stage.content == SECOND_CONTENT
+        committed = CommittedGeneration(2, SECOND_CONTENT, 0, FIRST_CONTENT, "t.0", "me", 7)
         assert await other.commit(CommitGeneration(committed, rank, frozenset(("s0", "s1")), LEASE_NS))
         read = []
         act = server.keys.act
         server.keys.act = lambda session, words: read.append(words[1:]) or act(session, words)
-        asked = (await store.exchange(Exchange(make_lease("s1")))).committed
+        assembled = (await store.exchange(Exchange(make_lease("s1")))).committed
         assert [b"t:force"] not in read
-        assert asked == (await other.exchange(Exchange(make_lease()))).committed and [b"t:force"] in read
-        assert asked.rank == committed.rank and asked.previous == ONE and asked.effective_at_ns > 0
-        # It is read again if another generation preceded it, or another one was staged.
-        for tag in (b"7 3 x t.1 0 y", b"7 2 %s t.0 5 y" % TWO.digest.encode(), b"7 2 x t.0 5 y", b"1 2"):
+        assert assembled == (await other.exchange(Exchange(make_lease()))).committed and [b"t:force"] in read
+        assert (
+            assembled.rank == committed.rank
+            and assembled.previous == FIRST_CONTENT
+            and assembled.effective_at_ns > 0
+        )
+        # It is read if another generation preceded it, or if another one was staged.
+        for tag in (
+            b"7 3 x t.1 0 y",
+            b"7 2 %s t.0 5 y" % SECOND_CONTENT.digest.encode(),
+            b"7 2 x t.0 5 y",
+            b"1 2",
+        ):
             server.keys.data[b"t:force:rank"] = tag
             read.clear()
             await store.exchange(Exchange(make_lease("s1")))
@@ -185,17 +195,17 @@
 
 def test_repair_restores_a_lost_generation_but_never_replaces_a_higher_one():
     async def check(server, store, other):
-        await store.repair(RepairStore(CommittedGeneration(5, ONE)))
-        await other.repair(RepairStore(CommittedGeneration(4, TWO)))
+        await store.repair(RepairStore(CommittedGeneration(5, FIRST_CONTENT)))
+        await other.repair(RepairStore(CommittedGeneration(4, SECOND_CONTENT)))
         assert (await store.view()).committed.generation == 5
         server.keys.empty()
-        await other.repair(RepairStore(CommittedGeneration(4, TWO)))
-        await store.repair(RepairStore(CommittedGeneration(5, ONE)))
+        await other.repair(RepairStore(CommittedGeneration(4, SECOND_CONTENT)))
+        await store.repair(RepairStore(CommittedGeneration(5, FIRST_CONTENT)))
         assert (await store.view()).committed.generation == 5
         await store.repair(
-            RepairStore(CommittedGeneration(2, TWO, epoch=1))
-        )  # rolled out since the store was lost
-        await store.repair(RepairStore(CommittedGeneration(9, ONE)))
+            RepairStore(CommittedGeneration(2, SECOND_CONTENT, epoch=1))
+        )  # rolled out after the store lost its data
+        await store.repair(RepairStore(CommittedGeneration(9, FIRST_CONTENT)))
         assert (await store.view()).committed.generation == 2
 
     run_against_stores(check)
@@ -213,11 +223,11 @@
     run_against_stores(check)
 
 
-@pytest.mark.parametrize("fault", ["silent", "slow", "refusing", "reset", "types", "foreign", "cut"])
+@pytest.mark.parametrize("fault", ["silent", "slow", "refusing", "reset", "types", "foreign", "truncated"])
 def test_every_store_fault_raises_store_error_within_the_timeout(fault):
     async def check(server, store, other):
         await store.exchange(Exchange(make_lease()))
-        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, FIRST_CONTENT)))
         match fault:
             case "silent":
                 server.failures.silent = True
@@ -234,7 +244,7 @@
             case "foreign":
                 server.keys.data[b"t:force"] = b'{"format": 9}'
                 server.keys.data[b"t:force:rank"] = b"9"
-            case "cut":
+            case "truncated":
                 server.keys.data[b"t:force"] = server.keys.data[b"t:force"][:-5]
                 server.keys.data[b"t:force:rank"] = b"9"
         started_at = time.monotonic()
@@ -247,7 +257,7 @@
 
 def test_concurrent_writes_lose_no_update():
     async def check(server, store, other):
-        await store.bootstrap(Bootstrap(CommittedGeneration(1, ONE)))
+        await store.bootstrap(Bootstrap(CommittedGeneration(1, FIRST_CONTENT)))
 
         async def add(client, name):
             for _ in range(20):
--- a/tests/agreement/test_stored_records.py
+++ b/tests/agreement/test_stored_records.py
@@ -1,6 +1,6 @@
-"""Records as version 9c33a60 stored them: read, and written back byte for byte.
+"""Records stored by version 9c33a60 are read, and written back byte for byte.
 
-Sidecars of both versions share one store during an upgrade.  ``lmdb.copy`` is from the version before that.
+Sidecars of two versions share one store during an upgrade.  ``lmdb.copy`` is from the version before that.
 """
 
 import json
@@ -46,11 +46,11 @@
 EPOCH = 1_764_000_000_000_000_001
 
 
-def stored(name):
+def read_stored(name):
     return (STORED / name).read_bytes()
 
 
-def written(record):
+def encoded(record):
     match record:
         case CommittedGeneration():
             text = encode_committed(record)
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, read",
+    "name, decode",
     [
         ("generation-first.json", decode_committed),
         ("generation-rolled-out.json", decode_committed),
@@ -75,12 +75,12 @@
         ("verdict-refusing.json", decode_verdict),
     ],
 )
-def test_a_stored_record_is_written_back_byte_for_byte(name, read):
-    assert written(read(stored(name))) == stored(name)
+def test_a_stored_record_is_written_back_byte_for_byte(name, decode):
+    assert encoded(decode(read_stored(name))) == read_stored(name)
 
 
 def test_a_lease_is_read_field_by_field():
-    lease = decode_lease(stored("lease.json"))
+    lease = decode_lease(read_stored("lease.json"))
     assert (lease.name, lease.incarnation, lease.generation) == ("s0", "0f0e0d0c0b0a", 8)
     assert (lease.digest, lease.file_digest) == ("391bbfcd1c8a6618", "539addc558e09575")
     assert (lease.differences, lease.suspended, lease.serving_since_ns) == (3, 2, 1_764_684_000_123_456_000)
@@ -90,7 +90,7 @@
 
 
 def test_a_generation_is_read_field_by_field():
-    committed = decode_committed(stored("generation-rolled-out.json"))
+    committed = decode_committed(read_stored("generation-rolled-out.json"))
     assert (committed.generation, committed.effective_at_ns, committed.epoch) == (
         8,
         1_764_684_000_123_456_000,
@@ -110,31 +110,31 @@
     shutil.copy(STORED / f"{name}.copy", tmp_path)
     later = BootTime(BOOT.boot, BOOT.since_ns + 5_000_000_000) if boot else None
     snapshot = LocalSnapshot(str(tmp_path), name, lambda: UNIX_NS + 60_000_000_000, lambda: later).read()
-    assert snapshot.age_s == age_s and written(snapshot.committed) == stored(generation)
-    again = LocalSnapshot(str(tmp_path / "again"), name, lambda: UNIX_NS, lambda: boot)
-    again.write(snapshot.committed)
-    assert again.path.read_bytes() == stored(f"{name}.copy")
-    assert again.path.name == f"{name}.copy"
+    assert snapshot.age_s == age_s and encoded(snapshot.committed) == read_stored(generation)
+    copy = LocalSnapshot(str(tmp_path / "again"), name, lambda: UNIX_NS, lambda: boot)
+    copy.write(snapshot.committed)
+    assert copy.path.read_bytes() == read_stored(f"{name}.copy")
+    assert copy.path.name == f"{name}.copy"
 
 
 def test_the_lmdb_snapshot_of_an_older_version_is_read_and_replaced(tmp_path):
     shutil.copy(STORED / "lmdb.copy", tmp_path / "s0.copy")
     file = LocalSnapshot(str(tmp_path), "s0", lambda: UNIX_NS, lambda: BOOT)
     snapshot = file.read()
-    assert snapshot.age_s == 0.0 and written(snapshot.committed) == stored("generation-rolled-out.json")
+    assert snapshot.age_s == 0.0 and encoded(snapshot.committed) == read_stored("generation-rolled-out.json")
     file.write(snapshot.committed)
-    assert file.path.read_bytes() == stored("s0.copy")
+    assert file.path.read_bytes() == read_stored("s0.copy")
 
 
-async def every_command(store):
-    """Use each of the store client's operations once or more, with success and without."""
+async def use_every_operation(store):
+    """Call each operation of the store client, with cases that succeed and cases that don't."""
     first, second = (
-        decode_committed(stored("generation-first.json")),
-        decode_committed(stored("generation-rolled-out.json")),
+        decode_committed(read_stored("generation-first.json")),
+        decode_committed(read_stored("generation-rolled-out.json")),
     )
-    lease, verdict = decode_lease(stored("lease.json")), decode_verdict(stored("verdict.json"))
-    other = decode_lease(stored("lease-at-start.json"))
-    stage = decode_stage(stored("stage.json"))
+    lease, verdict = decode_lease(read_stored("lease.json")), decode_verdict(read_stored("verdict.json"))
+    other = decode_lease(read_stored("lease-at-start.json"))
+    stage = decode_stage(read_stored("stage.json"))
     await store.exchange(Exchange(lease))
     await store.open_epoch(OpenEpoch(EPOCH, 0))
     await store.open_epoch(OpenEpoch(EPOCH + 1, 0))
@@ -147,11 +147,11 @@
     await store.put_stage(PutStage(stage, added.rank))
     await store.put_stage(PutStage(replace(stage, token="x.0"), added.rank))
     await store.exchange(Exchange(other, verdict))
-    await store.exchange(Exchange(lease, decode_verdict(stored("verdict-refusing.json"))))
+    await store.exchange(Exchange(lease, decode_verdict(read_stored("verdict-refusing.json"))))
     names = frozenset(("s0", "s1"))
-    put = CommitGeneration(second, added.rank, names, LEASE_NS, {"s1": other.answered}, {"s1": other.sent})
-    await store.commit(replace(put, expected=first.rank))
-    await store.commit(put)
+    commit = CommitGeneration(second, added.rank, names, LEASE_NS, {"s1": other.answered}, {"s1": other.sent})
+    await store.commit(replace(commit, expected=first.rank))
+    await store.commit(commit)
     await store.view()
     await store.put_stage(PutStage(stage, second.rank))
     await store.drop_stage(DropStage("x.0"))
@@ -170,23 +170,23 @@
     commands = []
     with running(RedisStandIn()) as (server,):
         server.keys.unix_ns = lambda: UNIX_NS
-        act = server.keys.act
+        real_act = server.keys.act
 
-        def recorded(session, words):
+        def record(session, words):
             commands.append([word.decode() for word in words])
-            reply = act(session, words)
+            reply = real_act(session, words)
             return reply
 
-        server.keys.act = recorded
+        server.keys.act = record
 
         async def main():
             store = AgreementStore(f"redis://{server.address}/0", "runloft", LEASE_NS, 1.0)
             try:
                 with anyio.fail_after(20):
-                    await every_command(store)
+                    await use_every_operation(store)
             finally:
                 await store.close()
 
         anyio.run(main)
     text = "".join(json.dumps(words) + "\n" for words in commands)
-    assert text.encode() == stored("commands.jsonl")
+    assert text.encode() == read_stored("commands.jsonl")
--- a/tests/support/stores.py
+++ b/tests/support/stores.py
@@ -1,4 +1,4 @@
-"""Clients of the agreement's store against the Redis stand-in, and records to write with them."""
+"""Clients of the agreement's store, connected to the Redis stand-in, and records for tests to write."""
 
 import anyio
 
@@ -9,25 +9,25 @@
 from tests.support.lab import running
 
 LEASE_NS = 400_000_000
-ONE = Content({}, {"p": {"Parts": 1.0}}, {}, {})
-TWO = Content({}, {"p": {"Parts": 2.0}}, {}, {})
+FIRST_CONTENT = Content({}, {"p": {"Parts": 1.0}}, {}, {})
+SECOND_CONTENT = Content({}, {"p": {"Parts": 2.0}}, {}, {})
 
 
-def make_lease(name="s0", incarnation="i", asked=0, heard=0):
+def make_lease(name="s0", incarnation="i", sent=0, answered=0):
     return Lease(
         name,
         incarnation,
         1,
-        ONE.digest,
-        ONE.digest,
-        exchanges_sent=asked,
-        exchanges_answered=heard,
+        FIRST_CONTENT.digest,
+        FIRST_CONTENT.digest,
+        exchanges_sent=sent,
+        exchanges_answered=answered,
         fence_ns=2 * LEASE_NS,
     )
 
 
 def run_against_stores(check):
-    """Run a check with the stand-in and two clients of it."""
+    """Run ``check(server, store, other)`` with the Redis stand-in and two clients of it."""
     with running(RedisStandIn()) as (server,):
 
         async def main():
