--- a/runloft/agreement/store_protocol.py
+++ b/runloft/agreement/store_protocol.py
@@ -52,7 +52,7 @@
 
 
 def encode_tag(committed: CommittedGeneration) -> bytes:
-    """Return the tag of a committed generation, which changes whenever the record does."""
+    """Return the tag of a committed generation, by which readers see whether the record has changed."""
     previous = committed.previous.digest if committed.previous else ""
     words = (*committed.rank, committed.token, committed.effective_at_ns, previous)
     return " ".join(map(str, words)).encode()
