--- a/runloft/decisions/__init__.py
+++ b/runloft/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: every decision of the scheduler, and no reading or writing."""
+"""The decision module: all decisions of the scheduler, without I/O."""
--- a/runloft/decisions/actions.py
+++ b/runloft/decisions/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a scheduler answers: what the host is to do now, in the order given.
+"""The actions that a scheduler returns; the host performs them in order.
 
 Times are integer nanoseconds on the host's own clock; their names end in ``_ns``.
 """
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send the request's next attempt to a node; ``timeout_ns`` 0 means until the client's deadline."""
+    """Send the request's next attempt to a node; if ``timeout_ns`` is 0, the client's deadline applies."""
 
     id: int
     node: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt in flight."""
 
     id: int
     attempt: int
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Check the health of a node, which costs it some work."""
+    """Check the health of a node, at the cost of some work for the node."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """Fire ``TimerFired(token)`` as soon as possible from ``at_ns`` on."""
+    """Deliver ``TimerFired(token)`` at ``at_ns`` or as soon as possible after it."""
 
     at_ns: int
     token: int = field(default=0)
@@ -55,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchNodeList:
-    """Watch the node list for changes from now on."""
+    """Start to watch the node list for changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class ForgetNode:
-    """A node that is gone is forgotten; if it comes back, it is a new node."""
+    """Discard the state of a node that is gone; if it comes back, it is treated as a new node."""
 
     node: int
 
--- a/runloft/decisions/admission.py
+++ b/runloft/decisions/admission.py
@@ -1,6 +1,7 @@
-"""Admission: the forecast wait of a request, its priority, and when a shed one may be retried.
+"""Admission: the forecast wait of a request, its priority, and when a client may retry a shed one.
 
-Forecast wait = units ahead / smoothed service rate.  A request that would wait past its deadline is shed.
+Forecast wait = units ahead / smoothed service rate.  A new request that would wait past its queue deadline is
+shed, and so is a queued one that would miss its deadline.
 """
 
 import math
@@ -12,13 +13,14 @@
 from runloft.decisions.units import NS_PER_SECOND
 from runloft.decisions.volume_quota import VolumeQuotas
 
-QUOTA_RATE_FRACTION = 0.5  # use beyond its reserve, of a node's rate, up to which a volume is in its quota
+# A volume is within its quota while its use beyond the reserve is below this fraction of the node's rate.
+QUOTA_RATE_FRACTION = 0.5
 MIN_RETRY_AFTER_OBJECTIVES = 0.1
 MIN_PRIORITY = 1e-9
 
 
 class Admission:
-    """Forecasts for requests, by the state of nodes, volume quotas and congestion prices."""
+    """Forecasts and priorities of requests from node state, volume quotas and congestion prices."""
 
     __slots__ = ("_pricing", "_quotas", "_state")
 
@@ -28,9 +30,9 @@
         self._pricing = pricing
 
     def priority(self, request: TrackedRequest, node: Node, rate: float, now: int) -> float:
-        """Return the priority of one unit of a request if it was sent now.
+        """Return the priority of one unit of a request if it were sent now.
 
-        It depends on class and plan, on the volume's quota, and on whether it would be in time or late.
+        It depends on the class, the plan, the volume's quota, and whether the latency objective would be met.
         """
         quota = self._quotas.quota_of(request, now)
         settings = self._state.settings
@@ -62,8 +64,8 @@
         )
         return (node.in_flight_units + ahead) / rate
 
-    def blocked_s(self, request: TrackedRequest, node: Node | None, now: int) -> float:
-        """Return the seconds until the volume's limit and the node's price, as it fades, permit a request."""
+    def seconds_until_permitted(self, request: TrackedRequest, node: Node | None, now: int) -> float:
+        """Return the seconds until the volume's limit and the node's decaying price permit a request."""
         if not (self._state.has_volume_limits or self._state.is_large_fleet):
             return 0.0
         limited_s = 0.0
@@ -79,24 +81,24 @@
             return limited_s
         priority = max(self.priority(request, node, node.estimated_rate(now), now), MIN_PRIORITY)
         return max(
-            limited_s, math.log(congestion_price / priority) * node.congestion_price.fade_ns / NS_PER_SECOND
+            limited_s, math.log(congestion_price / priority) * node.congestion_price.decay_ns / NS_PER_SECOND
         )
 
-    def overload_on_arrival_s(self, request: TrackedRequest, node: Node | None, now: int) -> float:
-        """Return the seconds by which a new request would wait past its time in the queue."""
-        wait_s = max(self.forecast_wait_s(request, now), self.blocked_s(request, node, now))
+    def queue_deadline_overrun_s(self, request: TrackedRequest, node: Node | None, now: int) -> float:
+        """Return the seconds by which a new request's forecast wait exceeds its queue deadline."""
+        wait_s = max(self.forecast_wait_s(request, now), self.seconds_until_permitted(request, node, now))
         return wait_s - (request.queue_deadline - now) / NS_PER_SECOND
 
-    def overload_s(self, request: TrackedRequest, node: Node, rate: float, now: int) -> float:
-        """Return the seconds by which a queued request, sent as soon as it may, would pass its deadline."""
+    def deadline_overrun_s(self, request: TrackedRequest, node: Node, rate: float, now: int) -> float:
+        """Return the seconds by which a queued request, sent once permitted, would miss its deadline."""
         service_ns = node.expected_finish(request.units, rate, now) - now
         if not node.in_flight:  # the rate of an idle node may be out of date
             service_ns = min(service_ns, self._state.objective_ns)
-        needed_s = max(service_ns / NS_PER_SECOND, self.blocked_s(request, node, now))
+        needed_s = max(service_ns / NS_PER_SECOND, self.seconds_until_permitted(request, node, now))
         return needed_s - (request.deadline - now) / NS_PER_SECOND
 
     def retry_after_s(self, request: TrackedRequest, now: int) -> float:
-        """Return the seconds after which a retry by the client may be served."""
+        """Return the seconds after which a retry by the client is expected to be served."""
         objective_ns = self._state.objective_ns
         node = self._state.nodes_by_shard.get(request.shard)
         if node is None or not node.is_ready():
@@ -104,8 +106,8 @@
         rate = node.estimated_rate(now)
         wait_s = (node.expected_finish(request.units, rate, now) - now) / NS_PER_SECOND
         if not request.has_reached_node:
-            # A retry waits behind what is queued too, and likely as long as this request did.
+            # A retry also waits behind the queued requests, probably for as long as this request did.
             queued_s = (now - request.received_at) / NS_PER_SECOND
             wait_s = max(wait_s, self.forecast_wait_s(request, now), queued_s)
         min_s = MIN_RETRY_AFTER_OBJECTIVES * objective_ns / NS_PER_SECOND
-        return max(wait_s, min_s, self.blocked_s(request, node, now))
+        return max(wait_s, min_s, self.seconds_until_permitted(request, node, now))
--- a/runloft/decisions/arrival.py
+++ b/runloft/decisions/arrival.py
@@ -1,4 +1,4 @@
-"""The arrival of a request: it is tracked, gets its timers, and is queued or shed at once."""
+"""Arrival of requests: each one is tracked, gets its timers, and is queued or shed."""
 
 from runloft.decisions.actions import Timer
 from runloft.decisions.admission import Admission
@@ -10,12 +10,12 @@
 from runloft.decisions.state import SchedulerState
 from runloft.decisions.tracked_request import TrackedRequest
 
-MIN_RETRY_GAP_OBJECTIVES = 0.25  # differences in time left that don't yet show a retry by the client
-CONGESTION_PRICE_JITTER = 0.5  # spreads requests of the same priority around the congestion price
+MIN_RETRY_GAP_OBJECTIVES = 0.25  # smaller differences in time left don't indicate a client retry
+CONGESTION_PRICE_JITTER = 0.5  # spreads requests of equal priority around the congestion price
 
 
 class Arrivals:
-    """Receives new requests."""
+    """Handles new requests."""
 
     __slots__ = (
         "_admission",
@@ -46,7 +46,7 @@
         self._max_time_left_ns: dict[int, int] = {}  # by class
 
     def apply_settings(self) -> None:
-        """Forget the time that requests had left: by other deadlines each would look like a retry."""
+        """Reset the maximum times left: with shorter deadlines every request would look like a retry."""
         self._max_time_left_ns.clear()
 
     def receive(self, arrived: Request, now: int) -> None:
@@ -66,14 +66,14 @@
         node = self._state.nodes_by_shard.get(request.shard)
         if node:
             node.slow_start.demand.add(now, request.units)
-        overload_s = self._admission.overload_on_arrival_s(request, node, now)
-        if overload_s > 0:
-            self._completion.shed_or_fail(request, now, overload_s)
+        overrun_s = self._admission.queue_deadline_overrun_s(request, node, now)
+        if overrun_s > 0:
+            self._completion.shed_or_fail(request, now, overrun_s)
 
     def _backdate_objective(self, request: TrackedRequest) -> None:
-        """Count the latency objective of a client's retry from its first try.
+        """Measure the latency objective of a client's retry from its first try.
 
-        A request with less time left than others of its class had is taken for a retry.
+        A request that has less time left than earlier ones of its class had is treated as a retry.
         """
         number = request.request.request_class
         time_left_ns = request.request.time_left_ns
@@ -83,7 +83,7 @@
             request.objective_at -= request.request_class.deadline_ns - time_left_ns
 
     def _set_timers(self, request: TrackedRequest, now: int) -> None:
-        """Set the timers that make a final response due, whatever happens until then."""
+        """Set the timers that ensure a final response by the deadline and the queue deadline."""
         latest = max(now, request.deadline - self._state.settings.tick_ns)
         self._state.actions.append(Timer(latest, request.id))
         self._state.actions.append(Timer(request.queue_deadline, request.id))
--- a/runloft/decisions/attempt_results.py
+++ b/runloft/decisions/attempt_results.py
@@ -1,4 +1,4 @@
-"""The result of an attempt: what it tells of the node, and whether the request is retried or given up."""
+"""Results of attempts: each updates its node; its request is finished, retried, shed or failed."""
 
 from runloft.decisions.completion import Completion
 from runloft.decisions.congestion_price import CongestionPricing
@@ -39,15 +39,15 @@
         self._completion = completion
 
     def process(self, result: AttemptResult, now: int) -> None:
-        """Update the node, then finish the request, queue it for a retry, or give it up."""
+        """Update the node, then finish the request, queue it for a retry, or shed or fail it."""
         request = self._state.requests.get(result.id)
         if request is None:
             return
         node_number = request.in_flight.pop(result.attempt, None)
         if node_number is None:
-            return  # a late or repeated result of an attempt that ended
+            return  # late or duplicate result of an attempt that already ended
         node = self._state.nodes[node_number]
-        self._state.touched_shards[node.entry.shard] = True
+        self._state.changed_shards[node.entry.shard] = True
         self._update_node(node, request, result, now)
         self._update_request(request, node_number, result, now)
         if request.is_finished or result.complete:
@@ -59,7 +59,7 @@
 
     def _update_node(self, node: Node, request: TrackedRequest, result: AttemptResult, now: int) -> None:
         is_large_fleet = self._state.is_large_fleet
-        jitter = 0.0  # a small fleet's retries are no storm
+        jitter = 0.0  # a small fleet's retries don't overload a node
         if is_large_fleet:
             jitter = self._state.random.uniform(MIN_BACKOFF_JITTER, MAX_BACKOFF_JITTER)
         node.record_result(now, result, request.units, jitter)
@@ -85,13 +85,13 @@
         self._key_order.update(request, now)
 
     def _needs_final_response(self, request: TrackedRequest, result: AttemptResult, now: int) -> bool:
-        """Whether a request whose attempt failed gets its final response now."""
+        """Return whether a request whose attempt failed gets its final response now."""
         if now + self._state.settings.tick_ns >= request.deadline:
             return True
         is_large_fleet = self._state.is_large_fleet
         if result.outcome is AttemptOutcome.TIMEOUT and is_large_fleet and request.is_safe_to_shed:
             return True
         if not request.has_reached_node and now >= request.queue_deadline:
-            return True  # its timer fired while it was connecting
+            return True  # the timer of its queue deadline fired while it was connecting
         node = self._state.nodes_by_shard.get(request.shard)
         return not self._retry_policy.may_retry(request, node, now)
--- a/runloft/decisions/backoff.py
+++ b/runloft/decisions/backoff.py
@@ -1,24 +1,24 @@
 """Exponential backoff from a node that rejected an attempt or could not be reached."""
 
-MIN_BACKOFF_OBJECTIVES = 0.02  # length in tightest latency objectives
+MIN_BACKOFF_OBJECTIVES = 0.02  # in tightest latency objectives
 MAX_BACKOFF_OBJECTIVES = 0.5
 
 
 class Backoff:
     """The backoff from one node.
 
-    It saves the few attempts of a request, and the node: one that is full, draining or gone stays so for
-    a while.
+    A node that is full, draining or gone stays so for a while: immediate retries would use up a request's
+    attempts and load the node.
     """
 
     __slots__ = ("length_objectives", "until")
 
     def __init__(self) -> None:
-        self.length_objectives = 0.0  # of the last backoff since the last success
+        self.length_objectives = 0.0  # length of the last backoff, 0 after a success
         self.until = 0
 
     def is_active(self, now: int) -> bool:
-        """Whether nothing is to be sent at present."""
+        """Return whether nothing may be sent to the node at ``now``."""
         return now < self.until
 
     def extend(self, now: int, jitter: float, objective_ns: int) -> None:
@@ -29,7 +29,7 @@
             self.until = now + int(self.length_objectives * jitter * objective_ns)
 
     def record_success(self) -> None:
-        """Let the next backoff be a short one again."""
+        """Reset the length, so that the next backoff is short again."""
         self.length_objectives = 0.0
 
     def end(self) -> None:
--- a/runloft/decisions/completion.py
+++ b/runloft/decisions/completion.py
@@ -1,4 +1,4 @@
-"""The end of a request: its final response, shed or failed, and its removal."""
+"""Completion of requests: shed and failed responses, and removal of finished requests."""
 
 from runloft.decisions.actions import FailRequest, ShedRequest
 from runloft.decisions.admission import Admission
@@ -9,7 +9,7 @@
 
 
 class Completion:
-    """Gives requests up and removes those that are finished."""
+    """Sheds or fails requests and removes finished ones."""
 
     __slots__ = ("_admission", "_key_order", "_state")
 
@@ -18,13 +18,13 @@
         self._admission = admission
         self._key_order = key_order
 
-    def shed_or_fail(self, request: TrackedRequest, now: int, overload_s: float = 0.0) -> None:
-        """Shed a request, or fail it if a retry by the client might be executed a second time.
+    def shed_or_fail(self, request: TrackedRequest, now: int, retry_after_s: float = 0.0) -> None:
+        """Shed a request, or fail it if a retry by the client might execute it a second time.
 
-        The client may retry after ``overload_s`` seconds; 0 means after the forecast wait.
+        The client may retry after ``retry_after_s`` seconds; if that is 0, the time is forecast.
         """
         was_never_executed = request.ambiguous_since is None and not request.in_flight
-        retry_after_ns = (overload_s or self._admission.retry_after_s(request, now)) * NS_PER_SECOND
+        retry_after_ns = (retry_after_s or self._admission.retry_after_s(request, now)) * NS_PER_SECOND
         if request.is_safe_to_shed or was_never_executed:
             capped_ns = int(min(retry_after_ns, self._state.settings.max_retry_after_ns))
             self._state.actions.append(ShedRequest(request.id, capped_ns))
@@ -33,7 +33,7 @@
         self.finish(request, now)
 
     def finish(self, request: TrackedRequest, now: int) -> None:
-        """Remove a request that has its response or needs none, once no attempt is in flight."""
+        """Mark a request as finished, and remove it once no attempt is in flight."""
         request.is_finished = True
         queue = self._state.queues.get(request.shard, ())
         if request in queue:
--- a/runloft/decisions/contract.py
+++ b/runloft/decisions/contract.py
@@ -1,6 +1,6 @@
-"""The public types of the decisions: settings in, events in, actions out.
+"""The public types of the decision module: settings and events as input, actions as output.
 
-Nothing here decides anything; the entry is ``scheduler.Scheduler``.
+This module contains no logic; the entry point is ``scheduler.Scheduler``.
 """
 
 from runloft.decisions.actions import (
--- a/runloft/decisions/events.py
+++ b/runloft/decisions/events.py
@@ -1,4 +1,4 @@
-"""The events that a scheduler takes in: what happened, at the host's clock time.
+"""The events that a scheduler processes.
 
 Times are integer nanoseconds on the host's own clock; their names end in ``_ns``.
 """
@@ -19,7 +19,7 @@
 
 
 class ListKind(Enum):
-    """How a node list relates to the previous one: a change, complete, from the cache, or failed."""
+    """The kind of a node list update: a change, a complete list, a cached list, or a failed poll."""
 
     DELTA = "delta"
     FULL = "full"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """An attempt ended; ``complete`` tells whether the request has its final response."""
+    """An attempt ended; ``complete`` is true if the request has its final response."""
 
     id: int
     attempt: int
@@ -56,13 +56,13 @@
     latency_ns: int = 0
     used_percent: int | None = None
     elsewhere_units: int = 0
-    never_started: bool = False  # ended before its first byte left, so that it can't have been executed
+    never_started: bool = False  # no byte was sent, so the attempt can't have been executed
     report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The response to a streamed request started; no deadline applies any more."""
+    """The response to a streamed request started; its deadline no longer applies."""
 
     id: int
     attempt: int
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client disconnected; it gets no response any more."""
+    """The client disconnected; its request gets no response."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class NodeEntry:
-    """One entry of the node list; ``started_ns`` is 0 where the node started long ago."""
+    """One entry of the node list; ``started_ns`` is 0 if the node started long ago."""
 
     node: int
     shard: int
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The host shuts down: each open request gets its final response now."""
+    """The host is shutting down: each open request that isn't streaming gets its final response now."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/decisions/key_order.py
+++ b/runloft/decisions/key_order.py
@@ -7,14 +7,14 @@
 
 
 class AmbiguityPause(NamedTuple):
-    """Until when only ``owner`` may be sent, since an attempt of it may still be executed."""
+    """A time until which only ``owner`` is sent, since one of its attempts may still be executed."""
 
     until: int
     owner: TrackedRequest
 
 
 class KeyOrder:
-    """The requests of in-order classes that wait for their turn, by key."""
+    """The open requests of in-order classes by key, of which only the first may be sent."""
 
     __slots__ = ("_pauses", "_state", "waiting")
 
@@ -24,13 +24,13 @@
         self._pauses: dict[int, AmbiguityPause] = {}
 
     def add(self, request: TrackedRequest) -> None:
-        """Append a received request, if its class is in order and it has a key."""
+        """Append a received request if its class is in order and it has a key."""
         key = request.request.key
         if request.request_class.in_order and key:
             self.waiting.setdefault(key, []).append(request)
 
     def is_first_of_key(self, request: TrackedRequest, now: int) -> bool:
-        """Whether it is the first of its key, and no attempt of another one may still be executed."""
+        """Return whether a request is next of its key and no attempt of another may still be executed."""
         if not request.request_class.in_order:
             return True
         key = request.request.key
@@ -43,13 +43,13 @@
         return pause is None or pause.owner is request or now >= pause.until
 
     def record_ambiguous_attempt(self, request: TrackedRequest, now: int) -> None:
-        """Start the pause of a request's key after an attempt that may still be executed."""
+        """Pause a request's key after an attempt that may still be executed."""
         key = request.request.key
         if request in self.waiting.get(key, ()):
             self._pauses[key] = AmbiguityPause(now + self._state.settings.ambiguity_wait_ns, request)
 
     def update(self, request: TrackedRequest, now: int) -> None:
-        """Remove a request that is finished with no attempt in flight, and pauses that are over."""
+        """Remove a request that is finished with no attempt in flight, and expired pauses of unused keys."""
         key = request.request.key
         waiting = self.waiting.get(key, [])
         if request not in waiting:
--- a/runloft/decisions/node.py
+++ b/runloft/decisions/node.py
@@ -1,4 +1,4 @@
-"""What the scheduler knows of one node: list entry, health, service rate, attempts in flight."""
+"""The state of one node: list entry, health, service rate and attempts in flight."""
 
 from typing import NamedTuple
 
@@ -13,12 +13,14 @@
 from runloft.decisions.units import NS_PER_SECOND
 
 NEWEST_LATENCY_WEIGHT = 0.2
-IN_FLIGHT_OBJECTIVES = 0.2  # of the tightest latency objective: what the units in flight may take
+IN_FLIGHT_OBJECTIVES = 0.2  # maximum service time of the units in flight, in tightest latency objectives
 MIN_REQUESTS_IN_FLIGHT = 2
 MAX_UNITS_IN_FLIGHT = 32
-OVERTAKEN_OBJECTIVES = 0.5  # an overtaken attempt older than this, in tightest objectives,
-OVERTAKEN_LATENCIES = 6  # and than so many smoothed latencies, is lost
-UNRESPONSIVE_OBJECTIVES = 1.5  # silence, in tightest objectives, that makes a node unresponsive
+# An overtaken attempt older than both, in tightest latency objectives and in smoothed latencies, is lost.
+OVERTAKEN_OBJECTIVES = 0.5
+OVERTAKEN_LATENCIES = 6
+# A node is unresponsive after this time without a success, in tightest latency objectives.
+UNRESPONSIVE_OBJECTIVES = 1.5
 
 
 class InFlightAttempt(NamedTuple):
@@ -35,13 +37,14 @@
     """The state of one node."""
 
     __slots__ = (
+        "_latest_served_sent_at",
         "_pool_rate",
-        "_served_up_to",
         "_silent_since",
-        "_unanswered",
+        "_unanswered_attempts",
         "backoff",
         "congestion_price",
         "entry",
+        "gone_since",
         "in_flight",
         "in_flight_units",
         "last_sent_at",
@@ -50,7 +53,6 @@
         "outlier",
         "rate",
         "slow_start",
-        "unlisted_since",
     )
 
     def __init__(
@@ -68,34 +70,37 @@
         self.in_flight: dict[tuple[int, int], InFlightAttempt] = {}  # by request and attempt
         self.in_flight_units = 0.0
         self.last_sent_at = 0
-        self.unlisted_since = 0  # since when it is gone, by the list; 0: it isn't
-        self._served_up_to = 0  # when the latest attempt was sent that was served
-        self._silent_since: int | None = None  # sent to, with no success, since then
-        self._unanswered = 0
+        self.gone_since = 0  # when the node list first showed it as gone; 0 if it isn't gone
+        self._latest_served_sent_at = 0  # when the latest successful attempt was sent
+        self._silent_since: int | None = None  # start of the attempts without a success; None: no attempt
+        self._unanswered_attempts = 0
 
     def apply_settings(self, settings: Settings, objective_ns: int) -> None:
-        """Use other settings from now on; what was learned stays."""
+        """Apply new settings; learned values are kept."""
         self.objective_ns = objective_ns
         self.rate.window_ns = objective_ns
         self.slow_start.apply_settings(settings)
         self.congestion_price.set_objective(objective_ns)
 
     def is_ready(self) -> bool:
-        """Whether new work may be sent: a node that is draining or gone gets none."""
+        """Return whether the node gets new work; one that is draining or gone doesn't."""
         return self.entry.state is NodeState.READY
 
     def is_unresponsive(self, now: int) -> bool:
-        """Whether it has been silent for so long that it gets one trial at a time."""
-        if self._silent_since is None or self._unanswered <= 1:
+        """Return whether it has been silent for so long that it gets one probe attempt at a time."""
+        if self._silent_since is None or self._unanswered_attempts <= 1:
             return False
         return now - self._silent_since > UNRESPONSIVE_OBJECTIVES * self.objective_ns
 
     def is_slow(self) -> bool:
-        """Whether its responses take more of the tightest objective than what is in flight should."""
+        """Return whether its smoothed latency exceeds the service time allowed for the units in flight."""
         return self.latency_ns > IN_FLIGHT_OBJECTIVES * self.objective_ns
 
     def estimated_rate(self, now: int) -> float:
-        """Return its rate, or the mean of all nodes while it has none; silence lowers it."""
+        """Return the estimated service rate in units per second, or the mean of all nodes if it has none.
+
+        The rate of an unresponsive node decreases with the time without a success.
+        """
         rate = self.rate.units_per_second or self._pool_rate.units_per_second
         if self.is_unresponsive(now):
             silence_ns = now - (self._silent_since or 0)
@@ -103,18 +108,18 @@
         return rate
 
     def expected_finish(self, units: float, rate: float, now: int) -> int:
-        """Return when a request that is sent now should be answered."""
+        """Return the expected time of the response to a request that is sent now."""
         return now + int((self.in_flight_units + units) / rate * NS_PER_SECOND) if rate else now
 
     def has_capacity(self, rate: float, now: int) -> bool:
-        """Whether one more attempt may be sent: the units in flight are bounded by the rate."""
+        """Return whether one more attempt may be sent; the rate bounds the units in flight."""
         self._release_overtaken(now)
         if self.backoff.is_active(now):
             return False
         if self.is_unresponsive(now):
             wait = UNRESPONSIVE_OBJECTIVES * self.objective_ns if self.in_flight else 0
             return now > self.last_sent_at + wait
-        # Many schedulers with two requests each can exceed the objective of a slow node: there it is one.
+        # Two requests from each of many schedulers can exceed the latency objective at a slow node.
         min_requests = 1 if self.is_slow() else MIN_REQUESTS_IN_FLIGHT
         max_units = min(MAX_UNITS_IN_FLIGHT, rate * IN_FLIGHT_OBJECTIVES * self.objective_ns / NS_PER_SECOND)
         return self.in_flight_units < MAX_UNITS_IN_FLIGHT and (
@@ -122,37 +127,38 @@
         )
 
     def _release_overtaken(self, now: int) -> None:
-        """Release attempts that were overtaken long ago.
+        """Remove attempts in flight that were overtaken long ago.
 
-        Nodes serve in order, so such an attempt is lost; it must not delay the trial of a silent node.
+        Nodes serve in order, so such an attempt is lost; it must not delay a probe of a silent node.
         """
         oldest = now - int(
             max(OVERTAKEN_OBJECTIVES * self.objective_ns, OVERTAKEN_LATENCIES * self.latency_ns)
         )
-        limit = min(oldest, self._served_up_to)
+        limit = min(oldest, self._latest_served_sent_at)
         for key in [key for key, attempt in self.in_flight.items() if attempt.sent_at < limit]:
             self._release(*key)
 
     def _release(self, request_id: int, attempt: int) -> int:
-        """Remove an attempt from those in flight; return when it was sent, 0 if it isn't known."""
+        """Remove an attempt in flight and return when it was sent, 0 if it is unknown."""
         released = self.in_flight.pop((request_id, attempt), NOT_IN_FLIGHT)
         self.in_flight_units = self.in_flight_units - released.units if self.in_flight else 0.0
         return released.sent_at
 
     def record_sent(self, now: int, request_id: int, attempt: int, units: float) -> None:
-        """Count an attempt that is sent."""
+        """Record an attempt that is sent."""
         self.in_flight[request_id, attempt] = InFlightAttempt(now, units)
         self.in_flight_units += units
         self.last_sent_at = now
-        self._unanswered += 1
+        self._unanswered_attempts += 1
         if self._silent_since is None:
             self._silent_since = now
         self.slow_start.record_sent(now, units)
 
     def record_result(self, now: int, result: AttemptResult, units: float, backoff_jitter: float) -> None:
-        """Count an attempt's outcome; only successes count as served, so quick errors raise no rate.
+        """Record an attempt's outcome.
 
-        ``backoff_jitter`` is 0 in a small fleet, whose retries are no storm.
+        Only successes count as served, so that quick errors don't raise the service rate.  ``backoff_jitter``
+        is 0 in a small fleet, whose retries don't overload a node.
         """
         outcome = result.outcome
         if outcome in NEVER_EXECUTED:
@@ -165,22 +171,22 @@
             self._record_success(now, sent_at, units, result.latency_ns, was_quick)
         elif outcome is AttemptOutcome.TIMEOUT:
             if result.latency_ns < UNRESPONSIVE_OBJECTIVES * self.objective_ns:
-                self._unanswered -= 1  # its client had little time: that is no silence yet
+                self._unanswered_attempts -= 1  # a short client deadline is no sign of a silent node
         elif outcome is AttemptOutcome.CONNECT_FAILED:
             self.slow_start.record_connect_failure(now)
 
     def _record_success(self, now: int, sent_at: int, units: float, latency_ns: int, was_quick: bool) -> None:
-        self._served_up_to = max(self._served_up_to, sent_at)
+        self._latest_served_sent_at = max(self._latest_served_sent_at, sent_at)
         self.rate.record_served(units, sent_at or now, now)
         self.slow_start.record_served(now, units, was_quick)
         self._silent_since = now if self.in_flight else None
-        self._unanswered = len(self.in_flight)
+        self._unanswered_attempts = len(self.in_flight)
         self.latency_ns += NEWEST_LATENCY_WEIGHT * (latency_ns - self.latency_ns)
         self.backoff.record_success()
 
     def record_restart(self, now: int) -> None:
-        """Reset what a new process doesn't have: a queue, silence, a backoff."""
+        """Reset the state that ended with the previous process: congestion price, silence and backoff."""
         self.congestion_price.reset(now)
         self._silent_since = None
-        self._unanswered = len(self.in_flight)
+        self._unanswered_attempts = len(self.in_flight)
         self.backoff.end()
--- a/runloft/decisions/outcomes.py
+++ b/runloft/decisions/outcomes.py
@@ -1,10 +1,10 @@
-"""How an attempt or a health check ended, and which endings mean the same to a decision."""
+"""Outcomes of attempts and health checks, and groups of outcomes that the decisions treat alike."""
 
 from enum import Enum
 
 
 class AttemptOutcome(Enum):
-    """How an attempt or a health check ended."""
+    """The outcome of an attempt or a health check."""
 
     OK = "ok"
     ERROR = "error"
--- a/runloft/decisions/outlier_detection.py
+++ b/runloft/decisions/outlier_detection.py
@@ -5,13 +5,13 @@
 
 NEWEST_OUTCOME_WEIGHT = 0.3
 EJECTION_ERROR_RATE = 0.25
-EJECTION_NS = 5 * NS_PER_SECOND  # a node is no longer ejected so long after its last error
+EJECTION_NS = 5 * NS_PER_SECOND  # time after the last error
 
 
 class OutlierDetector:
     """The smoothed error rate of one node.
 
-    Quick errors look like a short queue, so requests that may be placed elsewhere avoid an outlier.
+    Quick errors make a node's queue look short, so new objects are placed on other nodes while it is ejected.
     """
 
     __slots__ = ("error_rate", "last_error_at")
@@ -21,7 +21,7 @@
         self.last_error_at = 0
 
     def record_outcome(self, outcome: AttemptOutcome, now: int) -> None:
-        """Count an attempt's outcome; outcomes that are neither success nor error don't count."""
+        """Record an attempt's outcome; outcomes that are neither success nor error don't count."""
         is_error = outcome in ERRORS
         if is_error or outcome is AttemptOutcome.OK:
             self.error_rate += NEWEST_OUTCOME_WEIGHT * (is_error - self.error_rate)
@@ -29,5 +29,5 @@
             self.last_error_at = now
 
     def is_ejected(self, now: int) -> bool:
-        """Whether the node is an outlier at present."""
+        """Return whether the node is ejected as an outlier at ``now``."""
         return self.error_rate > EJECTION_ERROR_RATE and now < self.last_error_at + EJECTION_NS
--- a/runloft/decisions/placement.py
+++ b/runloft/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Placement: the queue of a request, which for a new object is that of the node that serves it first."""
+"""Placement: which queue a request is put into; for a new object, that of the least forecast wait."""
 
 from typing import NamedTuple
 
@@ -12,9 +12,9 @@
 
 
 class PlacementRank(NamedTuple):
-    """What the placements of a new object are compared by, in this order; the least is taken."""
+    """The sort key of a possible placement of a new object; the least is chosen."""
 
-    is_unfit: bool
+    is_degraded: bool
     wait_s: float
     tie_break: float
     shard: int | None
@@ -31,14 +31,14 @@
         self._slow_start = slow_start
 
     def enqueue(self, request: TrackedRequest, now: int) -> None:
-        """Append a request to its shard's queue, and choose the shard of a new object."""
+        """Append a request to its shard's queue; for a new object, choose the shard first."""
         if request.request.shard is None:
             request.shard = self._choose_shard(request, now)
         self._state.queues.setdefault(request.shard, []).append(request)
-        self._state.touched_shards[request.shard] = True
+        self._state.changed_shards[request.shard] = True
 
     def move_new_objects(self, queue: list[TrackedRequest], node: Node | None, now: int) -> None:
-        """Enqueue the new objects of a queue again if its node is unresponsive or takes no work."""
+        """Place the new objects of a queue again if its node is unresponsive or takes no new work."""
         new_objects = [request for request in queue if request.request.shard is None]
         if not new_objects:
             return
@@ -49,19 +49,19 @@
             self.enqueue(request, now)
 
     def _choose_shard(self, request: TrackedRequest, now: int) -> int | None:
-        """Return the shard with the least forecast wait; unfit nodes are taken if there are no others."""
+        """Return the shard with the least forecast wait; degraded nodes are chosen only if all are."""
         ranks: list[PlacementRank] = []
         for shard, node in self._state.nodes_by_shard.items():
             if node.is_ready() and self._retry_policy.recognises_key(request, node):
                 queued = sum(other.units for other in self._state.queues.get(shard, ()))
                 ahead = node.in_flight_units + queued
                 wait_s = (ahead + request.units) / max(node.estimated_rate(now), MIN_RATE)
-                is_unfit = self._is_unfit(node, now)
-                ranks.append(PlacementRank(is_unfit, wait_s, self._state.random.random(), shard))
+                is_degraded = self._is_degraded(node, now)
+                ranks.append(PlacementRank(is_degraded, wait_s, self._state.random.random(), shard))
         return min(ranks).shard if ranks else None
 
-    def _is_unfit(self, node: Node, now: int) -> bool:
-        """Whether a node is unresponsive, ejected as an outlier, or warming up."""
+    def _is_degraded(self, node: Node, now: int) -> bool:
+        """Return whether a node is unresponsive, ejected as an outlier, or warming up."""
         return (
             node.is_unresponsive(now)
             or node.outlier.is_ejected(now)
--- a/runloft/decisions/retry_policy.py
+++ b/runloft/decisions/retry_policy.py
@@ -8,7 +8,7 @@
 
 
 class RetryPolicy:
-    """Limits on retries: attempts in flight, attempts a request, retry budget, idempotency and its window."""
+    """Limits on retries: attempts in flight and per request, retry budget, idempotency and its window."""
 
     __slots__ = ("_received", "_retries", "_state")
 
@@ -18,22 +18,26 @@
         self._retries = SlidingSum(state.settings.retry_budget_window_ns)
 
     def record_request(self, now: int) -> None:
-        """Count a received request, which adds to the retry budget."""
+        """Record a received request, which adds to the retry budget."""
         self._received.add(now, 1)
 
     def record_retry(self, now: int) -> None:
-        """Count a retry that is sent, which uses the retry budget."""
+        """Record a retry that is sent, which uses the retry budget."""
         self._retries.add(now, 1)
 
     def is_within_budget(self, now: int) -> bool:
-        """Whether one more retry fits the budget, however the window's edges are counted."""
+        """Return whether one more retry fits the budget.
+
+        Of the events that are exactly as old as the window, retries count and requests don't, so that the
+        budget holds however the window's edges are counted.
+        """
         settings = self._state.settings
         received = self._received.total(now, narrowed_by_ns=1)
         budget = settings.retry_budget_base + settings.retry_budget_ratio * received
         return not settings.retry_budget_window_ns or self._retries.total(now) + 1 <= budget
 
     def may_retry(self, request: TrackedRequest, node: Node | None, now: int) -> bool:
-        """Whether another attempt of a request may be sent to a node."""
+        """Return whether another attempt of a request may be sent to a node."""
         settings = self._state.settings
         if request.in_flight or request.attempts >= settings.max_attempts:
             return False
@@ -47,7 +51,7 @@
         return now + settings.tick_ns < window_end and self.recognises_key(request, node)
 
     def recognises_key(self, request: TrackedRequest, node: Node) -> bool:
-        """Whether a node would recognise the key of a request whose first attempt may have been executed."""
+        """Return whether a node recognises the key of an attempt that may have been executed elsewhere."""
         if request.ambiguous_node is None or request.is_idempotent:
             return True
         first = self._state.nodes[request.ambiguous_node].entry
--- a/runloft/decisions/scheduler.py
+++ b/runloft/decisions/scheduler.py
@@ -1,4 +1,4 @@
-"""The entry of the decisions: events in, actions out, and no I/O.
+"""The entry point of the decision module: it turns events into actions and does no I/O.
 
 One ``Scheduler`` runs on each host.  ``contract`` lists the types of settings, events and actions.
 """
@@ -34,12 +34,13 @@
 from runloft.decisions.tracked_request import TrackedRequest
 from runloft.decisions.volume_quota import VolumeQuota, VolumeQuotas
 
-WAKE_TOKEN = 1 << 60  # of the timer that looks at all queues; a request's own is its id, far below
-WAKE_OBJECTIVES = 0.1  # tightest latency objectives between looks while requests are queued
+# Token of the timer that dispatches all queues; a request's timers use its id, which is far smaller.
+DISPATCH_ALL_TOKEN = 1 << 60
+DISPATCH_ALL_INTERVAL_OBJECTIVES = 0.1  # in tightest latency objectives, while requests are queued
 
 
 class Scheduler:
-    """The decisions of one host's scheduler."""
+    """The scheduler of one host."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.state = SchedulerState(settings, seed, now)
@@ -83,7 +84,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings that are applied."""
+        """The current settings."""
         return self.state.settings
 
     @property
@@ -98,16 +99,17 @@
 
     @property
     def volumes(self) -> dict[int, VolumeQuota]:
-        """The quotas of the volumes used lately, by volume."""
+        """The quotas of recently used volumes, by volume."""
         return self.quotas.by_volume
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
-        """Process all events of this instant, then return what is to be done, in order."""
-        # After a pause of the host, timers and results come together: a request with a result isn't given up.
+        """Process all events of this instant and return the resulting actions in order."""
+        # Results precede timers: after a pause of the host both arrive together, and a request that has a
+        # result must not be shed by its timer.
         for event in sorted(events, key=lambda event: isinstance(event, TimerFired)):
             self._process(event, now)
         self._dispatch_queues(now)
-        self._schedule_wake(now)
+        self._schedule_dispatch_all(now)
         actions = self.state.actions
         self.state.actions = []
         return actions
@@ -133,19 +135,19 @@
                 self.state.requests[request_id].is_streaming = True
 
     def _apply_settings(self, settings: Settings) -> None:
-        """Let the parts use the settings that the state has."""
+        """Update what the other modules derive from the settings."""
         self.pricing.is_enabled = self.state.is_large_fleet
         self.pricing.mean.set_objective(self.state.objective_ns)
         self.quotas.apply_settings(settings)
         self._arrivals.apply_settings()
 
     def _dispatch_queues(self, now: int) -> None:
-        """Dispatch the queues in which something happened, and all of them when the host wakes.
+        """Dispatch the queues changed by this call's events, or all queues when that is due.
 
-        What only time changes is looked at then, not whenever something happens elsewhere.
+        Effects of time alone, such as refilled quotas, wait for the next dispatch of all queues.
         """
         state = self.state
-        for shard in list(state.queues if now >= state.wake_at else state.touched_shards):
+        for shard in list(state.queues if now >= state.dispatch_all_at else state.changed_shards):
             queue = state.queues.get(shard, [])
             node = state.nodes_by_shard.get(shard)
             self._placement.move_new_objects(queue, node, now)
@@ -153,17 +155,17 @@
                 self._dispatcher.dispatch(queue, node, now)
             if not queue:
                 state.queues.pop(shard, None)
-        state.touched_shards.clear()
+        state.changed_shards.clear()
 
-    def _schedule_wake(self, now: int) -> None:
+    def _schedule_dispatch_all(self, now: int) -> None:
         state = self.state
-        if state.wake_at <= now and state.queues:
-            pause_ns = int(WAKE_OBJECTIVES * state.objective_ns)
-            state.wake_at = now + max(state.settings.tick_ns, pause_ns)
-            state.actions.append(Timer(state.wake_at, WAKE_TOKEN))
+        if state.dispatch_all_at <= now and state.queues:
+            interval_ns = int(DISPATCH_ALL_INTERVAL_OBJECTIVES * state.objective_ns)
+            state.dispatch_all_at = now + max(state.settings.tick_ns, interval_ns)
+            state.actions.append(Timer(state.dispatch_all_at, DISPATCH_ALL_TOKEN))
 
     def _timer_fired(self, token: int, now: int) -> None:
-        """Watch the list again, or give up a request whose time, or time in the queue, is over."""
+        """Watch the node list again, or end a request that has reached its deadline or queue deadline."""
         if token == WATCH_TOKEN:
             self._node_list.watch()
             return
@@ -176,7 +178,7 @@
             self._completion.shed_or_fail(request, now)
 
     def _client_disconnected(self, request_id: int, now: int) -> None:
-        """Finish a request whose client disconnected, and cancel its attempts if that is permitted."""
+        """Finish a request whose client disconnected, and cancel its attempts if the settings permit it."""
         request = self.state.requests.get(request_id)
         if request is None or request.is_finished:
             return
@@ -185,7 +187,7 @@
         self._completion.finish(request, now)
 
     def _end_open_requests(self, now: int) -> None:
-        """Give up each open request that doesn't stream its response yet."""
+        """Shed or fail each open request whose response isn't streaming."""
         for request in list(self.state.requests.values()):
             if not (request.is_finished or request.is_streaming):
                 self._completion.shed_or_fail(request, now)
--- a/runloft/decisions/service_rate.py
+++ b/runloft/decisions/service_rate.py
@@ -2,13 +2,13 @@
 
 from runloft.decisions.units import NS_PER_SECOND
 
-NEWEST_SAMPLE_WEIGHT = 0.1  # one sample covers a tightest latency objective of busy time
+NEWEST_SAMPLE_WEIGHT = 0.1  # a sample covers one tightest latency objective of busy time
 
 
 class ServiceRate:
-    """Units served per second of the time in which this scheduler had attempts in flight.
+    """Units served per second of the time during which this scheduler had attempts in flight.
 
-    ``pool`` is the rate over all nodes: with little traffic it is known long before each node's.
+    ``pool`` is the rate over all nodes; with little traffic it is known long before the rate of each node.
     """
 
     __slots__ = ("_busy_ns", "_counted_until", "_units", "pool", "units_per_second", "window_ns")
@@ -22,15 +22,15 @@
         self._counted_until = 0
 
     def record_served(self, units: float, sent_at: int, now: int) -> None:
-        """Count served units and the time since they were sent, no time twice.
+        """Record served units and the time since they were sent, without counting any time twice.
 
-        Time spent on attempts that were never answered is not counted as time of service.
+        Time spent on attempts that are never answered is not counted as service time.
         """
         self._add_sample(units, now - max(sent_at, self._counted_until))
         self._counted_until = now
 
     def _add_sample(self, units: float, busy_ns: int) -> None:
-        """Smooth exponentially, once for each window that the sample covers."""
+        """Extend the sample; once it covers a window, apply exponential smoothing weighted by its length."""
         self._units += units
         self._busy_ns += busy_ns
         if self.pool is not None:
--- a/runloft/decisions/settings.py
+++ b/runloft/decisions/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a scheduler: request classes, service plans and the rules' figures.
+"""The settings of a scheduler: request classes, service plans and parameters of the rules.
 
 Times are integer nanoseconds; their names end in ``_ns``.
 """
@@ -16,7 +16,7 @@
 
 
 class IdempotencyScope(Enum):
-    """The nodes that recognise the repeated idempotency key of a request."""
+    """The nodes that recognise the idempotency key of a repeated request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanSettings:
-    """One service plan; its figures hold for each volume, over all schedulers and nodes."""
+    """One service plan; its values apply to each volume, in total over all schedulers and nodes."""
 
     rate: float = 0.0
     reserve: float = 0.0
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of one scheduler; a rule whose figures are zero is switched off."""
+    """All settings of one scheduler; a rule whose parameters are zero is disabled."""
 
     classes: tuple[ClassSettings, ...]
     plans: tuple[PlanSettings, ...]
--- a/runloft/decisions/state.py
+++ b/runloft/decisions/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of a scheduler share: settings, nodes, open requests and queues."""
+"""The state shared by the modules of a scheduler: settings, nodes, open requests and queues."""
 
 import random
 
@@ -9,14 +9,17 @@
 from runloft.decisions.tracked_request import TrackedRequest
 from runloft.decisions.units import NS_PER_SECOND
 
-MAX_SMALL_FLEET = 16  # up to so many schedulers their minima together stay within the latency objective
+# With up to this many schedulers, a node serves all their minimum requests in flight within the objective.
+MAX_SMALL_FLEET_SCHEDULERS = 16
 
 
 class SchedulerState:
-    """Settings, what follows from them, and the tables that more than one module uses."""
+    """The settings, values derived from them, and tables used by more than one module."""
 
     __slots__ = (
         "actions",
+        "changed_shards",
+        "dispatch_all_at",
         "has_volume_limits",
         "is_large_fleet",
         "max_priority",
@@ -29,27 +32,25 @@
         "requests",
         "settings",
         "started_at",
-        "touched_shards",
-        "wake_at",
     )
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.random = random.Random(seed)
         self.started_at = now
-        self.wake_at = 0  # when all queues are looked at next
+        self.dispatch_all_at = 0  # when all queues are dispatched next
         self.nodes: dict[int, Node] = {}
         self.nodes_by_shard: dict[int | None, Node] = {}
         self.requests: dict[int, TrackedRequest] = {}
-        self.queues: dict[int | None, list[TrackedRequest]] = {}  # by shard; None: no node to place it on
-        self.touched_shards: dict[int | None, bool] = {}  # in order, those with events in this call
+        self.queues: dict[int | None, list[TrackedRequest]] = {}  # by shard; None: new objects without a node
+        self.changed_shards: dict[int | None, bool] = {}  # ordered set: shards changed by this call's events
         self.pool_rate = ServiceRate(NS_PER_SECOND)
         self.actions: list[Action] = []
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use other settings from now on; what is open and what was learned stay."""
+        """Apply new settings; open requests and learned values are kept."""
         self.settings = settings
-        self.is_large_fleet = settings.scheduler_count > MAX_SMALL_FLEET
+        self.is_large_fleet = settings.scheduler_count > MAX_SMALL_FLEET_SCHEDULERS
         self.has_volume_limits = any(plan.limit for plan in settings.plans)
         objectives = (each.latency_objective_ns for each in settings.classes)
         self.objective_ns = min(objectives, default=NS_PER_SECOND)
--- a/runloft/decisions/tracked_request.py
+++ b/runloft/decisions/tracked_request.py
@@ -1,13 +1,13 @@
-"""A request that the scheduler received, with its attempts."""
+"""A request that the scheduler received, and its attempts."""
 
 from runloft.decisions.events import Request
 from runloft.decisions.settings import ClassSettings, Idempotency, IdempotencyScope
 
-MAX_QUEUED_FRACTION = 0.45  # of its client's time: a request that was not sent by then is shed
+MAX_QUEUED_FRACTION = 0.45  # of the time left on arrival, after which a request that reached no node is shed
 
 
 class TrackedRequest:
-    """A request from its arrival until it has its response and no attempt is in flight."""
+    """A request, tracked from its arrival until it is finished and no attempt is in flight."""
 
     __slots__ = (
         "ambiguous_node",
@@ -41,7 +41,7 @@
         self.deadline = now + request.time_left_ns
         self.queue_deadline = now + int(MAX_QUEUED_FRACTION * request.time_left_ns)
         self.received_at = now
-        # A retry by the client is harmless even if an attempt was executed, so the request may be shed then.
+        # Whether a retry by the client is harmless even if an attempt was executed.
         self.is_safe_to_shed = request_class.idempotency is Idempotency.IDEMPOTENT or (
             request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             and request_class.idempotency_scope is IdempotencyScope.ALL
@@ -50,18 +50,18 @@
         self.has_reached_node = False  # whether a node received an attempt
         self.in_flight: dict[int, int] = {}  # attempt -> node
         self.last_sent_at = now
-        self.ambiguous_since: int | None = None  # when the first attempt was sent that may have executed
-        self.ambiguous_node: int | None = None  # the node that this attempt was sent to
+        self.ambiguous_since: int | None = None  # when the first attempt that may have been executed was sent
+        self.ambiguous_node: int | None = None  # the node of that attempt
         self.is_finished = False
         self.is_streaming = False
-        self.congestion_price_jitter = 1.0  # factor on the congestion price that it meets
+        self.congestion_price_jitter = 1.0  # factor on the node's congestion price
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether it may be executed more than once, with no key."""
+        """Return whether it may be executed more than once without an idempotency key."""
         return self.request_class.idempotency is Idempotency.IDEMPOTENT
 
     @property
-    def may_be_trial(self) -> bool:
-        """Whether it may be sent to a node that is unresponsive."""
+    def is_preferred_probe(self) -> bool:
+        """Return whether it is preferred as a probe attempt of an unresponsive node."""
         return self.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
