--- a/tests/decisions/test_backoff.py
+++ b/tests/decisions/test_backoff.py
@@ -10,7 +10,7 @@
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
 def test_retry_waits_for_the_backoff_in_a_large_fleet(outcome):
-    """Three attempts within 15 ms would use up a request and overload the node."""
+    """Three attempts within 15 ms would use up a request's attempts and overload the node."""
     host = Host(
         settings(request_class(aim=1000, deadline=6000), scheduler_count=40, max_attempts=3), at=SECOND
     )
@@ -29,7 +29,7 @@
 
 
 def test_small_fleet_retries_at_once():
-    """The retries of a small fleet are no storm."""
+    """The retries of a small fleet don't overload a node."""
     host = Host(
         settings(request_class(aim=1000, deadline=6000), scheduler_count=7, max_attempts=3), at=SECOND
     )
--- a/tests/decisions/test_congestion_price.py
+++ b/tests/decisions/test_congestion_price.py
@@ -11,11 +11,11 @@
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.OK, AttemptOutcome.TIMEOUT])
 def test_many_schedulers_keep_low_priority_requests_from_an_overloaded_node(outcome):
-    """213 schedulers with one request each filled every node for seconds, for clients that had left."""
-    for hosts, leaves in ((200, False), (4, True)):
+    """213 schedulers with one request each kept nodes busy for seconds for clients that had disconnected."""
+    for hosts, is_sent in ((200, False), (4, True)):
         host = overloaded_host(hosts, outcome)
-        cheap = host.ask(request_class=1)
-        assert bool(host.sends(cheap)) is leaves
+        low_priority = host.ask(request_class=1)
+        assert bool(host.sends(low_priority)) is is_sent
     host = overloaded_host(200, outcome)
     assert host.sends(host.ask(request_class=0))
 
@@ -28,14 +28,14 @@
 
 def test_mean_price_applies_to_a_node_without_responses():
     host = overloaded_host(200)
-    before = host.scheduler.pricing.mean.value
-    assert before > 0
+    mean_price = host.scheduler.pricing.mean.value
+    assert mean_price > 0
     node = host.scheduler.nodes[11]
     assert host.scheduler.pricing.current_for(node.congestion_price, host.now) > 0
 
 
 def test_restarted_node_has_no_price_and_is_not_unresponsive():
-    """The queue of the former process ended with it."""
+    """The queue of the previous process was lost with it."""
     host = overloaded_host(200, AttemptOutcome.TIMEOUT)
     assert not host.sends(host.ask(request_class=1))
     host.tell(NodeEntry(10, 0, started_ns=host.now))
@@ -63,14 +63,14 @@
 
 
 def test_price_falls_after_a_few_timely_responses():
-    """Nodes with one response in two seconds must not keep a price for long."""
+    """Nodes with one response in two seconds must not keep a high price for long."""
     host = Host(settings(request_class(aim=1000, deadline=6000), scheduler_count=40), at=SECOND)
     node = host.scheduler.nodes[10]
     for _ in range(2):
         host.end(host.ask(), latency=1000)
-    dear = host.scheduler.pricing.current_for(node.congestion_price, host.now)
+    raised = host.scheduler.pricing.current_for(node.congestion_price, host.now)
     host.ask()
     for _ in range(3):
         host.end(host.next_id - 1, latency=50)
         host.ask()
-    assert dear > 0 and host.scheduler.pricing.current_for(node.congestion_price, host.now) < dear / 4
+    assert raised > 0 and host.scheduler.pricing.current_for(node.congestion_price, host.now) < raised / 4
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -7,7 +7,7 @@
 
 
 def test_late_request_waits_while_a_slow_node_is_busy():
-    """Late work that was served kept timely work of other schedulers waiting."""
+    """Late requests that were served delayed timely requests of other schedulers."""
     host = Host(settings(request_class(aim=100, deadline=3000)))
     host.serve(30, latency=70)
     host.wait(500)
@@ -21,7 +21,7 @@
 
 
 def test_attempt_in_a_large_fleet_times_out_with_its_objective_and_is_shed():
-    """Work that waits for clients that have left must not keep nodes full."""
+    """Requests whose clients have disconnected must not keep nodes busy."""
     host = overloaded_host(200)
     host.wait(400)
     request_id = host.ask()
@@ -35,11 +35,11 @@
 def test_objective_of_a_client_retry_counts_from_its_first_try():
     host = Host(settings(request_class(aim=100, deadline=2000, late_priority_weight=0.1)))
     host.serve(20, latency=20)
-    out = [host.ask() for _ in range(4)]
-    later, first = host.ask(left=1500), host.ask()
-    assert not host.sends(later) and not host.sends(first)
-    while not host.sends(first):
+    in_flight = [host.ask() for _ in range(4)]
+    client_retry, new_request = host.ask(left=1500), host.ask()
+    assert not host.sends(client_retry) and not host.sends(new_request)
+    while not host.sends(new_request):
         host.end(min(host.open))
-    assert not host.sends(later) and out
-    while not host.sends(later):
+    assert not host.sends(client_retry) and in_flight
+    while not host.sends(client_retry):
         host.end(min(host.open))
--- a/tests/decisions/test_final_response.py
+++ b/tests/decisions/test_final_response.py
@@ -30,13 +30,13 @@
     ((_, answer),) = host.answers(unsent)
     assert isinstance(answer, ShedRequest) and answer.retry_after_ns > 0
     host.tell(NODE)
-    seen = host.ask()
+    reached = host.ask()
     host.tell(gone(10, state=NodeState.DRAINING))
-    host.end(seen, AttemptOutcome.RESET)
+    host.end(reached, AttemptOutcome.RESET)
     host.wait(900)
-    assert not host.answers(seen)
+    assert not host.answers(reached)
     host.wait(98)
-    assert len(host.answers(seen)) == 1
+    assert len(host.answers(reached)) == 1
 
 
 def test_request_shed_after_a_failed_attempt_has_a_retry_after():
@@ -84,13 +84,13 @@
 
 def test_disconnected_client_gets_no_attempt_and_no_response():
     host = Host(settings(may_cancel=True))
-    out, held = host.ask(), host.ask(shard=5)
-    actions = host.see(ClientGone(out), ClientGone(held))
-    assert CancelAttempt(out, 0) in actions
-    host.end(out, AttemptOutcome.CANCELLED)
+    in_flight, queued = host.ask(), host.ask(shard=5)
+    actions = host.see(ClientGone(in_flight), ClientGone(queued))
+    assert CancelAttempt(in_flight, 0) in actions
+    host.end(in_flight, AttemptOutcome.CANCELLED)
     host.tell(NodeEntry(11, 5))
     host.wait(1000)
-    assert not host.answers(out) and not host.answers(held) and not host.sends(held)
+    assert not host.answers(in_flight) and not host.answers(queued) and not host.sends(queued)
 
 
 def test_started_stream_has_no_deadline():
--- a/tests/decisions/test_golden_sequence.py
+++ b/tests/decisions/test_golden_sequence.py
@@ -1,4 +1,4 @@
-"""Seeded random events give the same actions as commit 9c33a60 did, compared by a digest of their values."""
+"""Seeded random events give the same actions as commit 9c33a60, compared by a digest of their values."""
 
 import hashlib
 import heapq
@@ -99,7 +99,7 @@
 
 
 class RandomHost:
-    """Feeds one scheduler with random events and hashes every action that it answers."""
+    """Feeds one scheduler with random events and hashes every action that it returns."""
 
     def __init__(self, hosts: int, seed: int) -> None:
         self.random = random.Random(seed)
@@ -107,7 +107,7 @@
         self.now = SECOND
         self.scheduler = Scheduler(settings(hosts, 8.0), seed, self.now)
         self.digest = hashlib.sha256()
-        self.kinds = [0] * len(ACTION_CODES)
+        self.action_counts = [0] * len(ACTION_CODES)
         self.timers: list[tuple[int, int]] = []
         self.results: list[tuple[int, int, contract.AttemptResult]] = []
         self.attempts: dict[int, int] = {}
@@ -119,14 +119,14 @@
     def feed(self, events: list[contract.Event]) -> None:
         for action in self.scheduler.handle(self.now, events):
             code = ACTION_CODES[type(action)]
-            self.kinds[code] += 1
+            self.action_counts[code] += 1
             self.digest.update(f"{self.now} {code} {astuple(action)!r}\n".encode())
             if isinstance(action, contract.Timer):
                 heapq.heappush(self.timers, (action.at_ns, action.token))
             elif isinstance(action, contract.SendAttempt):
-                self._plan_result(action)
+                self._schedule_result(action)
 
-    def _plan_result(self, send: contract.SendAttempt) -> None:
+    def _schedule_result(self, send: contract.SendAttempt) -> None:
         attempt = self.attempts.get(send.id, -1) + 1
         self.attempts[send.id] = attempt
         latency = int(self.random.expovariate(1 / (20 * MS)) * (1 + 5 * (send.node % 3 == 0)))
@@ -148,7 +148,7 @@
     def _request(self) -> contract.Request:
         number = self.random.randrange(4)
         deadline = self.scheduler.settings.classes[number].deadline_ns
-        left = deadline if self.random.random() < 0.8 else int(deadline * self.random.random())
+        time_left_ns = deadline if self.random.random() < 0.8 else int(deadline * self.random.random())
         shard = self.random.randrange(SHARDS + 1) if self.random.random() < 0.8 else None
         request_id = self.next_id
         self.next_id += 1
@@ -156,25 +156,33 @@
         units = float(self.random.randint(1, 4))
         plan = self.random.randrange(2)
         return contract.Request(
-            request_id, number, plan, 10 * plan + self.random.randrange(5), units, left, shard, key, 2.0
+            request_id,
+            number,
+            plan,
+            10 * plan + self.random.randrange(5),
+            units,
+            time_left_ns,
+            shard,
+            key,
+            2.0,
         )
 
     def _node_list(self) -> contract.NodeList:
         kind = self.random.choice(list(contract.ListKind))
         shard = self.random.randrange(SHARDS)
-        before = self.entries[shard]
+        current = self.entries[shard]
         draw = self.random.random()
         changed: list[contract.NodeEntry] = []
         if draw < 0.3:
-            gone = contract.NodeEntry(before.node, shard, contract.NodeState.GONE, zone=before.zone)
-            fresh = contract.NodeEntry(self.next_node, shard, started_ns=self.now, zone=before.zone)
+            removed = contract.NodeEntry(current.node, shard, contract.NodeState.GONE, zone=current.zone)
+            added = contract.NodeEntry(self.next_node, shard, started_ns=self.now, zone=current.zone)
             self.next_node += 1
-            changed = [gone, fresh]
+            changed = [removed, added]
         elif draw < 0.6:
-            changed = [contract.NodeEntry(before.node, shard, started_ns=self.now, zone=before.zone)]
+            changed = [contract.NodeEntry(current.node, shard, started_ns=self.now, zone=current.zone)]
         elif draw < 0.8:
             state = self.random.choice([contract.NodeState.DRAINING, contract.NodeState.READY])
-            changed = [contract.NodeEntry(before.node, shard, state, before.started_ns, before.zone)]
+            changed = [contract.NodeEntry(current.node, shard, state, current.started_ns, current.zone)]
         if changed:
             self.entries[shard] = changed[-1]
         if kind is contract.ListKind.DELTA:
@@ -223,5 +231,5 @@
 def test_random_events_give_the_actions_of_commit_9c33a60(hosts, digest):
     host = RandomHost(hosts, seed=7)
     assert host.run() == digest
-    never_asked_for = ACTION_CODES[contract.HealthCheck]
-    assert all(kind for code, kind in enumerate(host.kinds) if code != never_asked_for)
+    never_returned = ACTION_CODES[contract.HealthCheck]
+    assert all(returned for code, returned in enumerate(host.action_counts) if code != never_returned)
--- a/tests/decisions/test_key_order.py
+++ b/tests/decisions/test_key_order.py
@@ -29,11 +29,11 @@
     host = Host(settings(IN_ORDER, ambiguity_wait_ns=100 * MS, may_cancel=True))
     first, second = host.ask(key=7), host.ask(key=7)
     host.see(ClientGone(first))
-    assert not host.sends(second)  # its attempt has no outcome yet
-    ended = host.now
+    assert not host.sends(second)  # the first one's attempt has no outcome yet
+    ended_at = host.now
     host.end(first, outcome)
     host.wait(300)
-    assert host.sends(second)[0][0] >= ended + 100 * MS
+    assert host.sends(second)[0][0] >= ended_at + 100 * MS
 
 
 def test_first_request_of_a_key_is_retried_during_its_own_pause():
--- a/tests/decisions/test_node.py
+++ b/tests/decisions/test_node.py
@@ -1,4 +1,4 @@
-"""One node: what may be in flight, and silence."""
+"""One node: bounds on attempts in flight, and silence."""
 
 from runloft.decisions.contract import (
     AttemptOutcome,
@@ -9,7 +9,7 @@
 
 def test_units_in_flight_are_bounded_by_rate_and_maximum():
     host = Host(settings(request_class(aim=100)))
-    for _ in range(60):  # about 1000 units a second, always busy
+    for _ in range(60):  # about 1000 units per second, always busy
         ids = [host.ask(units=5) for _ in range(2)]
         host.wait(10)
         host.end_all()
@@ -20,26 +20,26 @@
     assert ids
 
 
-def test_silent_node_gets_one_trial_at_a_time_and_recovers():
+def test_silent_node_gets_one_probe_at_a_time_and_recovers():
     host = Host(settings(request_class(aim=100, deadline=2000)))
     host.serve(30)
     for _ in range(6):
         host.ask()
     host.wait(1000)
     before = len(host.sends())
-    for request_id in sorted(host.open):  # lost: the node hangs
+    for request_id in sorted(host.open):  # the node is silent
         host.end(request_id, AttemptOutcome.TIMEOUT, latency=1000)
     assert len(host.open) <= 1
     for _ in range(5):
         host.ask()
     assert len(host.sends()) - before <= 2
-    trial = host.log[-1][1] if isinstance(host.log[-1][1], SendAttempt) else host.sends()[-1][1]
-    assert 0 < trial.timeout_ns < 2000 * MS
-    host.end_all()  # it answers again
+    probe = host.log[-1][1] if isinstance(host.log[-1][1], SendAttempt) else host.sends()[-1][1]
+    assert 0 < probe.timeout_ns < 2000 * MS
+    host.end_all()  # the node responds again
     assert len({action.id for _, action in host.sends()}) >= 36
 
 
-def test_one_unanswered_attempt_makes_no_node_unresponsive():
+def test_one_unanswered_attempt_does_not_make_a_node_unresponsive():
     """A node with a request every few seconds must not become unresponsive by time alone."""
     host = Host(settings(request_class(aim=100, deadline=600)))
     host.serve(5)
@@ -51,7 +51,7 @@
     assert node.is_unresponsive(host.now)
 
 
-def test_timeout_of_a_client_with_little_time_is_not_counted_as_silence():
+def test_timeout_at_a_short_client_deadline_is_not_counted_as_silence():
     host = Host(settings(request_class(aim=100, deadline=600)))
     host.serve(5)
     for _ in range(3):
@@ -62,10 +62,10 @@
     assert not host.scheduler.nodes[10].is_unresponsive(host.now)
 
 
-def test_trials_of_many_schedulers_at_an_unresponsive_node_are_spaced():
-    """A trial of each scheduler every 1.5 objectives is more than an overloaded node can serve."""
+def test_probes_of_many_schedulers_at_an_unresponsive_node_are_spaced():
+    """One probe from each scheduler every 1.5 objectives is more than an overloaded node can serve."""
 
-    def trials(hosts: int) -> int:
+    def probes(hosts: int) -> int:
         host = Host(settings(request_class(aim=100, deadline=2000), scheduler_count=hosts))
         host.serve(30)
         for _ in range(2):
@@ -78,11 +78,11 @@
             host.end_all(AttemptOutcome.RESET)
         return len(host.sends()) - before
 
-    assert 1 <= trials(60) < trials(4) / 4
+    assert 1 <= probes(60) < probes(4) / 4
 
 
 def test_minimum_in_flight_is_one_request_at_a_slow_node():
-    """Two requests of each of many schedulers together took longer than the latency objective."""
+    """Two requests from each of many schedulers together took longer than the latency objective."""
     host = Host(settings(request_class(aim=100)))
     host.serve(30, latency=70)
     host.wait(500)
@@ -91,15 +91,15 @@
     assert len(host.open) == 1
 
 
-def test_overtaken_attempt_is_released_and_delays_no_trial():
-    """Attempts that are never answered must not use up the bound on what is in flight."""
+def test_overtaken_attempt_is_released_and_delays_no_probe():
+    """Attempts that are never answered must not use up the bound on attempts in flight."""
     host = Host(settings(request_class(aim=100, deadline=4000)), at=SECOND)
     host.serve(30, latency=10)
     host.wait(200)
-    swallowed = host.ask()
-    host.wait(500)  # silent for long: suspect, and the only attempt out has no end in sight
-    trial = host.ask()
-    assert host.sends(trial)
-    host.end(trial)  # overtakes the first one, whose place is free again
+    lost = host.ask()
+    host.wait(500)  # the node is silent, and its only attempt in flight is never answered
+    probe = host.ask()
+    assert host.sends(probe)
+    host.end(probe)  # overtakes the lost attempt, which is released
     ids = [host.ask() for _ in range(3)]
-    assert sum(bool(host.sends(i)) for i in ids) == 2 and swallowed in host.open
+    assert sum(bool(host.sends(i)) for i in ids) == 2 and lost in host.open
--- a/tests/decisions/test_node_list.py
+++ b/tests/decisions/test_node_list.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.GONE])
-def test_draining_or_gone_node_gets_nothing_new(state):
+def test_draining_or_gone_node_gets_no_new_request(state):
     host = Host(settings())
     host.tell(gone(10, state=state))
     request_id = host.ask()
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -12,7 +12,7 @@
 
 def test_new_objects_avoid_an_ejected_node_until_its_ejection_ends():
     host = Host(settings(request_class(), max_attempts=1), nodes=(NODE, NodeEntry(11, 1)))
-    for _ in range(20):  # one in three is served there, so that it is never silent
+    for _ in range(20):  # one in three succeeds on node 10, so that it is never silent
         for outcome in (AttemptOutcome.ERROR, AttemptOutcome.ERROR, AttemptOutcome.OK):
             host.end(host.ask(shard=0), outcome, latency=1)
             host.wait(5)
@@ -30,8 +30,8 @@
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED])
-def test_new_objects_avoid_a_node_that_rejects_before_the_list_tells(outcome):
-    """Lists may be seconds late."""
+def test_new_objects_avoid_a_node_that_rejects_before_the_list_is_updated(outcome):
+    """Node lists may be seconds out of date."""
     host = Host(fleet_settings(40, 0, max_attempts=1), nodes=(NODE, NodeEntry(11, 1)))
     for shard in (0, 1):
         host.serve(2, latency=20, shard=shard)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -21,12 +21,12 @@
     )
     host = Host(settings(keyed_class, request_class(aim=100, deadline=3000, priority_weight=5.0)))
     host.serve(30, latency=50, request_class=1)
-    asked, keyed = host.now, host.ask()
-    host.ask(request_class=1)  # worth more: takes the only place when the first attempt ends
+    arrived_at, keyed = host.now, host.ask()
+    host.ask(request_class=1)  # of higher priority: sent instead when the first attempt ends
     host.end(keyed, AttemptOutcome.RESET)
     host.wait(400)
     ((at, answer),) = host.answers(keyed)
-    assert len(host.sends(keyed)) == 1 and isinstance(answer, FailRequest) and at <= asked + 300 * MS
+    assert len(host.sends(keyed)) == 1 and isinstance(answer, FailRequest) and at <= arrived_at + 300 * MS
 
 
 @pytest.mark.parametrize(
@@ -70,15 +70,16 @@
 
 
 @pytest.mark.parametrize(
-    ("group", "count"), [(IdempotencyScope.SHARD, 1), (IdempotencyScope.ZONE, 1), (IdempotencyScope.ALL, 2)]
+    ("scope", "max_nodes"),
+    [(IdempotencyScope.SHARD, 1), (IdempotencyScope.ZONE, 1), (IdempotencyScope.ALL, 2)],
 )
-def test_ambiguous_new_object_is_retried_only_within_its_idempotency_scope(group, count):
+def test_ambiguous_new_object_is_retried_only_within_its_idempotency_scope(scope, max_nodes):
     conf = settings(
         request_class(
             Idempotency.IDEMPOTENT_WITH_KEY,
             deadline=3000,
             idempotency_window_ns=SECOND,
-            idempotency_scope=group,
+            idempotency_scope=scope,
         )
     )
     host = Host(conf, nodes=(NodeEntry(10, 0, zone=0), NodeEntry(11, 1, zone=1)))
@@ -87,22 +88,22 @@
     host.tell(replace(gone(first, first - 10), zone=first - 10))
     host.end(request_id, AttemptOutcome.RESET)
     host.wait(900)
-    assert len(host.sends(request_id)) == 1 or group is IdempotencyScope.ALL
-    assert len({action.node for _, action in host.sends(request_id)}) <= count
+    assert len(host.sends(request_id)) == 1 or scope is IdempotencyScope.ALL
+    assert len({action.node for _, action in host.sends(request_id)}) <= max_nodes
 
 
 def test_ambiguous_request_is_shed_only_if_all_nodes_recognise_its_key():
-    for group, kind in ((IdempotencyScope.ALL, ShedRequest), (IdempotencyScope.SHARD, FailRequest)):
+    for scope, response in ((IdempotencyScope.ALL, ShedRequest), (IdempotencyScope.SHARD, FailRequest)):
         host = Host(
             settings(
                 request_class(
-                    Idempotency.IDEMPOTENT_WITH_KEY, idempotency_window_ns=1, idempotency_scope=group
+                    Idempotency.IDEMPOTENT_WITH_KEY, idempotency_window_ns=1, idempotency_scope=scope
                 )
             )
         )
         request_id = host.ask()
         host.end(request_id, AttemptOutcome.ERROR)
-        assert [type(action) for _, action in host.answers(request_id)] == [kind]
+        assert [type(action) for _, action in host.answers(request_id)] == [response]
 
 
 def test_retries_stay_within_base_and_ratio_of_the_retry_budget():
@@ -113,8 +114,8 @@
         while host.sends(n + 1) and not host.answers(n + 1):
             host.end(n + 1, AttemptOutcome.ERROR)
         host.wait(1)
-    extra = len(host.sends()) - len({action.id for _, action in host.sends()})
-    assert 2 <= extra <= 2 + 0.1 * 30
+    retries = len(host.sends()) - len({action.id for _, action in host.sends()})
+    assert 2 <= retries <= 2 + 0.1 * 30
     host.wait(2000)
     request_id = host.ask()
     host.end(request_id, AttemptOutcome.ERROR)
--- a/tests/decisions/test_service_rate.py
+++ b/tests/decisions/test_service_rate.py
@@ -11,12 +11,12 @@
 def test_quick_errors_do_not_raise_the_service_rate():
     host = Host(settings(request_class(aim=100, deadline=600), max_attempts=1))
     host.serve(30, latency=20)
-    before = host.scheduler.nodes[10].rate.units_per_second
+    rate_before = host.scheduler.nodes[10].rate.units_per_second
     for _ in range(200):
         host.ask()
         host.wait(1)
         host.end_all(AttemptOutcome.ERROR)
-    assert host.scheduler.nodes[10].rate.units_per_second <= before
+    assert host.scheduler.nodes[10].rate.units_per_second <= rate_before
 
 
 def test_rate_over_all_nodes_is_known_before_that_of_one():
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -13,7 +13,7 @@
 from tests.support.fleet import fleet_settings
 
 
-def test_warming_up_node_gets_this_schedulers_part_of_its_capacity():
+def test_warming_up_node_gets_this_schedulers_share_of_its_capacity():
     conf = settings(slow_start_units=20, scheduler_count=4, max_attempts=1, **SLOW_START)
     host = Host(conf, at=100 * SECOND)
     host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
@@ -23,7 +23,7 @@
 
 
 def test_many_schedulers_together_stay_within_the_capacity_of_a_warming_up_node():
-    """A budget below one request must be accrued, else nothing is sent for the whole warm-up."""
+    """A share below one request must accrue, or nothing is sent during the whole warm-up."""
     conf = settings(slow_start_units=20, max_attempts=1, **SLOW_START)
     sends: list[int] = []
     for number in range(150):
@@ -40,13 +40,13 @@
 
 
 def fail_connects(host):
-    """Let connecting fail, with nothing served, for as long as a process is down."""
+    """Let connects fail, with nothing served, for as long as a restart takes."""
     for _ in range(2):
         host.wait(600)
         host.end(host.ask(), AttemptOutcome.CONNECT_FAILED)
 
 
-def test_start_guessed_from_failed_connects_ends_early_and_gives_way_to_the_list():
+def test_start_inferred_from_failed_connects_ends_early_and_gives_way_to_the_list():
     host = Host(settings(slow_start_units=8, scheduler_count=150, **SLOW_START), at=100 * SECOND)
     fail_connects(host)
     node = host.scheduler.nodes[10]
@@ -57,10 +57,14 @@
 
 
 def test_unusual_settings_do_not_raise():
-    odd = settings(
+    unusual = settings(
         scheduler_count=0, scheduler_number=9, max_attempts=1, slow_start_ns=10 * SECOND, overload_window_ns=0
     )
-    for conf in (odd, replace(odd, overload_window_ns=SECOND), replace(odd, scheduler_count=-1, tick_ns=0)):
+    for conf in (
+        unusual,
+        replace(unusual, overload_window_ns=SECOND),
+        replace(unusual, scheduler_count=-1, tick_ns=0),
+    ):
         host = Host(conf, at=100 * SECOND)
         host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
         send_flood(host, 100)
@@ -77,9 +81,9 @@
 
 
 def test_slow_start_budget_follows_the_rate_before_the_start():
-    """An equal part of the certain units would leave warming-up nodes idle."""
+    """An equal share of the configured units would leave warming-up nodes idle."""
 
-    def sends_while_cold(served: int) -> int:
+    def sends_while_warming_up(served: int) -> int:
         host = Host(
             settings(slow_start_units=8, scheduler_count=150, max_attempts=1, **SLOW_START), at=100 * SECOND
         )
@@ -93,9 +97,10 @@
             host.end_all()
         return len(host.sends()) - before
 
-    usual = 100 / (100 * 0.041 + 1)  # units a second that it served when warm, over the time seen
-    assert sends_while_cold(0) <= 1 < sends_while_cold(100)
-    assert sends_while_cold(100) <= 4 * usual * (2.0 * 0.5) * 0.36  # as warm as it is after 4 s, at most
+    baseline_rate = 100 / (100 * 0.041 + 1)  # units per second served before the start
+    assert sends_while_warming_up(0) <= 1 < sends_while_warming_up(100)
+    # 0.36 is the warm fraction after 4 s.
+    assert sends_while_warming_up(100) <= 4 * baseline_rate * (2.0 * 0.5) * 0.36
 
 
 def test_node_whose_connects_failed_is_warming_up():
@@ -106,21 +111,21 @@
     assert send_flood(host, 1500) <= 2
 
 
-@pytest.mark.parametrize("between", [None, AttemptOutcome.OK])
-def test_single_failed_connects_are_not_taken_for_a_start(between):
+@pytest.mark.parametrize("outcome_between", [None, AttemptOutcome.OK])
+def test_single_failed_connects_are_not_taken_for_a_start(outcome_between):
     host = Host(
         settings(slow_start_units=8, scheduler_count=4, max_attempts=1, **SLOW_START), at=100 * SECOND
     )
     for _ in range(5):
         host.end(host.ask(), AttemptOutcome.CONNECT_FAILED)
-        host.wait(300 if between else 90)
-        if between:
-            host.end(host.ask(), between)
+        host.wait(300 if outcome_between else 90)
+        if outcome_between:
+            host.end(host.ask(), outcome_between)
     assert host.scheduler.slow_start.started_at(host.scheduler.nodes[10], host.now) is None
 
 
-def test_restarted_scheduler_uses_a_warming_up_node_by_its_demand():
-    """Restarted schedulers know no past; replaced nodes must not stay idle."""
+def test_restarted_scheduler_limits_a_warming_up_node_by_its_demand():
+    """Restarted schedulers have no history; replaced nodes must not stay idle."""
     host = Host(fleet_settings(40, 0), nodes=(NODE, NodeEntry(11, 1, started_ns=SECOND)), at=SECOND)
     host.serve(120, latency=20, shard=0)
     before = len(host.sends())
@@ -132,22 +137,22 @@
 
 
 def sends_to_a_warming_up_node(latency):
-    """Return how many a scheduler with a unit a second sends in the first 14 s of a node."""
+    """Return how many attempts are sent in a node's first 14 s, of one request per second."""
     host = Host(fleet_settings(200, 0, slow_start_units=0.0), at=SECOND)
 
-    def ask(times, answered):
+    def ask(times, response_ms):
         for _ in range(times):
             host.ask(left=900)
-            host.wait(answered)
-            host.end_all(latency=answered)
-            host.wait(1000 - answered)
+            host.wait(response_ms)
+            host.end_all(latency=response_ms)
+            host.wait(1000 - response_ms)
         return len(host.sends())
 
-    before = ask(20, 50)
+    sent_before = ask(20, 50)
     host.tell(NodeEntry(10, 0, NodeState.GONE), NodeEntry(11, 0, started_ns=host.now))
-    return ask(14, latency) - before
+    return ask(14, latency) - sent_before
 
 
 def test_warming_up_node_that_responds_at_once_is_sent_more():
-    """A replaced node with one request at a time would shed half of its load."""
+    """With one request at a time, half of the load of a replaced node would be shed."""
     assert sends_to_a_warming_up_node(50) > sends_to_a_warming_up_node(600) > 0
--- a/tests/decisions/test_volume_quota.py
+++ b/tests/decisions/test_volume_quota.py
@@ -15,13 +15,13 @@
     host.serve(20, latency=20, volume=9)
     for _ in range(20):
         host.ask(volume=1)
-    quiet = host.ask(volume=2)
-    for _ in range(4):  # volume 1 uses up its reserve, then volume 2 is due
+    within_reserve = host.ask(volume=2)
+    for _ in range(4):  # volume 1 uses up its reserve, then volume 2 is served
         host.end(min(host.open))
-    assert host.sends(quiet)
+    assert host.sends(within_reserve)
 
 
-def test_volumes_unused_longest_are_forgotten():
+def test_least_recently_used_volumes_are_evicted():
     host = Host(settings(request_class()))
     for volume in range(MAX_VOLUMES + 5):
         host.ask(volume=volume)
@@ -33,7 +33,7 @@
 LIMITED = PlanSettings(rate=10, reserve=5, limit=40, limit_burst=24)
 
 
-def test_scheduler_sends_its_part_of_a_limit_and_starts_with_no_tokens():
+def test_scheduler_sends_its_share_of_a_limit_and_starts_without_tokens():
     host = Host(settings(request_class(deadline=50), plan=LIMITED))
     assert send_flood(host, 1000, AttemptOutcome.OK, volume_hosts=2.0) <= 40 / 2
     host.wait(60)
