--- a/runloft/decisions/congestion_price.py
+++ b/runloft/decisions/congestion_price.py
@@ -53,7 +53,7 @@
 
 
 class CongestionPricing:
-    """The mean price over all nodes, and the price of a node relative to it."""
+    """The mean price over all nodes, towards which the price of each node decays."""
 
     __slots__ = ("is_enabled", "mean")
 
--- a/runloft/decisions/node.py
+++ b/runloft/decisions/node.py
@@ -72,7 +72,8 @@
         self.last_sent_at = 0
         self.gone_since = 0  # when the node list first showed it as gone; 0 if it isn't gone
         self._latest_served_sent_at = 0  # when the latest successful attempt was sent
-        self._silent_since: int | None = None  # start of the attempts without a success; None: no attempt
+        # Start of the current time without a success; None if no attempt was sent or in flight in it.
+        self._silent_since: int | None = None
         self._unanswered_attempts = 0
 
     def apply_settings(self, settings: Settings, objective_ns: int) -> None:
@@ -117,9 +118,9 @@
         if self.backoff.is_active(now):
             return False
         if self.is_unresponsive(now):
-            wait = UNRESPONSIVE_OBJECTIVES * self.objective_ns if self.in_flight else 0
-            return now > self.last_sent_at + wait
-        # Two requests from each of many schedulers can exceed the latency objective at a slow node.
+            min_gap_ns = UNRESPONSIVE_OBJECTIVES * self.objective_ns if self.in_flight else 0
+            return now > self.last_sent_at + min_gap_ns
+        # At a slow node, two requests from each of many schedulers can exceed the latency objective.
         min_requests = 1 if self.is_slow() else MIN_REQUESTS_IN_FLIGHT
         max_units = min(MAX_UNITS_IN_FLIGHT, rate * IN_FLIGHT_OBJECTIVES * self.objective_ns / NS_PER_SECOND)
         return self.in_flight_units < MAX_UNITS_IN_FLIGHT and (
@@ -131,11 +132,11 @@
 
         Nodes serve in order, so such an attempt is lost; it must not delay a probe of a silent node.
         """
-        oldest = now - int(
+        lost_before = now - int(
             max(OVERTAKEN_OBJECTIVES * self.objective_ns, OVERTAKEN_LATENCIES * self.latency_ns)
         )
-        limit = min(oldest, self._latest_served_sent_at)
-        for key in [key for key, attempt in self.in_flight.items() if attempt.sent_at < limit]:
+        released_before = min(lost_before, self._latest_served_sent_at)
+        for key in [key for key, attempt in self.in_flight.items() if attempt.sent_at < released_before]:
             self._release(*key)
 
     def _release(self, request_id: int, attempt: int) -> int:
