--- a/runloft/decisions/key_order.py
+++ b/runloft/decisions/key_order.py
@@ -30,7 +30,7 @@
             self.waiting.setdefault(key, []).append(request)
 
     def is_first_of_key(self, request: TrackedRequest, now: int) -> bool:
-        """Return whether a request is the first of its key, with no other's attempt possibly still executing."""
+        """Return whether a request is first of its key and no attempt of another may still be executed."""
         if not request.request_class.in_order:
             return True
         key = request.request.key
