--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -6,7 +6,7 @@
 from tests.support.driver import MS, SECOND, Host, request_class, settings
 
 
-def test_forecast_is_zero_and_request_is_sent_while_no_rate_is_known():
+def test_forecast_wait_is_zero_and_request_is_sent_while_no_rate_is_known():
     host = Host(settings())
     assert host.sends(host.ask())
 
@@ -22,7 +22,7 @@
     assert len(ids) - len(shed) >= 5  # requests that can be sent in time are queued
 
 
-def test_silence_of_a_node_raises_the_forecast():
+def test_silence_of_a_node_raises_the_forecast_wait():
     host = Host(settings(request_class(aim=100, deadline=600)))
     host.serve(30)
     host.ask()
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -72,7 +72,7 @@
         assert send_flood(host, 100, AttemptOutcome.OK) > 0
 
 
-def test_restarted_scheduler_takes_the_first_window_as_used_up():
+def test_restarted_scheduler_treats_the_first_window_as_used_up():
     conf = settings(slow_start_units=20, scheduler_count=4, **SLOW_START)
     host = Host(conf, nodes=(NodeEntry(10, 0, started_ns=99 * SECOND),), at=100 * SECOND)
     assert send_flood(host, 1500) == 0
@@ -99,7 +99,7 @@
 
     baseline_rate = 100 / (100 * 0.041 + 1)  # units per second served before the start
     assert sends_while_warming_up(0) <= 1 < sends_while_warming_up(100)
-    # 0.36 is the warm fraction after 4 s.
+    # The warm fraction is at most 0.36 in these 4 s.
     assert sends_while_warming_up(100) <= 4 * baseline_rate * (2.0 * 0.5) * 0.36
 
 
