--- a/runloft/agreement/client.py
+++ b/runloft/agreement/client.py
@@ -1,4 +1,4 @@
-"""Keeps one sidecar in the agreement: runs its state machine over the store, beside the data path."""
+"""Runs one sidecar's replica against the shared store, concurrently with the data path."""
 
 import uuid
 from collections.abc import Callable
@@ -37,14 +37,14 @@
 NS_PER_S = 1e9
 EXCHANGE_TIMEOUTS_PER_LEASE = 4
 INCARNATION_DIGITS = 12
-MAX_EVENTS = 20  # that the status keeps
+MAX_EVENTS = 20  # most recent events kept in the status
 
 
 class AgreementClient:
-    """One sidecar's agreement.
+    """One sidecar's client of the agreement.
 
-    ``start`` returns the configuration to begin with; ``run`` keeps it up to date and calls ``on_config``
-    with each new one; ``stop`` leaves the store.
+    ``start`` returns the initial configuration; ``run`` keeps it up to date and calls ``on_config`` with
+    each new one; ``stop`` removes the sidecar from the store.
     """
 
     def __init__(
@@ -54,7 +54,11 @@
         clock: Callable[[], int],
         store: AgreementStore | None = None,
     ) -> None:
-        """Take the settings, the sidecar's file, its monotonic clock in ns; ``store`` is for tests."""
+        """Create the client.
+
+        ``clock`` returns monotonic time in nanoseconds.  Tests pass ``store``; by default it is created from
+        the settings.
+        """
         self.settings = settings
         self.file_config = file_config
         self.clock = clock
@@ -65,7 +69,7 @@
         self.snapshot = LocalSnapshot(settings.directory, file_config.name)
         self.writer = SnapshotWriter(self.snapshot)
         self.status = AgreementStatus()
-        self.content: Content | None = None  # what is served; None: the sidecar's own file
+        self.content: Content | None = None  # None: the sidecar's own file is served
         self.on_config: Callable[[Config], None] = lambda config: None
         self.replica = Replica(
             file_config.name,
@@ -85,7 +89,7 @@
     # Configuration
 
     def start(self) -> Config:
-        """Return the configuration by this machine's local snapshot, without reserves as yet."""
+        """Return the initial configuration, from the local snapshot if there is one, without reserves."""
         snapshot = self._read_snapshot()
         if snapshot is not None:
             self._start_from(snapshot)
@@ -99,7 +103,7 @@
             return None
 
     def _start_from(self, snapshot: Snapshot) -> None:
-        # Nothing runs yet that could write, and what there is to persist has just been read.
+        # Other effects are skipped: exchanges have not started, and the snapshot has just been read.
         for effect in self.replica.start_from_snapshot(snapshot.committed, snapshot.age_s, self.clock()):
             match effect:
                 case ApplyConfig(content, generation):
@@ -110,7 +114,7 @@
         self.status.snapshot_age_s = snapshot.age_s
 
     def with_committed(self, file_config: Config) -> Config:
-        """Return the sidecar's file's configuration with the committed figures in place of its own."""
+        """Return the configuration of the sidecar's file with the committed values in place of its own."""
         if file_config.document is not self.file_config.document:
             self.file_config = file_config
             self.replica.set_file_content(content_of_file(file_config.document or {}))
@@ -132,8 +136,11 @@
         try:
             config = replace(config_from_json(result.raw), document=file_config.document)
         except ConfigError as error:
-            # Protects the volumes: what this sidecar can't serve as committed it doesn't serve otherwise.
-            log.error("committed generation can't be served here: suspended", faults=error.faults)
+            # Every plan is suspended: a volume must not be served with other values than the committed ones.
+            log.error(
+                "committed generation is invalid for this sidecar; all plans are suspended",
+                faults=error.faults,
+            )
             plans = frozenset(file_config.plan_names)
             volumes = frozenset()
         if not self.status.holds_reserves and self.settings.cut_off == "hold":
@@ -146,13 +153,13 @@
         )
 
     def _set_divergence(self, result: Effective) -> None:
-        if result.differences != self._logged_differences:  # each once, and again when a figure has changed
+        if result.differences != self._logged_differences:  # logged once, and again after a change
             self._logged_differences = result.differences
             for difference in result.differences:
                 log.warning("file differs from the committed generation", difference=str(difference))
         suspended = tuple(sorted(result.suspended_volumes | result.suspended_plans))
         if suspended != self.status.suspended and suspended:
-            log.warning("suspended: the committed generation has no such entries", names=suspended)
+            log.warning("suspended: not in the committed generation", names=suspended)
         self.status.differences = result.differences
         self.status.suspended = suspended
         self.replica.set_divergence(len(result.differences), len(suspended))
@@ -160,7 +167,7 @@
     # Lifetime
 
     async def run(self) -> None:
-        """Exchange with the store until it is stopped."""
+        """Exchange with the store until ``stop`` is called."""
         with self._running:
             while True:
                 await self._wait_until_due()
@@ -174,13 +181,16 @@
             await anyio.sleep(wait_ns / NS_PER_S)
 
     async def stop(self) -> None:
-        """Leave the store if it answers in time; no exchange follows that would undo it."""
+        """Stop exchanging, then remove this sidecar from the store if the store answers in time.
+
+        Exchanges end first because each one registers the sidecar in the store.
+        """
         self._running.cancel()
         with anyio.move_on_after(self.timeout_s, shield=True):
             try:
                 await self.store.leave(self.replica.name, self.replica.incarnation)
             except StoreError as error:
-                log.info("store not notified of the shutdown", error=str(error))
+                log.info("sidecar not removed from the store at shutdown", error=str(error))
             await self.store.close()
         self.writer.stop()
 
@@ -213,7 +223,7 @@
                 view = await self.store.exchange(effect)
         except (StoreError, TimeoutError) as error:
             self.status.failures += 1
-            log.debug("exchange failed", error=str(error))
+            log.debug("exchange with the store failed", error=str(error))
             await self._carry_out(self.replica.handle_exchange_failure(self.clock()))
             return
         await self._carry_out(self.replica.handle_view(view, self.clock()))
@@ -233,10 +243,10 @@
                     case CloseEpoch():
                         await self.store.close_epoch(effect)
         except (StoreError, TimeoutError) as error:
-            log.debug("write failed", what=type(effect).__name__, error=str(error))
+            log.debug("write to the store failed", what=type(effect).__name__, error=str(error))
 
     def _log_event(self, effect: LogEvent) -> None:
-        # Some events come again with each exchange until the store has changed.
+        # Some events repeat with each exchange until the store has changed; only the first is logged.
         text = f"{effect.event.value} {effect.generation}"
         if not self.status.events or self.status.events[-1] != text:
             log.info(f"agreement: {effect.event.value}", generation=effect.generation, detail=effect.detail)
--- a/runloft/agreement/commands.py
+++ b/runloft/agreement/commands.py
@@ -1,4 +1,4 @@
-"""The commands that talk with the store: ``config roll out``, ``roll back``, ``status`` and ``forget``."""
+"""The commands that use the shared store: ``config roll out``, ``roll back``, ``status`` and ``forget``."""
 
 import argparse
 import sys
@@ -40,7 +40,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run a command; return 0 if it is done, 1 if not, 2 for wrong use."""
+    """Run a command; return 0 on success, 1 on failure, 2 on a usage error."""
     try:
         match options.action, getattr(options, "way", None):
             case "roll", "out":
@@ -55,13 +55,13 @@
 
 
 def _roll_out(options: argparse.Namespace) -> int:
-    # Loaded here: they need requirements-tools.txt, which ``status`` and ``forget`` do without.
+    # Imported here: needs requirements-tools.txt, which ``status`` and ``forget`` don't.
     from runloft.agreement.planning import content_of_fleet, rollout_plan
 
     directory = Path(options.directory)
     paths = sorted(path for path in directory.glob("*.toml") if path.name != FLEET_FILE)
     if not paths:
-        return usage_error(f"{directory} holds no operator's file")
+        return usage_error(f"{directory} has no operator file: expected *.toml files besides {FLEET_FILE}")
     checked = check_fleet_file(options.fleet or str(directory / FLEET_FILE), options.nodes)
     fleet = checked.fleet
     files = [check_file(str(path)) for path in paths]
@@ -78,7 +78,7 @@
 
 
 def _rollout_faults(checked: CheckedFleet, files: Sequence[CheckedFile]) -> list[Fault]:
-    """Return the faults of the fleet, of the sidecars' files, and of the files beside each other."""
+    """Return the faults of the fleet file and the sidecars' files, and those found by comparing the files."""
     from runloft.config.comparison.files import compare_files  # needs requirements-tools.txt
 
     fleet = checked.fleet
@@ -99,15 +99,15 @@
     if fleet is None:
         print_faults(checked.faults)
         return FAILED
-    # A fleet that can't bear its own figures may still bear the previous generation's.
-    if other := [fault for fault in blocking_faults(checked.faults) if fault.code != CAPACITY_FAULT]:
-        print_faults(other)
+    # A fleet without the capacity for its own file may still have it for the previous generation.
+    if other_faults := [fault for fault in blocking_faults(checked.faults) if fault.code != CAPACITY_FAULT]:
+        print_faults(other_faults)
         return FAILED
 
     async def act(store: AgreementStore, settings: AgreementSettings) -> int:
         committed = (await store.view()).committed
         if committed is None or committed.previous is None:
-            print("runloft: there is no generation before the one in force", file=sys.stderr)
+            print("runloft: no previous generation to roll back to", file=sys.stderr)
             return FAILED
         return await _carry_out(store, settings, rollout_plan(fleet, committed.previous), options.json)
 
@@ -144,7 +144,7 @@
 
 
 async def _forget_sidecar(store: AgreementStore, name: str, fence_ns: int) -> int:
-    """Remove a sidecar that has been seen silent until its fence is over: until then it may serve."""
+    """Remove a sidecar once it has sent nothing until its fence expires; before, it may hold reserves."""
     view = await store.view()
     lease = view.leases.get(name)
     sent = lease.sent if lease else None
@@ -154,18 +154,22 @@
         await anyio.sleep(store.lease_ms / MS_PER_S / POLLS_PER_LEASE)
         lease = (await store.view()).leases.get(name)
     if name in view.sidecars and await store.forget(name, sent):
-        print(f"{name} is no longer known")
+        print(f"{name} removed from the known sidecars")
         return DONE
-    reason = "is not known" if name not in view.sidecars else "holds a lease: it is there"
-    print(f"runloft: {name} {reason}", file=sys.stderr)
+    reason = (
+        "it is not among the known sidecars"
+        if name not in view.sidecars
+        else "it has sent an exchange, or its lease can't be read"
+    )
+    print(f"runloft: {name} not removed: {reason}", file=sys.stderr)
     return FAILED
 
 
 def _with_store(options: argparse.Namespace, act: Action, files: Sequence[Json] = ()) -> int:
-    """Run an action with a client of the store that the options or the files name."""
+    """Run an action with a client of the store that is named in the options or the files."""
     settings = _settings(options, files)
     if settings is None:
-        return usage_error("no store is named: give --store URL, or --config FILE with an [agreement]")
+        return usage_error("no store given: use --store URL, or --config FILE with an [agreement] table")
     return anyio.run(_run_with_store, act, settings)
 
 
@@ -175,14 +179,14 @@
     try:
         return await act(store, settings)
     except StoreError as error:
-        print(f"runloft: the store: {error}", file=sys.stderr)
+        print(f"runloft: store operation failed: {error}", file=sys.stderr)
         return FAILED
     finally:
         await store.close()
 
 
 def _settings(options: argparse.Namespace, files: Sequence[Json]) -> AgreementSettings | None:
-    """Return the store's settings: as the options have them, or as operators' files do."""
+    """Return the agreement settings from the options, or else from the first operator file with any."""
     if options.store:
         return agreement_settings(
             {
@@ -195,6 +199,6 @@
     if not files and getattr(options, "config", None):
         files = [check_file(options.config).document]
     for raw in files:
-        if named := raw.get("agreement"):
-            return agreement_settings(named)
+        if agreement := raw.get("agreement"):
+            return agreement_settings(agreement)
     return None
--- a/runloft/agreement/effective.py
+++ b/runloft/agreement/effective.py
@@ -1,7 +1,7 @@
-"""How a sidecar's file meets a generation's content: what the sidecar serves, and where the two differ.
+"""Combines a sidecar's file with a generation's content, and lists where the two differ.
 
-Where a file disagrees with the committed generation, the sidecar serves by the generation.  A volume or a
-plan that the generation doesn't know is suspended: its requests are shed at once, with a Retry-After.
+Where a file differs from the committed generation, the sidecar serves the generation's values.  A volume or
+plan that the generation doesn't have is suspended: its requests are rejected at once, with a Retry-After.
 """
 
 from collections.abc import Iterator, Mapping
@@ -17,22 +17,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A figure of which a file says something else than the committed generation."""
+    """A value that differs between a sidecar's file and the committed generation."""
 
-    kind: str  # class, plan, volume, shared
+    kind: str  # "class", "plan", "volume" or "shared"
     name: str
     key: str
     file_value: Any
     committed_value: Any
 
     def __str__(self) -> str:
-        what = f"{self.kind} {self.name}: {self.key}"
-        return f"{what} is {self.file_value} here, {self.committed_value} in force"
+        setting = f"{self.kind} {self.name}: {self.key}"
+        return f"{setting} is {self.file_value} in the file, {self.committed_value} committed"
 
 
 @dataclass(frozen=True, slots=True)
 class Effective:
-    """What a sidecar serves by: its file's values with the committed figures in their place."""
+    """The values that a sidecar serves: its file's, replaced by the committed ones where there are any."""
 
     raw: Json
     differences: tuple[Difference, ...] = ()
@@ -41,7 +41,7 @@
 
 
 class _Table(NamedTuple):
-    """A table of a file's settings whose rows a content has."""
+    """A table of a file's settings, with the content's rows for it."""
 
     key: str
     kind: str
@@ -56,7 +56,7 @@
 
 
 def effective(raw: Json, content: Content) -> Effective:
-    """Return a file's values with a content's figures in their place; ``raw`` stays as it is."""
+    """Return a file's values, replaced by a content's where it has any; ``raw`` is not modified."""
     result = deepcopy(dict(raw))
     settings = result.get("settings", {})
     volumes = result.get("objects", {}).get("volumes", {})
@@ -76,7 +76,7 @@
 
 
 def _is_served(content: Content, volume: str, plans: set[str]) -> bool:
-    """Return whether a content says how to serve a volume, on a plan that the file has."""
+    """Return whether a content has a volume and the file has the volume's plan."""
     return volume in content.volumes and content.volumes[volume]["plan"] in plans
 
 
@@ -115,7 +115,7 @@
 
 
 def without_reserves(raw: Json) -> Json:
-    """Return a file's values with nothing reserved, as a sidecar serves that holds no lease."""
+    """Return a file's values with all reserves set to 0, as a sidecar without a lease serves them."""
     result = deepcopy(dict(raw))
     for row in result.get("settings", {}).get("ServiceLevels", ()):
         row["Guaranteed"] = 0.0
@@ -123,24 +123,27 @@
 
 
 def refusals(raw: Json, content: Content) -> list[str]:
-    """Return why this sidecar can't serve a content, by the same checks as its own file.
+    """Return the reasons why this sidecar can't serve a content, none if it can.
 
-    Whatever it serves must be in the content, and its file with those figures must be without a fault.
+    The content must have every class, plan and volume of the sidecar's file, and the file with the content's
+    values must pass the checks of an operator's file.
     """
     reasons = []
     settings = raw.get("settings", {})
     for table in _tables(content):
         names = [row["Name"] for row in settings.get(table.key, ())]
         missing = [name for name in names if name not in table.rows]
-        reasons += [f"{table.kind} {name} is served here and does not stand there" for name in missing]
+        reasons += [
+            f"{table.kind} {name} is in the sidecar's file, but not in the generation" for name in missing
+        ]
     result = effective(raw, content)
     for name in sorted(result.suspended_volumes):
-        reasons.append(f"volume {name} is served here and does not stand there")
+        reasons.append(f"volume {name} is in the sidecar's file, but not in the generation")
     return reasons + [str(fault) for fault in blocking_faults(faults_of(result.raw))]
 
 
 def faults_of(raw: Json) -> list[Fault]:
-    """Return the faults of an operator's file as values."""
-    reader = Reader("(in force)")
+    """Return the faults of an operator's file, given its values."""
+    reader = Reader("(committed values)")
     read_operator(reader, dict(raw))
     return reader.faults
--- a/runloft/agreement/effects.py
+++ b/runloft/agreement/effects.py
@@ -1,4 +1,4 @@
-"""What the agreement's state machines ask for: exchanges, writes to the store, changes on this machine."""
+"""The effects that the agreement's state machines return: exchanges, store writes and local changes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class AgreementEvent(Enum):
-    """What a sidecar logs about the agreement; the value is the text in the log."""
+    """An event that a sidecar logs; the value is the text in the log."""
 
     STARTED_FROM_SNAPSHOT = "started from local snapshot"
     CONNECTED = "connected"
@@ -24,7 +24,7 @@
     STAGE_REJECTED = "stage rejected"
 
 
-# Of a sidecar
+# Effects of a replica
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RepairStore:
-    """Put the committed generation back into a store that has lost it, unless it holds a higher one."""
+    """Write the committed generation back to a store that has lost it, unless the store has a higher one."""
 
     committed: CommittedGeneration
 
 
 @dataclass(frozen=True, slots=True)
 class Bootstrap:
-    """Put a first generation into a store that has none; if another was first, that one stays."""
+    """Write the first generation to a store that has none; a generation written meanwhile stays."""
 
     committed: CommittedGeneration
 
@@ -67,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseEpoch:
-    """Record that the epoch before ``epoch`` is closed: whoever held a lease in it is fenced by now."""
+    """Record that the epoch before ``epoch`` is closed: all sidecars with a lease in it are fenced by now."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyConfig:
-    """Serve this content from now on, with its reserves or without any."""
+    """Serve this content, with or without its reserves."""
 
     content: Content
     generation: int
@@ -101,12 +101,12 @@
 ReplicaEffect = Exchange | ReplicaWrite | ApplyConfig | PersistSnapshot | LogEvent
 
 
-# Of a rollout
+# Effects of a rollout
 
 
 @dataclass(frozen=True, slots=True)
 class PutStage:
-    """Stage a generation, or renew it; only while ``expected`` is committed and no other is staged."""
+    """Stage a generation or renew its stage, if ``expected`` is committed and no other one is staged."""
 
     stage: Stage
     expected: Rank
@@ -116,30 +116,32 @@
 class CommitGeneration:
     """Commit a generation.
 
-    Only while ``expected`` is committed, the stage is there, exactly ``sidecars`` are known, those
-    ``excluded`` have got no further answer, and those ``fenced`` have sent nothing more; the fenced ones
-    are removed from the known sidecars.  It takes effect ``delay_ns`` after the store's time at which it is
-    written: a lease, so that every sidecar that is connected has been notified by then.
+    The write requires that ``expected`` is committed, the stage exists, the known sidecars are exactly
+    ``sidecars``, the ``excluded`` ones have got no further answer and the ``fenced`` ones have sent nothing
+    more; the fenced ones are removed from the known sidecars.  The generation takes effect ``delay_ns`` after
+    it is written, by the store's time: a lease, so that every connected sidecar has read it by then.
     """
 
     committed: CommittedGeneration
     expected: Rank
     sidecars: frozenset[str]
     delay_ns: int
-    excluded: Mapping[str, ExchangeCount] = field(default_factory=dict)  # answered, when last seen
-    fenced: Mapping[str, ExchangeCount] = field(default_factory=dict)  # sent, when last seen
+    excluded: Mapping[str, ExchangeCount] = field(
+        default_factory=dict
+    )  # exchanges answered, when last observed
+    fenced: Mapping[str, ExchangeCount] = field(default_factory=dict)  # exchanges sent, when last observed
 
 
 @dataclass(frozen=True, slots=True)
 class DropStage:
-    """Remove a stage, if it is this one."""
+    """Remove the stage, if it has this token."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReportProgress:
-    """Show the operator how far the rollout is."""
+    """Report the rollout's progress to the operator."""
 
     text: str
 
--- a/runloft/agreement/planning.py
+++ b/runloft/agreement/planning.py
@@ -1,4 +1,4 @@
-"""The plan of a rollout: from the committed generation to the wanted one, in one step or in two."""
+"""The plan of a rollout: from the committed generation to the new one, in one step or two."""
 
 from collections.abc import Iterable, Sequence
 
@@ -15,7 +15,7 @@
 
 
 def content_of_fleet(fleet: Fleet, files: Iterable[Json]) -> Content:
-    """Return what a fleet and its files say together: the classes are the files', the volumes the fleet's."""
+    """Return the content of a fleet: the volumes are the fleet file's, all else is the sidecars' files'."""
     content = merged(content_of_file(raw) for raw in files)
     volumes = {
         volume.name: {
@@ -30,7 +30,7 @@
 
 
 def volumes_of(content: Content) -> list[Volume]:
-    """Return the volumes whose shards a content has; a bootstrapped generation has none."""
+    """Return the volumes for which a content lists shards; a bootstrapped generation lists none."""
     plans = {
         name: PlanRecord(
             name=name, **{PLAN_FIELDS[key]: value for key, value in row.items() if key in PLAN_FIELDS}
@@ -45,25 +45,25 @@
 
 
 def rollout_plan(fleet: Fleet, new: Content) -> Plan:
-    """Return the plan of a rollout of ``new`` over a fleet, as ``Rollout`` takes it."""
+    """Return the ``plan`` argument of ``Rollout`` for rolling ``new`` out over a fleet."""
 
-    def overload(one: Content, other: Content) -> list[Fault]:
-        """Return why the fleet can't serve both contents at once."""
+    def capacity_faults(one: Content, other: Content) -> list[Fault]:
+        """Return the faults of serving both contents at once with the fleet's capacity."""
         volumes = volumes_of(one)
         capacity = Fleet(fleet.file, fleet.record, fleet.reader, fleet.nodes, volumes)
         return blocking_faults(check_feasibility(capacity, volumes_of(other)))
 
     def plan(old: Content | None) -> Sequence[Content]:
-        if faults := overload(new, Content()):
+        if faults := capacity_faults(new, Content()):
             raise NoSafePathError("; ".join(map(str, faults)))
-        if old is None or not overload(new, old):
+        if old is None or not capacity_faults(new, old):
             return [new]
         step = intermediate(old, new)
-        faults = overload(step, old) or overload(new, step)
+        faults = capacity_faults(step, old) or capacity_faults(new, step)
         if faults:
             raise NoSafePathError(
-                "while one takes the other's place both are served, and not even in two steps can "
-                "that be honoured: " + "; ".join(map(str, faults))
+                "the old and the new generation are served at once during the change, and the fleet lacks "
+                "the capacity for that, even in two steps: " + "; ".join(map(str, faults))
             )
         return [step, new]
 
--- a/runloft/agreement/rendering.py
+++ b/runloft/agreement/rendering.py
@@ -9,12 +9,12 @@
 from runloft.config.tool.output import print_table
 
 NS_PER_S = 1e9
-STATUS_COLUMNS = ("sidecar", "state", "generation", "since", "differs", "held")
+STATUS_COLUMNS = ("sidecar", "state", "generation", "since", "differs", "suspended")
 
 
 @dataclass(frozen=True, slots=True)
 class SidecarStatus:
-    """One sidecar's line in the status, as texts; empty ones are unknown."""
+    """One sidecar's row in the status, as texts; unknown values are empty."""
 
     name: str
     state: str
@@ -25,7 +25,7 @@
 
 
 def sidecar_statuses(view: StoreView, lease_ns: int) -> list[SidecarStatus]:
-    """Return a line for each known sidecar; whether one is silent is told by the store's clock here."""
+    """Return the status of each known sidecar; the store's clock determines which ones are silent."""
     return [_sidecar_status(view, name, lease_ns) for name in sorted(view.sidecars)]
 
 
@@ -71,9 +71,9 @@
 
 
 def print_status(view: StoreView, lease_ns: int) -> None:
-    """Print a view as lines and a print_table."""
+    """Print a view as text, with a table of the sidecars."""
     if view.committed is None:
-        print("nothing is in force")
+        print("no generation is committed")
     else:
         print(_committed_line(view.committed, view.now_ns))
     if view.stage:
@@ -87,13 +87,13 @@
 
 def _committed_line(committed: CommittedGeneration, now_ns: int) -> str:
     wait_s = (committed.effective_at_ns - now_ns) / NS_PER_S
-    when = f" in {wait_s:.1f} s" if wait_s > 0 else ""
-    by = f", brought by {committed.committed_by}" if committed.committed_by else ""
-    return f"generation {committed.generation} ({committed.content.digest}) is in force{when}{by}"
+    when = f", takes effect in {wait_s:.1f} s" if wait_s > 0 else ""
+    by = f", written by {committed.committed_by}" if committed.committed_by else ""
+    return f"generation {committed.generation} ({committed.content.digest}) is committed{when}{by}"
 
 
 def print_progress(seconds: float, text: str) -> None:
-    """Print a rollout's progress as it goes."""
+    """Print a line about a rollout's progress, ``seconds`` after its start."""
     print(f"{seconds:7.3f} s  {text}", flush=True)
 
 
@@ -109,4 +109,7 @@
         }
         print(json.dumps(values))
     elif not report.done:
-        print(f"runloft: stopped, what was in force stays: {report.reason}", file=sys.stderr)
+        print(
+            f"runloft: rollout stopped, the generations committed so far stay: {report.reason}",
+            file=sys.stderr,
+        )
--- a/runloft/agreement/replica.py
+++ b/runloft/agreement/replica.py
@@ -1,13 +1,14 @@
-"""A sidecar's part in the agreement: a state machine without I/O, fed with the store's views.
+"""A sidecar's replica of the committed generation: a state machine without I/O, driven by store views.
 
 Times are nanoseconds.  ``now`` is the sidecar's own monotonic clock; the store's time comes with each view.
-The moment at which a generation takes effect is converted to the own clock once, when the generation is
-first seen, and is at most a lease away: whatever clock steps after that, sidecars that are connected to the
-store change within a lease of each other.
+The time at which a generation takes effect is converted to the sidecar's clock once, when the generation is
+first seen, and is then at most a lease away.  Connected sidecars therefore change within a lease of each
+other, whichever clocks step later.
 
-A sidecar serves the committed generation that it knows, also while the store is unavailable, but holds its
-reserves under a lease only (``fencing``).  The highest rank ever seen wins over a store that has lost it.
-An exchange carries nothing about other sidecars, so its cost doesn't grow with their number.
+A sidecar keeps serving the last committed generation that it knows while the store is unavailable, but it
+holds the reserves only under a lease (see ``fencing``).  The generation of the highest rank seen is written
+back to a store that has lost it.  An exchange reads nothing about other sidecars, so its cost doesn't grow
+with their number.
 
 States and transitions (``ReplicaState``):
 
@@ -59,7 +60,7 @@
 
 
 class ReplicaState(Enum):
-    """Whether a sidecar knows a committed generation, and whether it holds its reserves."""
+    """Whether a sidecar knows a committed generation, and whether it holds that generation's reserves."""
 
     UNINITIALIZED = "uninitialized"
     FENCED = "fenced"
@@ -79,7 +80,7 @@
         validate: Callable[[Content], list[str]],
         now: int,
     ) -> None:
-        """``validate`` returns why this sidecar can't serve a content, an empty list if it can."""
+        """Create a replica; ``validate`` returns why it can't serve a content, an empty list if it can."""
         self.name = name
         self.incarnation = incarnation
         self.file_content = file_content
@@ -87,17 +88,17 @@
         self.fence_ns = fence_ns
         self.voter = Voter(name, incarnation, validate)
         self.committed: CommittedGeneration | None = None  # the highest generation seen
-        self.version = Version(0, file_content.digest)  # what is served
-        self.content: Content | None = None  # what is served; None: the sidecar's own file
-        self.change_due_at: int | None = None  # when ``committed`` takes effect
-        self.lease_expires_at: int | None = None  # None: no lease
+        self.version = Version(0, file_content.digest)  # of the content that is served
+        self.content: Content | None = None  # None: the sidecar's own file is served
+        self.change_due_at: int | None = None  # when ``committed`` takes effect; None: it has
+        self.lease_expires_at: int | None = None  # None: it holds no lease
         self.epoch = TrustedEpoch(fence_ns)
         self.heartbeat = Heartbeat(lease_ns, now)
         self.store_empty_since: int | None = None
         self.differences = 0
         self.suspended = 0
         self.snapshot_age_s = -1.0
-        self._serving_since_ns = 0  # store's time
+        self._serving_since_ns = 0  # by the store's time
         self._disconnected = False
         self._store_time_ns = 0  # of the last view
 
@@ -105,14 +106,14 @@
 
     @property
     def state(self) -> ReplicaState:
-        """Return the state."""
+        """Return the state, which follows from the committed generation and the lease."""
         if self.committed is None:
             return ReplicaState.UNINITIALIZED
         return ReplicaState.FENCED if self.lease_expires_at is None else ReplicaState.LEASED
 
     @property
     def holds_reserves(self) -> bool:
-        """Return whether it holds the reserves of what it serves."""
+        """Return whether the sidecar holds the reserves of the content that it serves."""
         return self.state is ReplicaState.LEASED
 
     def is_connected(self, now: int) -> bool:
@@ -121,7 +122,7 @@
         return answered_at is not None and now - answered_at <= self.lease_ns
 
     def next_due_at(self) -> int:
-        """Return the time at which ``handle_timer`` has something to do."""
+        """Return the earliest time at which ``handle_timer`` has to be called."""
         times = (self.heartbeat.next_at, self.change_due_at, self.lease_expires_at)
         return min(time for time in times if time is not None)
 
@@ -149,10 +150,10 @@
     def start_from_snapshot(
         self, committed: CommittedGeneration, age_s: float, now: int
     ) -> list[ReplicaEffect]:
-        """Start from this machine's local snapshot, without its reserves until the store has answered.
+        """Start from this machine's local snapshot, without reserves until the store has answered.
 
-        A change that was pending in it counts as due: a sidecar that restarts can't know otherwise, and
-        the others change within a lease.
+        A change that was pending in the snapshot is applied at once: a sidecar that restarts can't tell
+        whether it is due, and the others apply it within a lease.
         """
         self.snapshot_age_s = age_s
         self.committed = committed
@@ -160,13 +161,13 @@
         return [event, *self._apply(now)]
 
     def set_file_content(self, content: Content) -> None:
-        """Take the content of this sidecar's reloaded file."""
+        """Set the content of this sidecar's reloaded file."""
         self.file_content = content
         if self.committed is None:
             self.version = Version(0, content.digest)
 
     def set_divergence(self, differences: int, suspended: int) -> None:
-        """Take how far the sidecar's file is from what it serves; it goes into the lease."""
+        """Set how many values of the file differ and how many entries are suspended, for the lease."""
         self.differences = differences
         self.suspended = suspended
 
@@ -177,7 +178,7 @@
             effects += self._apply(now)
         if self.lease_expires_at is not None and now >= self.lease_expires_at:
             self.lease_expires_at = None
-            fenced = LogEvent(AgreementEvent.FENCED, self.version.generation, "nothing is reserved")
+            fenced = LogEvent(AgreementEvent.FENCED, self.version.generation, "serving without reserves")
             effects = [*self._with_current_reserves(effects), fenced]
         was_connected = not self._disconnected and self.heartbeat.answered_at is not None
         if was_connected and not self.is_connected(now):
@@ -195,7 +196,7 @@
         return []
 
     def handle_view(self, view: StoreView, now: int) -> list[ReplicaEffect]:
-        """Take what the store holds, as the answer to the last exchange."""
+        """Process the view that answered the last exchange."""
         effects: list[ReplicaEffect] = []
         if self._disconnected or self.heartbeat.answered_at is None:
             generation = view.committed.generation if view.committed else 0
@@ -218,7 +219,7 @@
     # Transitions
 
     def _renew_lease(self, view: StoreView, effects: list[ReplicaEffect]) -> list[ReplicaEffect]:
-        """Extend the lease to a fence after the exchange was sent, if the view confirms the generation."""
+        """Renew the lease up to a fence after the exchange was sent, if the view confirms the generation."""
         committed = self.committed
         if committed is None or view.epoch != self.epoch.number or committed.epoch > view.epoch:
             return effects
@@ -233,7 +234,7 @@
         return [*self._with_current_reserves(effects), acquired]
 
     def _with_current_reserves(self, effects: list[ReplicaEffect]) -> list[ReplicaEffect]:
-        """Apply the content that is served, or the one about to be, with the reserves as they are now."""
+        """Return the effects with an ``ApplyConfig`` for the current reserves, added if there is none."""
         is_applied_already = any(isinstance(effect, ApplyConfig) for effect in effects)
         if self.content is not None and not is_applied_already:
             return [*effects, ApplyConfig(self.content, self.version.generation, self.holds_reserves)]
@@ -243,14 +244,14 @@
         ]
 
     def _handle_empty_store(self, now: int) -> list[ReplicaEffect]:
-        """Put back what is known; otherwise bootstrap, when nobody has done so for a lease."""
+        """Write back the known generation; without one, bootstrap a store that stays empty for a lease."""
         if self.committed is not None:
             return self._repair_store(self.committed)
         if self.store_empty_since is None:
             self.store_empty_since = now
         if now - self.store_empty_since < self.lease_ns:
             return []
-        # Retried a lease later: another sidecar may have been first, which the next view shows.
+        # Retried a lease later, unless the next view shows the generation of a sidecar that was faster.
         self.store_empty_since = now
         return [Bootstrap(CommittedGeneration(1, self.file_content, committed_by=self.name))]
 
@@ -260,14 +261,14 @@
     def _handle_committed(
         self, committed: CommittedGeneration, store_now: int, now: int
     ) -> list[ReplicaEffect]:
-        """Compare the store's committed generation with the highest one seen."""
+        """Process the store's committed generation, by its rank relative to the highest one seen."""
         if self.committed is not None and committed.rank < self.committed.rank:
             return self._repair_store(self.committed)
         if self.committed is not None and committed.rank == self.committed.rank:
             return self._add_own_entries(committed)
         self.committed = committed
         persist = PersistSnapshot(committed)
-        # Bounded against clocks that step: at most a lease from now, and not computed again.
+        # Limited to a lease and computed only once, so that clock steps can't delay the change further.
         wait_ns = min(max(0, committed.effective_at_ns - store_now), self.lease_ns)
         if wait_ns == 0:
             return [persist, *self._apply(now, store_now), *self._add_own_entries(committed)]
@@ -276,7 +277,7 @@
         return [persist, pending, *self._serve_previous(committed)]
 
     def _serve_previous(self, committed: CommittedGeneration) -> list[ReplicaEffect]:
-        """Serve the generation before a pending one, which is in effect until then, here too."""
+        """Serve the generation before a pending one, since it is in effect until the change."""
         if committed.previous is None:
             return []
         version = Version(committed.generation - 1, committed.previous.digest)
@@ -287,7 +288,7 @@
         return [ApplyConfig(committed.previous, version.generation, self.holds_reserves)]
 
     def _add_own_entries(self, committed: CommittedGeneration) -> list[ReplicaEffect]:
-        """Ask for what the generation lacks, unless a rollout has decided what there is to be."""
+        """Request to add the file's entries that the generation lacks, unless a rollout committed it."""
         if committed.token or self.change_due_at is not None:
             return []
         content = completed(committed.content, self.file_content)
@@ -300,16 +301,16 @@
         return [AddOwnEntries(extended, committed.rank), event]
 
     def _apply(self, now: int, store_now: int = 0) -> list[ReplicaEffect]:
-        """Serve the committed generation from now on."""
+        """Apply the committed generation."""
         committed = self.committed
         assert committed is not None
         self.change_due_at = None
         self.version = committed.version
         self._serving_since_ns = store_now or committed.effective_at_ns
-        self.heartbeat.send_by(now)  # the store is notified at once
-        # Where no rollout has decided, this sidecar's volumes that nobody else has are served too.
-        is_decided = bool(committed.token)
-        self.content = committed.content if is_decided else completed(committed.content, self.file_content)
+        self.heartbeat.send_by(now)  # to report the new version at once
+        # Until a rollout commits a generation, entries that only this sidecar's file has are served too.
+        is_rolled_out = bool(committed.token)
+        self.content = committed.content if is_rolled_out else completed(committed.content, self.file_content)
         return [
             ApplyConfig(self.content, committed.generation, self.holds_reserves),
             LogEvent(AgreementEvent.GENERATION_APPLIED, committed.generation),
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -1,12 +1,12 @@
-"""A rollout: staged, accepted by each sidecar, effective at one moment; a state machine without I/O.
+"""A rollout: staged, accepted by each sidecar, effective at one time; a state machine without I/O.
 
-It may be killed at any step: a stage that nobody renews expires and changes nothing, and a committed
-generation carries the moment at which it takes effect, which the sidecars keep by themselves.  Every write
-names what it expects to find, so that a lost reply, a second rollout or a sidecar that joins meanwhile is
-noticed.
+It may be killed at any step: a stage that isn't renewed expires and changes nothing, and a committed
+generation carries the time at which it takes effect, which each sidecar keeps to by itself.  Every write
+states what it expects to find, so that a lost reply, a concurrent rollout or a sidecar that joins meanwhile
+is detected.
 
-A sidecar that is silent is excluded, by the rules of ``fencing``: there are never more than two generations
-by which anything is reserved, and the larger of both has been shown to be feasible.
+A silent sidecar is excluded by the rules of ``fencing``: reserves are held by at most two generations at a
+time, and the larger of each volume's two reserves has been shown to be feasible.
 
 States and transitions (``RolloutPhase``), for each step of the plan:
 
@@ -23,7 +23,7 @@
 COMMITTING commit written, or found in a view after a lost reply         APPLYING
 COMMITTING commit not written                                            VALIDATING
 APPLYING   effective, and all connected sidecars serve it, or time out   next step  ReportProgress
-any        rejected, timed out, or somebody else's generation or stage   STOPPED    DropStage, if staged
+any        rejected, timed out, or another rollout's generation or stage STOPPED    DropStage, if staged
 ========== ============================================================= ========== =======================
 
 The next step begins with PLANNING; after the last one the phase is DONE.
@@ -52,14 +52,14 @@
     rank_of,
 )
 
-TIMEOUT_LEASES = 4  # for answers, and for all sidecars to have changed
-FENCE_MARGIN_LEASES = 2  # beside a fence that has to be waited for
+TIMEOUT_LEASES = 4  # for all verdicts, and again for all sidecars to apply the generation
+FENCE_MARGIN_LEASES = 2  # added to the fence where that is the longer wait
 
 Plan = Callable[[Content | None], Sequence[Content]]
 
 
 class RolloutPhase(Enum):
-    """How far a rollout is."""
+    """The phase of a rollout."""
 
     PLANNING = "planning"
     STAGING = "staging"
@@ -71,10 +71,10 @@
 
 
 class Rollout:
-    """One or more generations, one after the other.
+    """The state machine that rolls out one or more generations, one after the other.
 
     ``plan`` returns the contents to commit, given the committed one (None: there is none), or raises
-    ``NoSafePathError``.  Feed ``handle_view`` with views until ``is_finished``.
+    ``NoSafePathError``.  Call ``handle_view`` with views of the store until ``is_finished``.
     """
 
     def __init__(self, token: str, operator: str, plan: Plan, lease_ns: int, fence_ns: int, now: int) -> None:
@@ -87,10 +87,10 @@
         self.step = 0
         self.phase = RolloutPhase.PLANNING
         self.phase_started_at = now
-        self.reason = ""  # why it has stopped
-        self.unconfirmed: frozenset[str] = frozenset()  # had not changed at the timeout
+        self.reason = ""  # why it stopped; empty: it has not
+        self.unconfirmed: frozenset[str] = frozenset()  # sidecars that were late at the timeout
         self.excluded: set[str] = set()
-        self.epoch = 0  # of the store in which it is carried out
+        self.epoch = 0  # the store's epoch in which the step was staged
         self.base: CommittedGeneration | None = None
         self.target: CommittedGeneration | None = None
         self.stage_renewed_at = now
@@ -105,7 +105,7 @@
     # Events
 
     def handle_view(self, view: StoreView, now: int) -> list[RolloutEffect]:
-        """Take what the store holds; to be repeated until the rollout is finished."""
+        """Process a view of the store; to be called until the rollout is finished."""
         self._observer.observe(view, now)
         match self.phase:
             case RolloutPhase.PLANNING:
@@ -119,23 +119,23 @@
         return []
 
     def handle_stage_result(self, written: bool, now: int) -> list[RolloutEffect]:
-        """Take whether the stage was written."""
+        """Process the result of ``PutStage``: whether the stage was written."""
         if self.phase is RolloutPhase.STAGING and written:
             self._enter(RolloutPhase.VALIDATING, now)
         elif not written and self.phase in (RolloutPhase.STAGING, RolloutPhase.VALIDATING):
-            return self._stop("another roll-out is under way, or another generation came into force")
+            return self._stop("another rollout is under way, or another generation was committed")
         return []
 
     def handle_commit_result(self, written: bool, now: int) -> list[RolloutEffect]:
-        """Take whether the generation was committed; after a lost reply, the next view shows it."""
+        """Process the result of ``CommitGeneration``; if the reply is lost, the next view shows it."""
         if self.phase is RolloutPhase.COMMITTING:
             self._enter(RolloutPhase.APPLYING if written else RolloutPhase.VALIDATING, now)
         return []
 
     def abort(self, reason: str) -> list[RolloutEffect]:
-        """Stop, if it still can be stopped."""
+        """Stop, unless the generation is committed or may be."""
         if self.phase in (RolloutPhase.COMMITTING, RolloutPhase.APPLYING):
-            return [ReportProgress("it is in force, or may be: roll back to undo it")]
+            return [ReportProgress("the generation is committed, or may be: roll back to undo it")]
         return self._stop(reason)
 
     # Phases
@@ -143,7 +143,7 @@
     def _enter(self, phase: RolloutPhase, now: int) -> None:
         if phase is self.phase:
             return
-        # The timeout goes on from where it was when a commit found that a sidecar had joined.
+        # The timeout isn't restarted after a commit that was rejected, such as when a sidecar joined.
         is_back_from_commit = (self.phase, phase) == (RolloutPhase.COMMITTING, RolloutPhase.VALIDATING)
         if not is_back_from_commit:
             self.phase_started_at = now
@@ -157,7 +157,7 @@
 
     @property
     def _timeout_ns(self) -> int:
-        """Return how long answers are waited for: a fence has to fit in."""
+        """Return how long to wait for verdicts; a fence has to be able to expire within it."""
         return max(TIMEOUT_LEASES * self.lease_ns, self.fence_ns + FENCE_MARGIN_LEASES * self.lease_ns)
 
     def _is_timed_out(self, now: int) -> bool:
@@ -178,30 +178,34 @@
     # Phase PLANNING
 
     def _plan_step(self, view: StoreView, now: int) -> list[RolloutEffect]:
-        if self._is_overtaken(view):
+        if self._is_superseded(view):
             return self._stop("another generation came into force between two steps")
         self.base = view.committed
         base_epoch = rank_of(view.committed).epoch
         if not view.epoch or view.epoch < base_epoch:
             if self._is_timed_out(now):
-                return self._stop("no era")
+                return self._stop(
+                    f"no valid epoch in the store: found {view.epoch}, the committed one is of {base_epoch}"
+                )
             return [OpenEpoch(max(view.now_ns, base_epoch) + 1, view.epoch)]
         if self._may_have_old_leases(view, now):
             return []
         if view.committed is not None and view.committed.effective_at_ns > view.now_ns:
             if self._is_timed_out(now):
-                return self._stop("the generation before has not come into force")
-            return []  # it is pending: there must never be a third one at once
+                return self._stop(
+                    f"generation {view.committed.generation} is committed, but has not taken effect"
+                )
+            return []  # it is pending: three generations must never be served at once
         return self._start_step(view, now)
 
-    def _is_overtaken(self, view: StoreView) -> bool:
-        """Return whether another generation was committed after the step before this one."""
+    def _is_superseded(self, view: StoreView) -> bool:
+        """Return whether another generation was committed after this rollout's previous step."""
         if self.step == 0:
             return False
         return view.committed is None or view.committed.token != f"{self.token}.{self.step - 1}"
 
     def _may_have_old_leases(self, view: StoreView, now: int) -> bool:
-        """Return whether a disconnected sidecar may hold a lease in the previous epoch."""
+        """Return whether a disconnected sidecar may still hold a lease of the previous epoch."""
         observed_ns = self._epoch_tracker.observe(view.epoch, now)
         return observed_ns < fence_expiry_ns(self.fence_ns) and not view.previous_epoch_closed
 
@@ -245,7 +249,9 @@
 
     def _await_verdicts(self, view: StoreView, ballot: Ballot, now: int) -> list[RolloutEffect]:
         if self._is_timed_out(now):
-            return self._stop(f"no answer from {', '.join(sorted(ballot.missing)) or 'the store'}")
+            return self._stop(
+                f"timed out without an answer from {', '.join(sorted(ballot.missing)) or 'the store'}"
+            )
         if view.stage is not None and now - self.stage_renewed_at < self.lease_ns // 2:
             return []
         self.stage_renewed_at = now
@@ -281,14 +287,14 @@
     # Phase COMMITTING
 
     def _resolve_commit(self, view: StoreView, now: int) -> list[RolloutEffect]:
-        """Find out what became of a commit whose reply was lost."""
+        """Determine from a view whether a commit was written whose reply was lost."""
         if view.committed is not None and view.committed.token == self._stage_token:
             self._enter(RolloutPhase.APPLYING, now)
             return self._await_change(view, now)
         if rank_of(view.committed) == rank_of(self.base):
             self._enter(RolloutPhase.VALIDATING, now)
             return self._validate(view, now)
-        return self._stop("another generation came into force")
+        return self._stop("another generation was committed")
 
     # Phase APPLYING
 
@@ -297,7 +303,7 @@
         target = self.target
         assert target is not None
         if view.committed is not None and view.committed.rank > target.rank:
-            return self._finish_step(now)  # a later generation has been committed on top of it
+            return self._finish_step(now)  # a later generation has been committed
         late = self._observer.late_sidecars(view, target.version)
         is_effective = view.committed is not None and view.now_ns >= view.committed.effective_at_ns
         if is_effective and not late:
@@ -306,7 +312,9 @@
             return []
         self.unconfirmed = late
         if self.step + 1 < len(self.steps):
-            return self._stop(f"not changed: {', '.join(sorted(late))}")
+            return self._stop(
+                f"timed out: generation {target.generation} not applied by {', '.join(sorted(late))}"
+            )
         return self._finish_step(now)
 
     def _finish_step(self, now: int) -> list[RolloutEffect]:
--- a/runloft/agreement/rollout_driver.py
+++ b/runloft/agreement/rollout_driver.py
@@ -26,8 +26,8 @@
 from runloft.config.settings import FENCE_LEASES
 
 POLLS_PER_LEASE = 10
-FAST_RETRY_DIVISOR = 10  # after a lost reply the store is polled so many times sooner
-STORE_TIMEOUT_LEASES = 4  # without an answer for so long, the rollout stops
+FAST_RETRY_DIVISOR = 10  # the poll interval is divided by this after a failed store operation
+STORE_TIMEOUT_LEASES = 4  # the rollout stops when the store fails for longer
 TOKEN_DIGITS = 12
 NS_PER_MS = 1_000_000
 NS_PER_S = 1e9
@@ -35,18 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutReport:
-    """How a rollout ended."""
+    """The result of a rollout."""
 
     done: bool
-    reason: str  # why it has stopped; empty: it is done
+    reason: str  # why it stopped; empty: it is done
     seconds: float
     messages: tuple[str, ...]
-    excluded: tuple[str, ...]  # sidecars that were silent
-    unconfirmed: tuple[str, ...]  # sidecars that had not changed at the timeout
+    excluded: tuple[str, ...]  # silent sidecars, left out of the verdicts
+    unconfirmed: tuple[str, ...]  # sidecars that had not applied the last generation at the timeout
 
 
 def operator_name() -> str:
-    """Return who rolls out, for other operators whose rollout is rejected meanwhile."""
+    """Return the operator as user@host, to be named to the operator of a concurrent rollout."""
     try:
         user = getpass.getuser()
     except (KeyError, OSError):
@@ -60,10 +60,11 @@
     fence_ns: int = 0,
     on_progress: Callable[[float, str], None] = lambda seconds, text: None,
 ) -> RolloutReport:
-    """Carry out a rollout and return how it ended.
+    """Carry out a rollout and return its result.
 
-    ``fence_ns`` is the sidecars' (0: the default for the store's lease); a longer one in a lease counts.
-    ``on_progress`` is called with the seconds since the start and a line for the operator.
+    ``fence_ns`` is the sidecars' fence (0: the default for the store's lease); a longer one in a sidecar's
+    lease takes precedence.
+    ``on_progress`` is called with the seconds since the start and a line of text for the operator.
     """
     driver = RolloutDriver(store, plan, fence_ns, on_progress)
     await driver.run()
@@ -71,7 +72,7 @@
 
 
 class RolloutDriver:
-    """One rollout over one store."""
+    """Runs one rollout over one store."""
 
     def __init__(
         self,
@@ -96,7 +97,7 @@
         )
 
     def report(self) -> RolloutReport:
-        """Return how far the rollout is, or how it ended."""
+        """Return the result of the rollout as it is now."""
         return RolloutReport(
             done=self._rollout.phase is RolloutPhase.DONE,
             reason=self._rollout.reason,
@@ -116,7 +117,7 @@
             except StoreError as error:
                 # After a lost reply the next view shows whether the write was carried out.
                 if self._is_store_timed_out():
-                    await self._abort(f"the store: {error}")
+                    await self._abort(f"store operation failed: {error}")
                     return
             if not self._rollout.is_finished:
                 await anyio.sleep(self._poll_wait_s())
--- a/runloft/agreement/status.py
+++ b/runloft/agreement/status.py
@@ -1,4 +1,4 @@
-"""What metrics and logs show of one sidecar's agreement."""
+"""The status of one sidecar's agreement, as metrics and logs show it."""
 
 from dataclasses import dataclass, field
 
@@ -16,8 +16,8 @@
     holds_reserves: bool = False
     differences: tuple[Difference, ...] = ()
     suspended: tuple[str, ...] = ()  # names of volumes and plans
-    snapshot_age_s: float = NO_SNAPSHOT_AGE_S  # of the one it started from
-    failures: int = 0  # exchanges that failed
+    snapshot_age_s: float = NO_SNAPSHOT_AGE_S  # age of the local snapshot that the sidecar started from
+    failures: int = 0  # failed exchanges
     snapshot_failures: int = 0
     exchanges: int = 0
-    events: list[str] = field(default_factory=list)  # the latest, as logged
+    events: list[str] = field(default_factory=list)  # the most recent events
--- a/tests/agreement/test_effective.py
+++ b/tests/agreement/test_effective.py
@@ -1,4 +1,4 @@
-"""How a sidecar's file meets the committed generation."""
+"""The values that a sidecar serves where its file differs from the committed generation."""
 
 import json
 from pathlib import Path
@@ -21,12 +21,12 @@
     del other.volumes["logs"]
     result = effective(raw, other)
     assert [str(difference) for difference in result.differences] == [
-        "plan standard: Parts is 2.0 here, 4.0 in force",
-        "volume tracks: hosts is 2.0 here, 3.0 in force",
+        "plan standard: Parts is 2.0 in the file, 4.0 committed",
+        "volume tracks: hosts is 2.0 in the file, 3.0 committed",
     ]
     assert result.suspended_volumes == {"logs"} and result.suspended_plans == frozenset()
     assert result.raw["settings"]["ServiceLevels"][1]["Parts"] == 4.0
     assert result.raw["listen"] == raw["listen"] and raw["settings"]["ServiceLevels"][1]["Parts"] == 2.0
-    assert refusals(raw, other) == ["volume logs is served here and does not stand there"]
-    other.plans["standard"]["Guaranteed"] = 400.0  # the sidecar's own check
+    assert refusals(raw, other) == ["volume logs is in the sidecar's file, but not in the generation"]
+    other.plans["standard"]["Guaranteed"] = 400.0  # rejected by the checks of the sidecar's own file
     assert any("[reserve-above-rate]" in text for text in refusals(raw, other))
--- a/tests/agreement/test_rollout.py
+++ b/tests/agreement/test_rollout.py
@@ -40,7 +40,7 @@
 
 def test_a_refusal_stops_the_rollout_and_the_old_generation_stays_committed():
     fleet = settled_fleet()
-    fleet.sidecars[1].replica.voter.validate = lambda _: ["volume v9 does not stand there"]
+    fleet.sidecars[1].replica.voter.validate = lambda _: ["volume v9 is not in the generation"]
     before = fleet.store.rank
     rollout = roll_out(fleet, CONTENTS[2])
     assert rollout.phase is RolloutPhase.STOPPED and "s1: volume v9" in rollout.reason
--- a/tests/agreement/test_sidecars.py
+++ b/tests/agreement/test_sidecars.py
@@ -1,4 +1,4 @@
-"""Whole programs with an agreement over the stand-in store."""
+"""Whole programs that agree through the stand-in store."""
 
 import json
 import shutil
@@ -38,7 +38,7 @@
     log = pair.start("reports")
     rows = {row["sidecar"]: row for row in pair.agree()}
     assert rows["reports"]["differences"] == "1" and rows["ingest"]["differences"] == "0"
-    assert "plan standard: Parts is 20.0 here, 2.0 in force" in log.read_text()
+    assert "plan standard: Parts is 20.0 in the file, 2.0 committed" in log.read_text()
 
     # A rollout of a new generation, then a rollback.
     new = pair.path / "new"
@@ -51,13 +51,13 @@
     assert pair.status()["generation"] == before + 1
     pair.tool("roll", "back", "--config", new / "ingest.toml", "--fleet", pair.fleet)
     pair.agree()
-    assert "Parts is 20.0 here, 2.0 in force" in log.read_text().split("3.0 in force")[-1]
+    assert "Parts is 20.0 in the file, 2.0 committed" in log.read_text().split("3.0 committed")[-1]
 
-    # Without the store the sidecars go on serving, and a restart serves by the snapshot.
+    # Without the store the sidecars keep serving, and a restarted one serves its local snapshot.
     pair.store.failures.silent = True
     until(lambda: "agreement: disconnected" in log.read_text())
     started_at = time.monotonic()
-    assert send_request(log) == b"-BUSY"  # answered at once, though the store says nothing
+    assert send_request(log) == b"-BUSY"  # answered at once, although the store doesn't answer
     assert time.monotonic() - started_at < 1.0
     pair.processes["reports"].terminate()
     assert pair.processes["reports"].wait(15) == 0
@@ -65,14 +65,14 @@
     pair.start("reports")
     until(lambda: "agreement: started from local snapshot" in log.read_text())
     assert f"generation={before + 2}" in log.read_text()
-    assert "Parts is 20.0 here, 2.0 in force" in log.read_text() and "s old" in log.read_text()
+    assert "Parts is 20.0 in the file, 2.0 committed" in log.read_text() and "s old" in log.read_text()
     pair.store.failures.silent = False
     pair.agree()
 
-    # A reload keeps the committed figures, whatever the file says now.
+    # A reload keeps the committed values, whatever the file has.
     pair.edit("reports", "Parts = 20.0", "Parts = 30.0")
     pair.processes["reports"].send_signal(signal.SIGHUP)
-    until(lambda: "Parts is 30.0 here, 2.0 in force" in log.read_text())
+    until(lambda: "Parts is 30.0 in the file, 2.0 committed" in log.read_text())
 
     # An emptied store is repaired by the sidecars.
     generation = pair.status()["generation"]
@@ -93,7 +93,7 @@
     pair.tool("write", "--fleet", new / "fleet.toml", "--all", "--output-dir", new)
     before = pair.status()["generation"]
     out = pair.tool("roll", "out", new, status=1)
-    assert "refused by reports: volume ships is served here" in out
+    assert "refused by reports: volume ships is in the sidecar's file" in out
     pair.processes["ingest"].kill()
     pair.processes["ingest"].wait(10)
     until(lambda: any(row["state"] == "silent" for row in pair.status()["sidecars"]), 20)
@@ -102,9 +102,11 @@
     pair.tool("forget", "reports", "--config", new / "ingest.toml", status=1)
     out = pair.tool("roll", "out", pair.path / "same")
     assert "silent and left out: ingest" in out and pair.status()["generation"] == before + 1
-    out = pair.tool("roll", "out", new, status=1)  # rejected again, and ingest stays known until it is fenced
+    out = pair.tool("roll", "out", new, status=1)  # rejected again; ingest stays known until fenced
     assert {row["sidecar"] for row in pair.status()["sidecars"]} == {"ingest", "reports"}
-    assert "no longer known" in pair.tool("forget", "ingest", "--config", new / "ingest.toml")
+    assert "ingest removed from the known sidecars" in pair.tool(
+        "forget", "ingest", "--config", new / "ingest.toml"
+    )
     pair.start("ingest")
     pair.agree()
 
@@ -135,7 +137,7 @@
     pair.edit("reports", "[objects.volumes.ships]", "[objects.volumes.boats]")
     pair.edit("reports", "00000000000000a3", "00000000000000b3")
     log = pair.start("reports")
-    until(lambda: "suspended: the committed generation has no such entries" in log.read_text(), 20)
+    until(lambda: "suspended: not in the committed generation" in log.read_text(), 20)
     port = next(
         line.split("at=127.0.0.1:")[1].split()[0]
         for line in log.read_text().split("\n")
