--- a/tests/agreement/test_any_order_of_events.py
+++ b/tests/agreement/test_any_order_of_events.py
@@ -11,16 +11,16 @@
     st.sampled_from(
         [
             "down",
-            "deaf",
-            "half",
+            "no replies",
+            "lossy",
             "up",
-            "dead",
-            "empty",
+            "kill sidecar",
+            "empty store",
             "kill rollout",
             "second rollout",
             "restart",
-            "back",
-            "forth",
+            "clock back",
+            "clock forward",
         ]
     ),
     st.integers(0, 2),
@@ -28,7 +28,7 @@
 
 
 class AnyOrderOfEvents(RuleBasedStateMachine):
-    """Any order of events, each with some time behind it."""
+    """Events in any order, each followed by some time."""
 
     def __init__(self):
         super().__init__()
@@ -36,9 +36,9 @@
         self.fleet.advance(4 * LEASE // TICK)
         self.count = 0
 
-    @rule(which=st.integers(0, 2), link=st.sampled_from(["up", "down", "deaf", "half"]), after=AFTER)
-    def a_link_changes(self, which, link, after):
-        self.fleet.sidecars[which].link = link
+    @rule(index=st.integers(0, 2), link=st.sampled_from(["up", "down", "no replies", "lossy"]), after=AFTER)
+    def a_link_changes(self, index, link, after):
+        self.fleet.sidecars[index].link = link
         self.fleet.advance(after)
 
     @rule(after=AFTER)
@@ -47,9 +47,9 @@
             sidecar.link = "up"
         self.fleet.advance(after)
 
-    @rule(which=st.integers(0, 2), down=AFTER, keeps_snapshot=st.booleans(), after=AFTER)
-    def a_sidecar_restarts(self, which, down, keeps_snapshot, after):
-        sidecar = self.fleet.sidecars[which]
+    @rule(index=st.integers(0, 2), down=AFTER, keeps_snapshot=st.booleans(), after=AFTER)
+    def a_sidecar_restarts(self, index, down, keeps_snapshot, after):
+        sidecar = self.fleet.sidecars[index]
         sidecar.alive = False
         self.fleet.advance(down)
         sidecar.snapshot = sidecar.snapshot if keeps_snapshot else None
@@ -68,52 +68,52 @@
 
     @rule(
         new_content=st.sampled_from(CONTENTS),
-        link=st.sampled_from(["up", "half"]),
+        link=st.sampled_from(["up", "lossy"]),
         faults=st.lists(st.tuples(st.integers(0, 40), FAULTS), max_size=3),
         after=AFTER,
     )
     def a_rollout_starts(self, new_content, link, faults, after):
-        """With faults that fall into its steps."""
+        """Start a rollout, with faults during its steps."""
         self.count += 1
         operator = SimulatedOperator(f"t{self.count}", new_content, self.fleet.now)
         operator.link = link
         self.fleet.operators.append(operator)
-        for ticks, (what, which) in faults:
+        for ticks, (fault, index) in faults:
             self.fleet.advance(ticks)
-            sidecar = self.fleet.sidecars[which]
-            match what:
-                case "empty":
+            sidecar = self.fleet.sidecars[index]
+            match fault:
+                case "empty store":
                     self.fleet.store.empty()
                 case "kill rollout":
                     self.fleet.operators.clear()
                 case "second rollout":
                     self.fleet.operators.append(
-                        SimulatedOperator(f"u{self.count}", CONTENTS[which], self.fleet.now)
+                        SimulatedOperator(f"u{self.count}", CONTENTS[index], self.fleet.now)
                     )
-                case "dead":
+                case "kill sidecar":
                     sidecar.alive = False
                 case "restart":
                     sidecar.start(self.fleet.now)
-                case "back" | "forth":
-                    self.fleet.store.clock += 3 * LEASE * (1 if what == "forth" else -1)
+                case "clock back" | "clock forward":
+                    self.fleet.store.clock += 3 * LEASE * (1 if fault == "clock forward" else -1)
                 case _:
-                    sidecar.link = what
+                    sidecar.link = fault
         self.fleet.advance(after)
 
     @rule(
         isolated=st.sets(st.integers(0, 2), max_size=2),
         new_content=st.sampled_from(CONTENTS),
-        lasts=AFTER,
+        duration=AFTER,
         after=AFTER,
     )
-    def a_network_partition_heals_during_a_rollout(self, isolated, new_content, lasts, after):
-        for which in isolated:
-            self.fleet.sidecars[which].link = "down"
+    def a_network_partition_heals_during_a_rollout(self, isolated, new_content, duration, after):
+        for index in isolated:
+            self.fleet.sidecars[index].link = "down"
         self.count += 1
         self.fleet.operators.append(SimulatedOperator(f"r{self.count}", new_content, self.fleet.now))
-        self.fleet.advance(lasts)
-        for which in isolated:
-            self.fleet.sidecars[which].link = "up"
+        self.fleet.advance(duration)
+        for index in isolated:
+            self.fleet.sidecars[index].link = "up"
         self.fleet.advance(after)
 
     @rule(after=AFTER)
--- a/tests/agreement/test_golden_sequences.py
+++ b/tests/agreement/test_golden_sequences.py
@@ -1,6 +1,6 @@
-"""Seeded sequences of events, whose outcomes have the digests that version 9c33a60 gave.
+"""Seeded sequences of events whose outcomes must have the digests recorded with version 9c33a60.
 
-Outcomes are rendered by value and in stored bytes, never by the name of a class, a field or a log event.
+Outcomes are rendered as values and stored bytes, without the names of classes, fields or log events.
 """
 
 import hashlib
@@ -41,7 +41,7 @@
 REPLICA_DIGEST = "ee9f62abca1f465d3b505cc9becb522ab11671d215038c369d2bd0cf1f275424"
 CLOSED_LOOP_DIGEST = "91c765a3dba03a74d9dffbf7f50c84812f5489da26b2fa54bbd22991a214ce7f"
 FIRST_EVENT = AgreementEvent.STARTED_FROM_SNAPSHOT
-LINKS = ("up", "up", "down", "deaf", "half")
+LINKS = ("up", "up", "down", "no replies", "lossy")
 CLOCK_STEPS = (-3 * LEASE + 7, -LEASE // 2, LEASE // 2, 3 * LEASE)
 
 
@@ -104,7 +104,7 @@
 
 
 class Recording:
-    """A digest over everything that happened."""
+    """A digest over all recorded outcomes."""
 
     def __init__(self):
         self.hash = hashlib.sha256()
@@ -143,7 +143,7 @@
         )
 
     def wrap(self, monkeypatch, owner, name, add_state):
-        """Record what a method of a state machine returns, and the state that it leaves."""
+        """Record what each call of a state machine's method returns, and the state after it."""
         real = getattr(owner, name)
 
         def call(machine, *arguments):
@@ -174,7 +174,7 @@
 
 
 class ReplicaSequence:
-    """Feeds a replica with views of any store, mostly of one that holds what it held before."""
+    """Gives a replica views of a store whose content changes at random, mostly by one item at a time."""
 
     def __init__(self, seed, recording):
         self.rng = random.Random(seed)
@@ -254,7 +254,7 @@
 
 
 def closed_loop_sequence(seed, recording):
-    """Run three sidecars, a store and rollouts, with faults, as one seeded sequence."""
+    """Run a seeded sequence of faults and rollouts over three sidecars and a store."""
     rng = random.Random(seed)
     fleet = SimulatedFleet(seed=seed)
     fleet.advance(4 * LEASE // TICK)
@@ -279,7 +279,7 @@
                 fleet.operators.clear()
             case _:
                 operator = SimulatedOperator(f"t{number}", rng.choice(CONTENTS), fleet.now)
-                operator.link = rng.choice(("up", "up", "half"))
+                operator.link = rng.choice(("up", "up", "lossy"))
                 fleet.operators.append(operator)
         fleet.advance(rng.randrange(80))
     fleet.recover()
--- a/tests/agreement/test_replica.py
+++ b/tests/agreement/test_replica.py
@@ -1,4 +1,4 @@
-"""A sidecar's state machine: leases, fencing, pending changes, and what it serves while disconnected."""
+"""The replica: leases, fencing, pending changes, and the content that is served while disconnected."""
 
 from dataclasses import replace
 
@@ -27,38 +27,38 @@
 
 def test_a_disconnected_sidecar_reserves_nothing_after_its_fence():
     fleet = settled_fleet()
-    one = fleet.sidecars[0]
-    one.link, content = "down", one.served
+    sidecar = fleet.sidecars[0]
+    sidecar.link, content = "down", sidecar.served
     fleet.advance((FENCE - LEASE // HEARTBEATS_PER_LEASE) // TICK - 1)
-    assert one.holds_reserves
+    assert sidecar.holds_reserves
     fleet.advance(LEASE // HEARTBEATS_PER_LEASE // TICK + 2)
-    assert not one.holds_reserves and one.served == content
-    one.link = "up"
+    assert not sidecar.holds_reserves and sidecar.served == content
+    sidecar.link = "up"
     fleet.advance(LEASE // TICK)
-    assert one.holds_reserves
+    assert sidecar.holds_reserves
 
 
 def test_no_lease_is_renewed_by_a_store_that_has_lost_the_generation():
     fleet = settled_fleet()
-    one, store = fleet.sidecars[0].replica, fleet.store
-    until = one.lease_expires_at
-    one.handle_timer(one.heartbeat.next_at)
-    one.handle_view(replace(store.sidecar_view(), committed=None), fleet.now)
-    assert one.lease_expires_at == until
-    one.handle_view(store.sidecar_view(), fleet.now)
-    assert one.lease_expires_at > until
+    replica, store = fleet.sidecars[0].replica, fleet.store
+    expires_at = replica.lease_expires_at
+    replica.handle_timer(replica.heartbeat.next_at)
+    replica.handle_view(replace(store.sidecar_view(), committed=None), fleet.now)
+    assert replica.lease_expires_at == expires_at
+    replica.handle_view(store.sidecar_view(), fleet.now)
+    assert replica.lease_expires_at > expires_at
 
 
 def test_a_start_from_the_snapshot_reserves_nothing_until_the_store_answers():
     fleet = settled_fleet()
-    one = fleet.sidecars[0]
-    one.link = "down"
-    one.start(fleet.now)
+    sidecar = fleet.sidecars[0]
+    sidecar.link = "down"
+    sidecar.start(fleet.now)
     fleet.advance(2 * LEASE // TICK)
-    assert one.replica.committed is not None and not one.holds_reserves
-    one.link = "up"
+    assert sidecar.replica.committed is not None and not sidecar.holds_reserves
+    sidecar.link = "up"
     fleet.advance(LEASE // TICK)
-    assert one.holds_reserves
+    assert sidecar.holds_reserves
 
 
 def test_a_sidecar_disconnected_during_a_change_serves_the_old_generation_until_it_reconnects():
@@ -69,7 +69,7 @@
         fleet.advance(1)
     isolated = fleet.sidecars[0]
     isolated.link = "down"
-    if isolated.replica.change_due_at is not None:  # as if the last view had not come
+    if isolated.replica.change_due_at is not None:  # a restart as if the last view had been lost
         isolated.start(fleet.now)
     old = isolated.replica.version
     fleet.advance(3 * LEASE // TICK)
@@ -101,11 +101,11 @@
 
 def test_a_restart_without_the_store_serves_the_snapshot_and_reports_its_age():
     fleet = settled_fleet()
-    one = fleet.sidecars[2]  # whose own file is at fault
-    one.link = "down"
-    one.start(fleet.now)
-    assert one.served.plans["p1"]["Parts"] == 1.0 and one.replica.snapshot_age_s == 1.0
-    assert not one.replica.is_connected(fleet.now)
+    sidecar = fleet.sidecars[2]  # its own file has Parts = 20
+    sidecar.link = "down"
+    sidecar.start(fleet.now)
+    assert sidecar.served.plans["p1"]["Parts"] == 1.0 and sidecar.replica.snapshot_age_s == 1.0
+    assert not sidecar.replica.is_connected(fleet.now)
 
 
 def test_the_states_follow_the_transition_table():
--- a/tests/agreement/test_rollout.py
+++ b/tests/agreement/test_rollout.py
@@ -47,38 +47,40 @@
     assert fleet.store.rank == before and fleet.store.stage is None
 
 
-@pytest.mark.parametrize("link", ["dead", "down", "deaf"])
-@pytest.mark.parametrize("late", [0, 2, 3 * FENCE // TICK])
-def test_rollouts_exclude_a_silent_sidecar_but_never_get_two_generations_ahead_of_a_lease(late, link):
+@pytest.mark.parametrize("link", ["killed", "down", "no replies"])
+@pytest.mark.parametrize("ticks_until_rollout", [0, 2, 3 * FENCE // TICK])
+def test_rollouts_exclude_a_silent_sidecar_but_never_get_two_generations_ahead_of_a_lease(
+    ticks_until_rollout, link
+):
     fleet = settled_fleet()
-    one = fleet.sidecars[0]
-    one.link, one.alive = ("down", False) if link == "dead" else (link, True)
-    fleet.advance(late)
+    sidecar = fleet.sidecars[0]
+    sidecar.link, sidecar.alive = ("down", False) if link == "killed" else (link, True)
+    fleet.advance(ticks_until_rollout)
     for number, new_content in enumerate((CONTENTS[2], CONTENTS[3], CONTENTS[2])):
         started_at = fleet.now
         rollout = roll_out(
             fleet, new_content, token=f"t{number}"
-        )  # SimulatedFleet.check holds the rule at each instant
+        )  # SimulatedFleet.check checks the rule at each tick
         assert rollout.phase is RolloutPhase.DONE and rollout.excluded <= {"s0"}
         assert {sidecar.served.plans["p1"]["Parts"] for sidecar in fleet.sidecars[1:]} == {
             new_content.plans["p1"]["Parts"]
         }
         if len(rollout.steps) == 1:
             assert fleet.now - started_at <= TEN_SECONDS
-        assert number == 0 or not (one.alive and one.holds_reserves)
-    assert link == "deaf" or "s0" not in fleet.store.known_sidecars  # nobody had to forget it
-    one.link = "up"
-    if not one.alive:
-        one.start(fleet.now)
+        assert number == 0 or not (sidecar.alive and sidecar.holds_reserves)
+    assert link == "no replies" or "s0" not in fleet.store.known_sidecars  # removed without ``config forget``
+    sidecar.link = "up"
+    if not sidecar.alive:
+        sidecar.start(fleet.now)
     fleet.advance(LEASE // TICK)
-    assert one.holds_reserves and one.replica.version == fleet.store.version
+    assert sidecar.holds_reserves and sidecar.replica.version == fleet.store.version
 
 
 def test_a_single_answer_between_lost_ones_renews_the_lease_although_the_record_does_not_show_it():
-    """It asks, deaf; hears one answer just before the first of two steps; and asks no more."""
+    """All replies are lost but one, just before the first of two steps is committed."""
     fleet = settled_fleet()
-    one = fleet.sidecars[0]
-    one.link = "deaf"
+    sidecar = fleet.sidecars[0]
+    sidecar.link = "no replies"
     fleet.advance((LEASE + TICK) // TICK)
     operator = SimulatedOperator("t", CONTENTS[1], fleet.now)  # in two steps
     fleet.operators.append(operator)
@@ -87,28 +89,28 @@
         or fleet.now + 3 * TICK < operator.rollout.phase_started_at + LEASE
     ):
         fleet.advance(1)
-    one.link, one.replica.heartbeat.next_at = "up", fleet.now
-    one.run(fleet.store, fleet.now, fleet.rng)
-    one.link = "down"
-    assert one.holds_reserves
-    fleet.advance(5 * FENCE // TICK)  # SimulatedFleet.check holds the rule at each instant
+    sidecar.link, sidecar.replica.heartbeat.next_at = "up", fleet.now
+    sidecar.run(fleet.store, fleet.now, fleet.rng)
+    sidecar.link = "down"
+    assert sidecar.holds_reserves
+    fleet.advance(5 * FENCE // TICK)  # SimulatedFleet.check checks the rule at each tick
     assert operator.rollout.phase is RolloutPhase.DONE and len(operator.rollout.steps) == 2
 
 
-@pytest.mark.parametrize("knows", [0, 1])
+@pytest.mark.parametrize("is_known", [0, 1])
 def test_an_emptied_store_is_repaired_and_renews_no_lease_before_the_old_ones_have_expired(
-    knows,
+    is_known,
 ):
-    """s0 knows the last generation; where it is away, what is rolled out next outranks what it comes with."""
+    """Only s0 knows the last generation; if it is away, the next rollout outranks what it returns with."""
     fleet = settled_fleet()
-    for one in fleet.sidecars[1:]:
-        one.link = "down"
+    for sidecar in fleet.sidecars[1:]:
+        sidecar.link = "down"
     fleet.advance(2 * FENCE // TICK)
-    assert roll_out(fleet, CONTENTS[3]).phase is RolloutPhase.DONE  # the two others are left out
-    if not knows:
+    assert roll_out(fleet, CONTENTS[3]).phase is RolloutPhase.DONE  # s1 and s2 are excluded
+    if not is_known:
         fleet.sidecars[0].link = "down"
-        for one in fleet.sidecars[1:]:
-            one.link = "up"
+        for sidecar in fleet.sidecars[1:]:
+            sidecar.link = "up"
     fleet.store.empty()
     operator = SimulatedOperator("again", CONTENTS[2], fleet.now)
     fleet.operators.append(operator)
@@ -118,8 +120,8 @@
     )
     fleet.advance(6 * LEASE // TICK)
     assert operator.rollout.phase is RolloutPhase.DONE
-    for one in fleet.sidecars:
-        one.link = "up"
+    for sidecar in fleet.sidecars:
+        sidecar.link = "up"
     fleet.advance(2 * LEASE // TICK)
     assert {sidecar.replica.version for sidecar in fleet.sidecars} == {fleet.store.version}
     assert fleet.store.committed.content == CONTENTS[2]
@@ -146,7 +148,7 @@
     fleet.advance(10)  # all have answered
     fleet.sidecars[2].start(fleet.now)
     fleet.sidecars[2].replica.voter.validate = lambda _: ["its file has changed"]
-    fleet.sidecars[2].run(fleet.store, fleet.now, fleet.rng)  # its lease is there, its answer is not
+    fleet.sidecars[2].run(fleet.store, fleet.now, fleet.rng)  # writes its new lease, but no verdict yet
     assert not any(
         isinstance(effect, CommitGeneration)
         for effect in operator.rollout.handle_view(fleet.store.view(), fleet.now)
@@ -195,10 +197,10 @@
         fleet.advance(2)
         for effect in operator.rollout.handle_view(fleet.store.view(), fleet.now):
             if isinstance(effect, PutStage | CommitGeneration):
-                done = fleet.store.apply(effect)
+                written = fleet.store.apply(effect)
                 if isinstance(effect, PutStage):
-                    operator.rollout.handle_stage_result(done, fleet.now)
-    fleet.operators.append(operator)  # whether it was done has not been told to it
+                    operator.rollout.handle_stage_result(written, fleet.now)
+    fleet.operators.append(operator)  # its commit's reply was lost
     fleet.advance(100)
     assert (
         operator.rollout.phase is RolloutPhase.DONE
--- a/tests/support/agreement.py
+++ b/tests/support/agreement.py
@@ -1,4 +1,4 @@
-"""Three sidecars, a store and rollouts in one simulated time, for tests of the state machines."""
+"""Sidecars, a store and rollouts in simulated time, for tests of the state machines."""
 
 import random
 from dataclasses import replace
@@ -26,13 +26,13 @@
 FENCE = 600
 TICK = 20
 OPERATOR_POLL = 60
-CAPACITY = 10  # of the volumes v1 and v2 together
-LOSS = 0.5  # of requests and of replies, each, over a link that is "half" up
+CAPACITY = 10  # units/s for the reserves of v1 and v2 together
+LOSS = 0.5  # probability for each request and each reply over a "lossy" link
 VOLUMES = ("v1", "v2")
 
 
 def make_content(first_reserve, second_reserve, weight=1.0, more=()):
-    """Return two volumes on two plans, which reserve so much, and more volumes on the first plan."""
+    """Return two volumes on two plans with these reserves, and the volumes ``more`` on the first plan."""
     plans = {
         "p1": {"Guaranteed": first_reserve, "Parts": weight},
         "p2": {"Guaranteed": second_reserve, "Parts": 2.0},
@@ -56,14 +56,14 @@
 
 
 def total_reserve(contents):
-    """Return what is reserved while several contents are served: each volume's highest reserve."""
+    """Return the sum of each volume's highest reserve, which is held while all contents are served."""
     return sum(
         max((reserves_of(content).get(name, 0) for content in contents), default=0) for name in VOLUMES
     )
 
 
 def plan_for(target):
-    """Return a rollout's plan, in two steps where both contents together exceed the capacity."""
+    """Return a rollout's plan: two steps if the old and the new content together exceed the capacity."""
 
     def plan(old):
         if old is not None and total_reserve([old, target]) > CAPACITY:
@@ -74,7 +74,7 @@
 
 
 class SimulatedStore:
-    """The store's transactions, each carried out entirely or not at all, at one instant."""
+    """A store whose transactions are atomic and take no time."""
 
     def __init__(self):
         self.clock = 1_000_000
@@ -82,7 +82,7 @@
 
     def empty(self):
         self.committed = None
-        self.stage = None  # with the time at which it expires
+        self.stage = None  # None, or the stage and the time at which it expires
         self.known_sidecars = frozenset()
         self.leases = {}
         self.verdicts = {}
@@ -90,7 +90,7 @@
         self.previous_epoch_closed = False
 
     def view(self):
-        """Return what a rollout reads."""
+        """Return the view that a rollout reads."""
         return replace(
             self.sidecar_view(),
             sidecars=self.known_sidecars,
@@ -99,7 +99,7 @@
         )
 
     def sidecar_view(self):
-        """Return what a sidecar reads: nothing of any other one."""
+        """Return the view that a sidecar reads, without data of other sidecars."""
         stage = self.stage[0] if self.stage and self.stage[1] > self.clock else None
         return StoreView(
             self.clock,
@@ -118,7 +118,7 @@
         return self.committed.version if self.committed else Version(0, "")
 
     def apply(self, effect):
-        """Carry out a write; return whether what it expects was there."""
+        """Carry out a write; return False if the store isn't as a rollout's write expects."""
         match effect:
             case Exchange() | OpenEpoch() | CloseEpoch() | RepairStore() | Bootstrap() | AddOwnEntries():
                 self._apply_of_sidecar(effect)
@@ -187,7 +187,7 @@
 class SimulatedSidecar:
     """A replica with its link to the store and its snapshot.
 
-    Its ``link`` is "up", "down", "deaf" (every reply is lost) or "half" (requests and replies may be lost).
+    ``link`` is "up", "down", "no replies" (all replies are lost) or "lossy" (``LOSS`` applies).
     """
 
     def __init__(self, name, file_content, now):
@@ -209,10 +209,14 @@
             effects = self.replica.start_from_snapshot(self.snapshot, 1.0, now)
             self.carry_out(effects, None, now, None)
 
-    def passes(self, rng):
-        """Return whether the request arrives, and whether the reply does."""
-        request_arrives = {"up": True, "down": False, "deaf": True, "half": rng.random() < LOSS}[self.link]
-        reply_arrives = {"up": True, "down": False, "deaf": False, "half": rng.random() < LOSS}[self.link]
+    def sample_link(self, rng):
+        """Return whether a request over the link arrives, and whether its reply does."""
+        request_arrives = {"up": True, "down": False, "no replies": True, "lossy": rng.random() < LOSS}[
+            self.link
+        ]
+        reply_arrives = {"up": True, "down": False, "no replies": False, "lossy": rng.random() < LOSS}[
+            self.link
+        ]
         return request_arrives, request_arrives and reply_arrives
 
     def carry_out(self, effects, store, now, rng):
@@ -226,11 +230,11 @@
                 case Exchange():
                     self.carry_out(self.exchange(effect, store, now, rng), store, now, rng)
                 case RepairStore() | Bootstrap() | AddOwnEntries() | OpenEpoch() | CloseEpoch():
-                    if self.passes(rng)[0]:
+                    if self.sample_link(rng)[0]:
                         store.apply(effect)
 
     def exchange(self, effect, store, now, rng):
-        request_arrives, reply_arrives = self.passes(rng)
+        request_arrives, reply_arrives = self.sample_link(rng)
         if request_arrives:
             store.apply(effect)
         if reply_arrives:
@@ -243,7 +247,7 @@
 
 
 class SimulatedOperator:
-    """Somebody's ``config roll out``, over a link that is "up" or "half"."""
+    """A rollout over a ``link`` that is "up" or "lossy"."""
 
     def __init__(self, token, target, now):
         self.rollout = Rollout(token, token, plan_for(target), LEASE, FENCE, now)
@@ -256,11 +260,11 @@
             if isinstance(effect, PutStage | CommitGeneration | DropStage | OpenEpoch | CloseEpoch):
                 written = store.apply(effect)
                 if self.is_lost(rng):
-                    continue  # the reply
+                    continue  # the reply is lost
                 self.handle_result(effect, written, store, now)
 
     def is_lost(self, rng):
-        return rng.random() < (LOSS if self.link == "half" else 0)
+        return rng.random() < (LOSS if self.link == "lossy" else 0)
 
     def handle_result(self, effect, written, store, now):
         effects = []
@@ -275,7 +279,7 @@
 
 
 class SimulatedFleet:
-    """Three sidecars, a store, and operators, in one time."""
+    """Sidecars, three by default, with a store and rollouts at one simulated time."""
 
     def __init__(self, file_contents=None, seed=0):
         self.now = 0
@@ -290,7 +294,7 @@
         self.sidecars = [
             SimulatedSidecar(f"s{number}", content, 0) for number, content in enumerate(file_contents)
         ]
-        self.apart_since = {}
+        self.differing_since = {}
         self.ranks = {}
         self.rolled_out = set()  # versions that a rollout committed
 
@@ -306,7 +310,7 @@
             self.check()
 
     def check(self):
-        """Check the invariants that hold at each instant."""
+        """Check the invariants that hold at any time."""
         alive = [sidecar for sidecar in self.sidecars if sidecar.alive]
         for index, sidecar in enumerate(alive):
             self.check_rank(sidecar)
@@ -325,21 +329,21 @@
         self.ranks[key] = rank
 
     def check_agreement(self, one, other):
-        """Check that two connected sidecars serve different figures for a lease at most."""
+        """Check that two connected sidecars serve different values for at most a lease."""
         pair = one.name, one.starts, other.name, other.starts
         are_connected = one.replica.is_connected(self.now) and other.replica.is_connected(self.now)
         have_generation = one.replica.version.generation and other.replica.version.generation
-        if not are_connected or not have_generation or self.have_same_figures(one.served, other.served):
-            self.apart_since.pop(pair, None)
+        if not are_connected or not have_generation or self.have_same_values(one.served, other.served):
+            self.differing_since.pop(pair, None)
             return
-        since = self.apart_since.setdefault(pair, self.now)
+        since = self.differing_since.setdefault(pair, self.now)
         assert self.now - since <= LEASE + 2 * TICK, f"two generations for {self.now - since}"
 
     def check_generations(self, alive, leased):
-        """Check that reserves are held by two generations at most.
+        """Check that reserves are held by at most two generations.
 
-        Generations that no rollout committed count as one: they have files' figures, which agree as far as
-        they meet.
+        Generations that no rollout committed count as one: they are built from the files by adding entries,
+        and have the same values for the entries that they share.
         """
         for sidecar in alive:
             if sidecar.replica.committed and sidecar.replica.committed.token:
@@ -349,7 +353,7 @@
         assert len(served) <= 2, "more than two generations"
 
     @staticmethod
-    def have_same_figures(one, other):
+    def have_same_values(one, other):
         plans = one.plans.keys() & other.plans.keys()
         volumes = one.volumes.keys() & other.volumes.keys()
         return all(one.plans[name] == other.plans[name] for name in plans) and all(
@@ -357,7 +361,7 @@
         )
 
     def recover(self):
-        """Repair everything, and check that all serve one generation within some leases."""
+        """Bring all links and sidecars up, and check that all serve one generation within 40 leases."""
         for sidecar in self.sidecars:
             sidecar.link = "up"
             if not sidecar.alive:
@@ -381,7 +385,7 @@
 
 
 def roll_out(fleet, target, ticks=200, token="t"):
-    """Roll a content out over a fleet; return the rollout when it is finished or the ticks are over."""
+    """Roll a content out over a fleet for at most ``ticks``; return the rollout."""
     operator = SimulatedOperator(token, target, fleet.now)
     fleet.operators.append(operator)
     for _ in range(ticks):
--- a/tests/support/commands.py
+++ b/tests/support/commands.py
@@ -12,17 +12,17 @@
 
 
 def resp_array(*words):
-    """A command of these words, as an array of bulk strings."""
+    """Return a command of these words, as an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
 
 
 def read_command(shard):
-    """A read that may take two seconds, with an id of its own."""
+    """Return a read command with a deadline of 2 s and an id of its own."""
     attributes = b"c=position-read,t=basic,d=2000,volume=00000003b4d60021,units=2,shard=%d,hosts=1" % shard
     return resp_array(b"IO.IN", b"7f3a9c21e0b4d655", b"%016x" % next(REQUEST_IDS), attributes)
 
 
 def write_command(size):
-    """A write of so many bytes that may take two seconds."""
+    """Return a write command for ``size`` bytes, with a deadline of 2 s."""
     attributes = b"c=report-write,t=basic,d=2000,volume=00000003b4d60021,units=2,shard=0,hosts=1"
     return resp_array(b"IO.OUT", b"7f3a9c21e0b4d655", b"9b1f03aa5c7e2d41", attributes, b"b" * size)
--- a/tests/support/sidecars.py
+++ b/tests/support/sidecars.py
@@ -1,4 +1,4 @@
-"""Programs with an agreement, from one fleet, for end-to-end tests."""
+"""Sidecar processes of one fleet that agree through one store, for end-to-end tests."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 
 
 class Sidecars:
-    """Programs with an agreement, from one fleet."""
+    """Sidecar processes of one fleet, with their files and logs in ``path``."""
 
     def __init__(self, path, store):
         self.path = path
@@ -27,13 +27,13 @@
         text += f'\n[agreement]\nstore = "redis://{store}/0"\ndirectory = "{path}/copies"\nlease_ms = 400\n'
         self.fleet = path / "fleet.toml"
         self.fleet.write_text(text)
-        self.tool("write", "--fleet", self.fleet, "--all", "--output-dir", path / "files")
+        self.run_config("write", "--fleet", self.fleet, "--all", "--output-dir", path / "files")
 
-    def tool(self, *words, status=0):
+    def run_config(self, *words, status=0):
         command = [sys.executable, "-m", "runloft", "config", *map(str, words)]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
-        assert done.returncode == status, done.stdout + done.stderr
-        return done.stdout + done.stderr
+        result = subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
+        assert result.returncode == status, result.stdout + result.stderr
+        return result.stdout + result.stderr
 
     def edit(self, name, old, new):
         path = self.path / "files" / f"{name}.toml"
@@ -55,10 +55,12 @@
         return log
 
     def status(self):
-        return json.loads(self.tool("status", "--config", self.path / "files" / "ingest.toml", "--json"))
+        return json.loads(
+            self.run_config("status", "--config", self.path / "files" / "ingest.toml", "--json")
+        )
 
-    def agree(self, count=2):
-        """Wait until so many sidecars serve the committed generation; return their status."""
+    def wait_until_agreed(self, count=2):
+        """Wait until ``count`` sidecars serve the committed generation; return their status."""
 
         def check():
             rows = self.status()["sidecars"]
@@ -73,7 +75,7 @@
 
 
 def send_request(log):
-    """Send a request for a shard that no node holds, with a short deadline; return the start of the reply."""
+    """Send a request with a short deadline for a shard without nodes; return the start of the reply."""
     line = next(entry for entry in log.read_text().split("\n") if "RespListener" in entry)
     port = int(line.split("at=127.0.0.1:")[1].split()[0])
     pairs = b"c=read,t=standard,d=200,volume=00000000000000a1,units=2,shard=1,hosts=2"
