--- a/runloft/agreement/effects.py
+++ b/runloft/agreement/effects.py
@@ -126,10 +126,8 @@
     expected: Rank
     sidecars: frozenset[str]
     delay_ns: int
-    excluded: Mapping[str, ExchangeCount] = field(
-        default_factory=dict
-    )  # exchanges answered, when last observed
-    fenced: Mapping[str, ExchangeCount] = field(default_factory=dict)  # exchanges sent, when last observed
+    excluded: Mapping[str, ExchangeCount] = field(default_factory=dict)  # exchanges answered, as last seen
+    fenced: Mapping[str, ExchangeCount] = field(default_factory=dict)  # exchanges sent, as last seen
 
 
 @dataclass(frozen=True, slots=True)
