--- a/runloft/agreement/replica.py
+++ b/runloft/agreement/replica.py
@@ -219,7 +219,7 @@
     # Transitions
 
     def _renew_lease(self, view: StoreView, effects: list[ReplicaEffect]) -> list[ReplicaEffect]:
-        """Extend the lease to a fence after the sending of the exchange, if the view confirms the generation."""
+        """Extend the lease, counted from the exchange's sending, if the view confirms the generation."""
         committed = self.committed
         if committed is None or view.epoch != self.epoch.number or committed.epoch > view.epoch:
             return effects
