--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -219,7 +219,7 @@
         if view.committed is not None and view.committed.content.digest == content.digest:
             return self._finish_step(now)
         if view.stage is not None and not view.stage.token.startswith(f"{self.token}."):
-            return self._stop(f"another rollout is under way, by {view.stage.staged_by}")
+            return self._stop(f"another rollout is under way, started by {view.stage.staged_by}")
         self._enter(RolloutPhase.STAGING, now)
         self.stage_renewed_at = now
         self.epoch = view.epoch
