--- a/runloft/config/__init__.py
+++ b/runloft/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: typed records, their checks, the fleet, and whether it can be honoured; no sockets."""
+"""Configuration: typed records, their checks, the fleet and its feasibility; opens no sockets."""
--- a/runloft/config/commands.py
+++ b/runloft/config/commands.py
@@ -1,6 +1,6 @@
-"""The command line of ``runloft config``: its actions' options, and their dispatch.
+"""The command line of ``runloft config``: options and dispatch of its actions.
 
-Exit status 0 without a fault, 1 with faults, 2 for wrong use.
+The exit status is 0 if there is no fault, 1 if there are faults, and 2 for a usage error.
 """
 
 import argparse
@@ -11,56 +11,68 @@
 
 def add_parsers(actions: Any) -> None:
     """Add the options of ``write``, ``check``, ``explain`` and ``diff`` to argparse's sub-parsers."""
-    write = actions.add_parser("write", help="write a valid file for an application, or a fleet's files")
-    write.add_argument("--application", metavar="NAME", help="whose file; with --fleet one of the fleet's")
-    write.add_argument("--fleet", metavar="FLEET", help="the fleet file to write from")
-    write.add_argument("--nodes", metavar="FILE", help="the nodes, in discovery's form")
-    write.add_argument("--all", action="store_true", help="every application's file, into --output-dir")
-    write.add_argument("--output", metavar="FILE", help="default: standard output")
-    write.add_argument("--output-dir", metavar="DIR", help="where --all writes NAME.toml")
-    write.add_argument("--force", action="store_true", help="also over a file that was changed by hand")
-    write.add_argument("--strict", action="store_true", help="warnings are faults")
-    check = actions.add_parser("check", help="name each fault by file, line and key")
-    check.add_argument("file", metavar="FILE", nargs="*", help="operators' files; several are compared")
-    check.add_argument("--fleet", metavar="FLEET", help="the fleet that the files belong to")
-    check.add_argument("--nodes", metavar="FILE", help="the nodes, in discovery's form")
-    check.add_argument("--strict", action="store_true", help="warnings are faults")
+    write = actions.add_parser(
+        "write", help="write a valid template for an application, or the files of a fleet"
+    )
+    write.add_argument(
+        "--application",
+        metavar="NAME",
+        help="application to write the file of; with --fleet, one of the fleet's",
+    )
+    write.add_argument("--fleet", metavar="FLEET", help="fleet file to generate the files from")
+    write.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
+    write.add_argument(
+        "--all", action="store_true", help="write the files of all applications into --output-dir"
+    )
+    write.add_argument("--output", metavar="FILE", help="file to write; default: standard output")
+    write.add_argument("--output-dir", metavar="DIR", help="directory in which --all writes NAME.toml")
+    write.add_argument("--force", action="store_true", help="overwrite a file that was edited by hand")
+    write.add_argument("--strict", action="store_true", help="treat warnings as faults")
+    check = actions.add_parser("check", help="report each fault by file, line and key")
+    check.add_argument(
+        "file", metavar="FILE", nargs="*", help="operator's file; several files are also compared"
+    )
+    check.add_argument("--fleet", metavar="FLEET", help="fleet file that the files belong to")
+    check.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
+    check.add_argument("--strict", action="store_true", help="treat warnings as faults")
     check.add_argument("--json", action="store_true", help="print faults as JSON")
-    explain = actions.add_parser("explain", help="say what a key takes")
-    explain.add_argument("key", metavar="KEY", help="whole, or its last pieces: Guaranteed, limits.sockets")
-    diff = actions.add_parser("diff", help="say what a change does to each volume")
+    explain = actions.add_parser("explain", help="show the type, unit, bounds and default of a key")
+    explain.add_argument(
+        "key", metavar="KEY", help="whole key, or its last segments: Guaranteed, limits.sockets"
+    )
+    diff = actions.add_parser("diff", help="show the effect of a change on each volume")
     diff.add_argument("old", metavar="OLD")
     diff.add_argument("new", metavar="NEW")
-    diff.add_argument("--nodes", metavar="FILE", help="the nodes, in discovery's form")
+    diff.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
     diff.add_argument("--json", action="store_true", help="print changes as JSON")
 
 
 def add_rollout_parsers(actions: Any) -> None:
-    """Add the options of the actions that use the store; ``runloft.agreement.commands`` runs them."""
-    roll = actions.add_parser("roll", help="bring a configuration into force over all sidecars")
+    """Add the options of the actions that use the store, which ``runloft.agreement.commands`` runs."""
+    roll = actions.add_parser("roll", help="put a configuration into force on all sidecars")
     directions = roll.add_subparsers(dest="way", required=True)
     out = directions.add_parser("out", help="roll out a directory of operators' files")
     out.add_argument("directory", metavar="DIR")
     out.add_argument("--fleet", metavar="FLEET", help="default: fleet.toml in DIR")
-    out.add_argument("--nodes", metavar="FILE", help="the nodes, in discovery's form")
-    back = directions.add_parser("back", help="bring the generation before back into force")
+    out.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
+    back = directions.add_parser("back", help="put the previous generation back into force")
     back.add_argument("--fleet", metavar="FLEET", required=True)
-    status = actions.add_parser("status", help="who serves by what since when")
-    forget = actions.add_parser("forget", help="take a sidecar that is gone for good out of the known ones")
+    status = actions.add_parser("status", help="show which generation each sidecar applies, and since when")
+    forget = actions.add_parser("forget", help="remove a decommissioned sidecar from the known sidecars")
     forget.add_argument("name", metavar="SIDECAR")
     for parser in (back, status, forget):
-        parser.add_argument("--config", metavar="FILE", help="an operator's file that names the store")
+        parser.add_argument("--config", metavar="FILE", help="operator's file that names the store")
     for parser in (out, back, status, forget):
-        parser.add_argument("--store", metavar="URL", help="the shared store")
-        parser.add_argument("--prefix", default="runloft", help="of its keys, with --store")
-        parser.add_argument("--lease-ms", type=int, default=3000, help="with --store")
+        parser.add_argument("--store", metavar="URL", help="URL of the shared store")
+        parser.add_argument("--prefix", default="runloft", help="prefix of the store's keys, with --store")
+        parser.add_argument("--lease-ms", type=int, default=3000, help="lease in milliseconds, with --store")
         parser.add_argument("--json", action="store_true", help="print as JSON")
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run an action; return the exit status.
+    """Run an action and return the exit status.
 
-    Each action's module is loaded only for it: another action works without its libraries.
+    An action's module is imported only when it runs, so other actions work without its libraries.
     """
     try:
         match options.action:
@@ -82,4 +94,4 @@
                 return diff_command.run(options)
     except ModuleNotFoundError as error:
         return usage_error(f"{error.name} is missing: pip install -r requirements-tools.txt")
-    return usage_error(f"there is no action {options.action}")
+    return usage_error(f"unknown action: {options.action}")
--- a/runloft/config/documents.py
+++ b/runloft/config/documents.py
@@ -1,6 +1,6 @@
-"""Names for decoded documents and for places in them."""
+"""Types of decoded documents and of paths into them."""
 
 from typing import Any
 
 Document = dict[str, Any]  # a decoded JSON or TOML table
-KeyPath = tuple[str, ...]  # the keys that lead to a value; rows of a list are counted from 0
+KeyPath = tuple[str, ...]  # keys from the root to a value; list rows are numbered from 0
--- a/runloft/config/faults.py
+++ b/runloft/config/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a configuration: one record each, with a code that stays the same between versions."""
+"""Configuration faults, each with a code that is stable across versions."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 from runloft.config.documents import Document
 from runloft.errors import RunloftError
 
-SIMILARITY = 0.6  # from which on a word counts as a misspelling of another, by difflib's ratio
+MIN_SIMILARITY = 0.6  # difflib ratio at which one word counts as a misspelling of another
 MAX_SUGGESTIONS = 8
 
 
 class Severity(Enum):
-    """Whether a fault keeps a configuration from being served."""
+    """Severity of a fault: only ``FAULT`` prevents a configuration from being served."""
 
     FAULT = "fault"
     WARNING = "warning"
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that is wrong in a file.
+    """One fault in a file.
 
-    ``key`` is dotted, rows of a table counted from 0; ``line`` counts from 1, 0 where there is none;
-    ``remedy`` says what would be right.
+    ``key`` is dotted, with rows of a table numbered from 0.  ``line`` is numbered from 1, or 0 if unknown.
+    ``remedy`` describes a valid value.
     """
 
     file: str
@@ -42,7 +42,7 @@
         return f"{where}: {word}{self.key}: {self.reason}{remedy} [{self.code}]"
 
     def as_json(self) -> Document:
-        """Return the fault as plain values; these names are part of the ``--json`` output."""
+        """Return the fault as a JSON object; its keys are part of the ``--json`` output."""
         return {
             "file": self.file,
             "line": self.line,
@@ -55,9 +55,9 @@
 
 
 class ConfigError(RunloftError, ValueError):
-    """A configuration that can't be served; each fault names its key.
+    """Raised for a configuration that can't be served; each fault names its key.
 
-    ``faults`` are the faults as text, ``records`` those of them that are typed.
+    ``faults`` holds all faults as text, ``records`` those that were given as ``Fault``.
     """
 
     def __init__(self, faults: Iterable[Fault | str]) -> None:
@@ -67,22 +67,22 @@
 
     @property
     def codes(self) -> list[str]:
-        """The sorted codes of the typed faults, for logs."""
+        """The sorted codes of ``records``, for logs."""
         return sorted({fault.code for fault in self.records})
 
 
 def blocking_faults(faults: Iterable[Fault], strict: bool = False) -> list[Fault]:
-    """Return the faults that keep a configuration from being served; ``strict`` counts warnings too."""
+    """Return the faults that prevent a configuration from being served; ``strict`` includes warnings."""
     return [fault for fault in faults if strict or fault.severity is Severity.FAULT]
 
 
 def nearest_word(word: str, known: Iterable[str]) -> str:
-    """Return the known word that was probably meant, else a list of the first few, as a remedy."""
+    """Return the known word closest to ``word``, or else a list of the first few known words, as a remedy."""
     words = list(known)
     folded = {name.casefold(): name for name in words}
     if word.casefold() in folded:
         return folded[word.casefold()]
-    if close := get_close_matches(word, words, 1, SIMILARITY):
+    if close := get_close_matches(word, words, 1, MIN_SIMILARITY):
         return close[0]
     first = sorted(words)[:MAX_SUGGESTIONS]
     return f"one of {', '.join(first)}{', …' if len(words) > len(first) else ''}" if first else ""
--- a/runloft/config/loading.py
+++ b/runloft/config/loading.py
@@ -1,4 +1,4 @@
-"""Loading of a configuration file: the platform's JSON, or an operator's TOML."""
+"""Loading of a configuration file: the platform's JSON or an operator's TOML."""
 
 import errno
 import json
@@ -9,14 +9,14 @@
 from runloft.config.platform_config import config_from_json
 from runloft.config.settings import Config
 
-# Errors of reading that say nothing about the file: another attempt may succeed.
+# Read errors that may pass without a change to the file: a later attempt may succeed.
 TRANSIENT_ERRORS = frozenset(
     (errno.EAGAIN, errno.EINTR, errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ESTALE)
 )
 
 
 class UnreadableConfigError(ConfigError):
-    """A file that could not be read just now, which says nothing about its content."""
+    """Raised if a file can't be read because of a transient error; its content is unknown."""
 
 
 def read_file(path: str) -> bytes:
@@ -25,10 +25,10 @@
 
 
 def load_config(path: str) -> Config:
-    """Read and check the platform's JSON or an operator's TOML, which may hold no unknown keys.
+    """Read and check the platform's JSON or an operator's TOML, where unknown keys are faults.
 
-    Raise UnreadableConfigError if reading failed in a way that may pass, ConfigError if the
-    configuration is at fault.
+    Raise UnreadableConfigError if reading fails with a transient error, and ConfigError if the
+    configuration has faults.
     """
     data: bytes | None
     try:
@@ -41,8 +41,8 @@
 
 
 def _load_toml(path: str, data: bytes | None) -> Config:
-    """Load an operator's file; None stands for a file that is read again for the reason."""
-    # Loaded here: the platform's JSON needs neither the records' memory nor their start-up time.
+    """Load an operator's file; if ``data`` is None, read the file again to report why it is unreadable."""
+    # Imported here to save memory and start-up time when the file is the platform's JSON.
     from runloft.config.operator.file import check_file, check_text
 
     checked = check_file(path) if data is None else check_text(path, data)
--- a/runloft/config/object_settings.py
+++ b/runloft/config/object_settings.py
@@ -1,4 +1,4 @@
-"""Translation of the ``objects`` table, the settings of the object API."""
+"""Translation of the ``objects`` table, which holds the settings of the object API."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple
@@ -10,23 +10,23 @@
 MAX_PORT = 65535
 
 
-class _WholeNumber(NamedTuple):
-    """A number's default and bounds."""
+class _IntegerBounds(NamedTuple):
+    """The default and the inclusive bounds of an integer setting."""
 
     default: int
     minimum: int
     maximum: int
 
 
-UNIT_BYTES = _WholeNumber(65536, 1, 1 << 30)
-MAX_BODY = _WholeNumber(8 << 20, 1, 16 << 20)
-SERVER_PORT = _WholeNumber(0, 0, MAX_PORT)
+UNIT_BYTES = _IntegerBounds(65536, 1, 1 << 30)
+MAX_BODY = _IntegerBounds(8 << 20, 1, 16 << 20)
+SERVER_PORT = _IntegerBounds(0, 0, MAX_PORT)
 
 
 def read_objects(
     document: Any, class_names: Sequence[str], plan_names: Sequence[str], faults: list[str]
 ) -> ObjectSettings | None:
-    """Return the object API's settings; None, with a text in ``faults`` for each fault, if there are any."""
+    """Return the object API's settings, or add a text to ``faults`` for each fault and return None."""
     if not isinstance(document, dict):
         faults.append("objects: an object is wanted")
         return None
@@ -34,9 +34,9 @@
     settings = ObjectSettings(
         listen=reader.listen(),
         store=reader.store(),
-        unit_bytes=reader.whole_number("unit_bytes", UNIT_BYTES),
-        max_body=reader.whole_number("max_body", MAX_BODY),
-        server_port=reader.whole_number("server_port", SERVER_PORT),
+        unit_bytes=reader.integer("unit_bytes", UNIT_BYTES),
+        max_body=reader.integer("max_body", MAX_BODY),
+        server_port=reader.integer("server_port", SERVER_PORT),
         classes=reader.classes(class_names),
         volumes=reader.volumes(plan_names),
     )
@@ -45,14 +45,14 @@
 
 
 class _ObjectsReader:
-    """Reads the table's keys; a key at fault is reported, and has a value that is not used."""
+    """Reads the table's keys; for an invalid key it adds a fault and returns a placeholder."""
 
     def __init__(self, document: Document) -> None:
         self._document = document
         self.faults: list[str] = []
 
     def listen(self) -> SocketAddress:
-        """Read where HTTP clients connect."""
+        """Return the address at which HTTP clients connect."""
         if "listen" not in self._document:
             self.faults.append("objects.listen: missing")
             return SocketAddress("", 0)
@@ -63,14 +63,14 @@
             return SocketAddress("", 0)
 
     def store(self) -> str:
-        """Read the shared store's address."""
+        """Return the URL of the shared store."""
         store = self._document.get("store")
         if not isinstance(store, str) or not store.startswith(STORE_SCHEME):
             self.faults.append("objects.store: an address of the form redis://host:port/0 is wanted")
         return str(store)
 
-    def whole_number(self, key: str, bounds: _WholeNumber) -> int:
-        """Read a whole number within bounds."""
+    def integer(self, key: str, bounds: _IntegerBounds) -> int:
+        """Return an integer within bounds, or the default if the key is absent."""
         value = self._document.get(key, bounds.default)
         is_integer = isinstance(value, int) and not isinstance(value, bool)
         if is_integer and bounds.minimum <= value <= bounds.maximum:
@@ -81,7 +81,7 @@
         return bounds.default
 
     def classes(self, names: Sequence[str]) -> dict[str, int]:
-        """Read the class of each operation, by its number."""
+        """Return the index of each operation's class."""
         table = self._document.get("classes")
         table = table if isinstance(table, dict) else {}
         for key in table:
@@ -96,7 +96,7 @@
         return classes
 
     def volumes(self, plan_names: Sequence[str]) -> dict[str, VolumeSettings]:
-        """Read the volumes by name."""
+        """Return the volumes by name."""
         table = self._document.get("volumes")
         if not isinstance(table, dict) or not table:
             self.faults.append("objects.volumes: at least one volume is wanted")
--- a/runloft/config/operator/__init__.py
+++ b/runloft/config/operator/__init__.py
@@ -1,1 +1,1 @@
-"""An operator's file: its records, its checks, and reading it."""
+"""An operator's file: records, checks and reading."""
--- a/runloft/config/operator/agreement_checks.py
+++ b/runloft/config/operator/agreement_checks.py
@@ -1,4 +1,4 @@
-"""Checks that the lease leaves time for a change, and for exchanges with the store."""
+"""Checks that lease and fence leave enough time for changes and for exchanges with the store."""
 
 from collections.abc import Iterator
 
@@ -8,19 +8,19 @@
 from runloft.config.schema.violations import Violation
 from runloft.config.settings import FENCE_DRIFT_DIVISOR, FENCE_LEASES
 
-MAX_CHANGE_MS = 10_000.0  # within which a change is to be in force everywhere
-# What a change waits for while a sidecar is silent (docs/design/agreement.md): until the fence has passed
-# for certain; then a lease until the moment of the change, and one poll of the tool.
+MAX_CHANGE_MS = 10_000.0  # time within which a change must be in force on all sidecars
+# If a sidecar is silent, a change takes the sum of these (docs/design/agreement.md): the fence with allowance
+# for clock drift, then one lease until the change is applied, and one poll of the tool.
 FENCE_WITH_DRIFT = 1 + 1 / FENCE_DRIFT_DIVISOR
 LEASES_AFTER_FENCE = 1 + 1 / 10
-EXCHANGES_PER_LEASE = 4  # an exchange with the store may take the lease divided by this
+EXCHANGES_PER_LEASE = 4  # an exchange with the store times out after the lease divided by this
 NS_PER_MS = 1e6
 
 LEASE_PATH: KeyPath = ("agreement", "lease_ms")
 
 
 def check_agreement(record: OperatorRecord) -> Iterator[Violation]:
-    """Yield what is wrong with the lease and the fence of a record that has an agreement."""
+    """Yield the violations of a record's lease and fence, if the record has an agreement."""
     agreement = record.agreement
     if agreement is None or agreement.lease_ms is None:
         return
@@ -52,6 +52,6 @@
         exchange_ms = lease_ms / EXCHANGES_PER_LEASE
         connect_ms = connect_ns / NS_PER_MS
         reason = f"an exchange may take {exchange_ms:g} ms, and connecting alone {connect_ms:g}"
-        least_ms = EXCHANGES_PER_LEASE * connect_ns / NS_PER_MS
-        remedy = f"at least {least_ms:g}, or a lower Limits.ConnectTimeout"
+        min_lease_ms = EXCHANGES_PER_LEASE * connect_ns / NS_PER_MS
+        remedy = f"at least {min_lease_ms:g}, or a lower Limits.ConnectTimeout"
         yield Violation(LEASE_PATH, "lease-too-short", reason, remedy, Severity.WARNING)
--- a/runloft/config/operator/checks.py
+++ b/runloft/config/operator/checks.py
@@ -1,6 +1,6 @@
-"""Checks of an operator's record that lie between its tables.
+"""Checks that relate the tables of an operator's record to each other.
 
-A value that could not be read is None in the record; checks that need it pass over it.
+A value that is invalid is None in the record; checks that need it are skipped.
 """
 
 from collections.abc import Iterator
@@ -25,12 +25,12 @@
 )
 from runloft.config.schema.violations import Violation
 
-ANY_ADDRESS = frozenset(("0.0.0.0", "[::]"))
+WILDCARD_HOSTS = frozenset(("0.0.0.0", "[::]"))
 SECONDS_PER_MINUTE = 60
 
 
 def check_record(record: OperatorRecord, nodes: int = 0) -> Iterator[Violation]:
-    """Yield what is wrong between tables; ``nodes`` is how many there are to connect to, if known."""
+    """Yield the violations between tables; ``nodes`` is the number of nodes, or 0 if unknown."""
     yield from _check_listeners(record)
     yield from check_node_connections(record, nodes)
     yield from check_clients(record)
@@ -47,7 +47,7 @@
 
 
 def _check_listeners(record: OperatorRecord) -> Iterator[Violation]:
-    """Check that no two addresses of this machine are the same."""
+    """Check that no two of the record's addresses on this machine collide."""
     addresses: dict[KeyPath, str] = {("listen",): record.listen}
     if record.objects is not None:
         addresses["objects", "listen"] = record.objects.listen
@@ -71,20 +71,20 @@
     other_host, _, other_port = other.rpartition(":")
     if port != other_port or port == "0":
         return False
-    return host == other_host or not ANY_ADDRESS.isdisjoint((host, other_host))
+    return host == other_host or not WILDCARD_HOSTS.isdisjoint((host, other_host))
 
 
 def _check_names(settings: SettingsRecord) -> Iterator[Violation]:
-    """Check that each class and each plan has a name of its own."""
+    """Check that the names of classes are unique, and likewise those of plans."""
     names = {
         "Classes": [row.name for row in settings.classes or ()],
         "ServiceLevels": [row.name for row in settings.plans or ()],
     }
-    for table, in_table in names.items():
-        for index, name in enumerate(in_table):
-            if name is not None and name in in_table[:index]:
+    for table, table_names in names.items():
+        for index, name in enumerate(table_names):
+            if name is not None and name in table_names[:index]:
                 path = ("settings", table, str(index), "Name")
-                reason = f'"{name}" names row {in_table.index(name)} already'
+                reason = f'"{name}" names row {table_names.index(name)} already'
                 yield Violation(path, "name-twice", reason, "another name")
 
 
@@ -105,18 +105,16 @@
 
 def _check_plans(settings: SettingsRecord) -> Iterator[Violation]:
     extra = settings.extra or ExtraRecord()
-    least_burst = 2 * (extra.max_units or 0) * (settings.hosts or 0)
-    least_reserve = (extra.mean_units or 0) / SECONDS_PER_MINUTE
+    min_burst = 2 * (extra.max_units or 0) * (settings.hosts or 0)
+    min_reserve = (extra.mean_units or 0) / SECONDS_PER_MINUTE
     for index, plan in enumerate(settings.plans or ()):
-        yield from _check_plan(plan, ("settings", "ServiceLevels", str(index)), least_burst, least_reserve)
+        yield from _check_plan(plan, ("settings", "ServiceLevels", str(index)), min_burst, min_reserve)
 
 
-def _check_plan(
-    plan: PlanRecord, path: KeyPath, least_burst: float, least_reserve: float
-) -> Iterator[Violation]:
-    if plan.limit and 0 < (plan.limit_burst or 0) < least_burst:
+def _check_plan(plan: PlanRecord, path: KeyPath, min_burst: float, min_reserve: float) -> Iterator[Violation]:
+    if plan.limit and 0 < (plan.limit_burst or 0) < min_burst:
         reason = f"{plan.limit_burst:g} units don't hold two of the largest requests for each sidecar"
-        yield Violation((*path, "LimitBurst"), "burst-too-small", reason, f"at least {least_burst:g}")
-    if 0 < (plan.reserve or 0) < least_reserve:
+        yield Violation((*path, "LimitBurst"), "burst-too-small", reason, f"at least {min_burst:g}")
+    if 0 < (plan.reserve or 0) < min_reserve:
         reason = f"{plan.reserve:g} units/s are less than one usual request a minute"
         yield Violation((*path, "Guaranteed"), "reserve-tiny", reason, "units a second", Severity.WARNING)
--- a/runloft/config/operator/file.py
+++ b/runloft/config/operator/file.py
@@ -1,4 +1,4 @@
-"""Reading of an operator's file as a whole, with every check."""
+"""Reading of an operator's file, with all checks."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckedFile:
-    """An operator's file that was read: its record, its values in the wire's units, its faults.
+    """An operator's file that was read: its record, its values in the wire's units, and its faults.
 
-    ``record`` is None, and ``document`` empty, where the file holds no table.
+    If the file can't be parsed, ``record`` is None and ``document`` is empty.
     """
 
     file: str
@@ -28,17 +28,17 @@
 
 
 def check_file(path: str) -> CheckedFile:
-    """Read an operator's file and find every fault in it."""
+    """Read an operator's file and report every fault in it."""
     return _check(path, read_toml(path))
 
 
 def check_text(path: str, data: bytes) -> CheckedFile:
-    """Find every fault in the bytes of an operator's file; ``path`` names it in faults."""
+    """Report every fault in the bytes of an operator's file; ``path`` names the file in faults."""
     return _check(path, parse_toml(path, data))
 
 
 def read_operator(reader: Reader, document: Mapping[str, Any]) -> OperatorRecord | None:
-    """Read an operator's file from its values, with every check; None if it is no table."""
+    """Read and check the record of an operator's file; return None if ``document`` is not a table."""
     record = reader.record(OperatorRecord, document)
     if record is not None:
         reader.add(check_record(record))
--- a/runloft/config/operator/machine_checks.py
+++ b/runloft/config/operator/machine_checks.py
@@ -1,7 +1,7 @@
-"""Checks that the machine's limits, descriptors and memory, suffice for clients, nodes and the store.
+"""Checks that the limits for descriptors and memory suffice for clients, nodes and the store.
 
-The listeners and the upstream connections go by figures of their own, which
-``tests/config/test_machine_checks.py`` holds against those here.
+The listeners and the upstream connection pools have constants of their own;
+``tests/config/test_machine_checks.py`` checks that they agree with those below.
 """
 
 from collections.abc import Iterator
@@ -15,20 +15,21 @@
 from runloft.config.settings import MEMORY_MB, PROGRAM_MB
 
 # Descriptors.
-MAX_CLIENT_FRACTION = 1 / 2  # of all descriptors, for clients
-EVICTION_FRACTION = 1 / 3  # of all descriptors: beyond it idle clients are closed to make room
-RESERVED_SOCKETS = 32  # descriptors that no client or node has
+MAX_CLIENT_FRACTION = 1 / 2  # of all descriptors: most client connections
+EVICTION_FRACTION = 1 / 3  # of all descriptors: client connections at which idle ones are evicted
+RESERVED_SOCKETS = 32  # descriptors not available to clients or nodes
 STORE_SOCKETS = 16  # most connections to the shared store
-NODE_SOCKET_DIVISORS = {False: (2,), True: (4, 8)}  # object API off and on: each pool's part of the rest
+# Each node connection pool gets the unreserved descriptors divided by its divisor, by "object API is on".
+NODE_SOCKET_DIVISORS = {False: (2,), True: (4, 8)}
 
-# How long a client may be idle.
+# Timeouts of idle client connections.
 IDLE_TIMEOUT_MS = 15_000.0
-CROWDED_IDLE_TIMEOUT_MS = 2_000.0  # beyond half of the clients at which eviction begins
+CROWDED_IDLE_TIMEOUT_MS = 2_000.0  # with more clients than half the number at which eviction begins
 
-# Memory, as measured (docs/capacity/datapath.json).
-BASE_MEMORY_MB = 36.0  # the program's own
-BASE_MEMORY_WITH_TOOLS_MB = 58.0  # with an agreement or an admin listener
-CLIENT_MEMORY_KB = 10.0  # beside it, of a client's connection
+# Resident memory (docs/capacity/datapath.json).
+BASE_MEMORY_MB = 36.0  # without clients
+BASE_MEMORY_WITH_TOOLS_MB = 58.0  # without clients, with an agreement or an admin listener
+CLIENT_MEMORY_KB = 10.0  # additional, per client connection
 MIN_REQUEST_MEMORY_MB = 4
 
 SOCKETS_PATH: KeyPath = ("limits", "sockets")
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ClientCapacity:
-    """How many clients one listener takes, by the program's descriptors."""
+    """The numbers of client connections that limit one listener, derived from the descriptors."""
 
     listeners: int
     eviction_at: int
@@ -46,13 +47,13 @@
 
 
 def request_memory_mb(record: OperatorRecord) -> float:
-    """Return the memory that is left for requests, bodies and buffers."""
+    """Return the memory in MB that is left for requests, bodies and buffers."""
     limits = record.limits or MachineLimitsRecord()
     return (limits.memory_mb or MEMORY_MB) - PROGRAM_MB
 
 
 def check_memory(record: OperatorRecord) -> Iterator[Violation]:
-    """Check that the memory limit leaves anything for requests."""
+    """Check that the memory limit leaves the minimum for requests."""
     remaining_mb = request_memory_mb(record)
     if remaining_mb < MIN_REQUEST_MEMORY_MB:
         reason = f"the program takes {PROGRAM_MB} MB, which leaves {max(0.0, remaining_mb):g} for requests"
@@ -61,7 +62,7 @@
 
 
 def check_descriptors(record: OperatorRecord) -> Iterator[Violation]:
-    """Check that there are descriptors for the program's own connections."""
+    """Check that the descriptors suffice for the program's own connections and listeners."""
     needed = RESERVED_SOCKETS
     if record.objects:
         needed += 2 * STORE_SOCKETS
@@ -74,22 +75,22 @@
 
 
 def check_node_connections(record: OperatorRecord, nodes: int) -> Iterator[Violation]:
-    """Check that each upstream pool may hold a connection to each node."""
+    """Check that each upstream connection pool can hold a connection to every node."""
     sockets = (record.limits or MachineLimitsRecord()).sockets
     if sockets is None:
         return
     divisor = max(NODE_SOCKET_DIVISORS[record.objects is not None])
-    for_nodes = (sockets - RESERVED_SOCKETS) // divisor
-    if for_nodes < nodes:
+    per_pool = (sockets - RESERVED_SOCKETS) // divisor
+    if per_pool < nodes:
         reason = (
-            f"{max(0, for_nodes)} of {sockets} descriptors are for nodes of one wire, and there are {nodes}"
+            f"{max(0, per_pool)} of {sockets} descriptors are for nodes of one wire, and there are {nodes}"
         )
         remedy = f"at least {nodes * divisor + RESERVED_SOCKETS}"
         yield Violation(SOCKETS_PATH, "sockets-below-nodes", reason, remedy, Severity.WARNING)
 
 
 def check_clients(record: OperatorRecord) -> Iterator[Violation]:
-    """Check that the expected clients are accepted, and not closed while they are idle."""
+    """Check that the expected clients can connect and are not closed when idle."""
     limits = record.limits or MachineLimitsRecord()
     if limits.sockets is None:
         return
@@ -135,14 +136,14 @@
 def _check_idle_clients(limits: MachineLimitsRecord, capacity: _ClientCapacity) -> Iterator[Violation]:
     clients = limits.clients or 0
     idle_ms = limits.idle_ms or 0.0
-    crowded_from = capacity.eviction_at // 2
-    crowded = clients > crowded_from
+    crowding_threshold = capacity.eviction_at // 2
+    crowded = clients > crowding_threshold
     timeout_ms = CROWDED_IDLE_TIMEOUT_MS if crowded else IDLE_TIMEOUT_MS
     if idle_ms <= timeout_ms:
         return
     reason = f"clients rest {idle_ms:g} ms, and are closed after {timeout_ms:g}"
     remedy = f"at most {timeout_ms:g} between requests"
     if crowded and idle_ms <= IDLE_TIMEOUT_MS:
-        reason += f", being more than {crowded_from}"
+        reason += f", being more than {crowding_threshold}"
         remedy += f", or limits.sockets of at least {6 * capacity.listeners * clients}"
     yield Violation(IDLE_PATH, "idle-closes-clients", reason, remedy, Severity.WARNING)
--- a/runloft/config/operator/object_checks.py
+++ b/runloft/config/operator/object_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the object API: its operations' classes, its volumes, and the size of a body."""
+"""Checks of the object API: classes of operations, volumes, and the maximum body size."""
 
 from collections.abc import Iterator, Sequence
 
@@ -11,13 +11,14 @@
 from runloft.config.settings import OPERATIONS
 
 WRITE_OPERATIONS = ("put", "part")
-BODY_MEMORY_DIVISOR = 8  # a body is held whole, to be sent again: it may take this part of the memory
+# A body is buffered whole so that it can be sent again; it may take the request memory divided by this.
+BODY_MEMORY_DIVISOR = 8
 
 
 def check_objects(
     settings: SettingsRecord, objects: ObjectsRecord, request_memory_mb: float
 ) -> Iterator[Violation]:
-    """Yield what is wrong with the object API beside the settings."""
+    """Yield the violations of the object API, alone and against the settings."""
     yield from _check_operations(settings, objects)
     yield from _check_volumes(settings, objects)
     yield from _check_max_body(objects, request_memory_mb)
@@ -47,16 +48,16 @@
 
 def _check_volumes(settings: SettingsRecord, objects: ObjectsRecord) -> Iterator[Violation]:
     plans = [row.name for row in settings.plans or () if row.name]
-    owners: dict[int, str] = {}
+    names_by_id: dict[int, str] = {}
     for name, volume in (objects.volumes or {}).items():
         path: KeyPath = ("objects", "volumes", name)
         yield from _check_volume(path, volume, plans, settings.hosts)
         if volume.id is not None:
             number = int(volume.id, 16)
-            if number in owners:
-                reason = f'id {volume.id} is that of "{owners[number]}" already'
+            if number in names_by_id:
+                reason = f'id {volume.id} is that of "{names_by_id[number]}" already'
                 yield Violation((*path, "id"), "id-twice", reason, "an id of its own")
-            owners.setdefault(number, name)
+            names_by_id.setdefault(number, name)
 
 
 def _check_volume(
@@ -73,8 +74,8 @@
 def _check_max_body(objects: ObjectsRecord, request_memory_mb: float) -> Iterator[Violation]:
     if request_memory_mb < MIN_REQUEST_MEMORY_MB or objects.max_body is None:
         return
-    largest = int(request_memory_mb * (1 << 20) / BODY_MEMORY_DIVISOR)
-    if objects.max_body > largest:
+    max_bytes = int(request_memory_mb * (1 << 20) / BODY_MEMORY_DIVISOR)
+    if objects.max_body > max_bytes:
         path = ("objects", "max_body")
-        reason = f"a body of {objects.max_body} bytes is more than the {largest} that may be held"
-        yield Violation(path, "part-too-large", reason, f"at most {largest}, or more limits.memory_mb")
+        reason = f"a body of {objects.max_body} bytes is more than the {max_bytes} that may be held"
+        yield Violation(path, "part-too-large", reason, f"at most {max_bytes}, or more limits.memory_mb")
--- a/runloft/config/operator/records.py
+++ b/runloft/config/operator/records.py
@@ -1,4 +1,4 @@
-"""The records of an operator's file: one sidecar's listeners, limits and settings."""
+"""Records of an operator's file, which hold one sidecar's listeners, limits and settings."""
 
 import re
 
@@ -10,12 +10,12 @@
 from runloft.config.schema.records import Named, Record, Table, setting
 
 STORE_URL = Text(pattern=re.compile(r"redis://[^\s/]+:\d{1,5}(/\d+)?"), form="redis://host:port/0")
-FENCED_MODES = Text(pattern=re.compile("unreserved|hold"), form='"unreserved" or "hold"')
+CUT_OFF_MODES = Text(pattern=re.compile("unreserved|hold"), form='"unreserved" or "hold"')
 
 
 @attrs.frozen
 class MachineLimitsRecord(Record):
-    """What the program may take of its machine."""
+    """Limits for the program on its machine."""
 
     sockets: int = setting("sockets", count(32, 1_048_576), 1024, "descriptors that the program may hold")
     memory_mb: float = setting("memory_mb", Number("MB", 1.0, 1 << 20), 192.0, "memory it may take")
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class ObjectsRecord(Record):
-    """The object API; without this table it is off."""
+    """The object API, which is off without this table."""
 
     listen: str = setting("listen", Address(listens=True), description="where HTTP clients connect")
     store: str = setting("store", STORE_URL, description="the shared store")
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class AgreementRecord(Record):
-    """One configuration in force over all sidecars; without this table each goes by its own file."""
+    """The agreement on one configuration for all sidecars; without this table a sidecar uses its own file."""
 
     store: str = setting("store", STORE_URL, description="the shared store")
     directory: str = setting(
@@ -82,26 +82,26 @@
     fence_ms: float | None = setting(
         "fence_ms", milliseconds(400.0, 3_600_000.0), None, "silent so long: reserves nothing; 1.5 leases"
     )
-    cut_off: str = setting("cut_off", FENCED_MODES, "unreserved", "then: or hold, and serve nothing")
+    cut_off: str = setting("cut_off", CUT_OFF_MODES, "unreserved", "then: or hold, and serve nothing")
 
 
 @attrs.frozen
 class AccountsRecord(Record):
-    """Latency accounts by volume; without this table none are kept."""
+    """Latency accounts by volume, which are kept only with this table."""
 
     volumes: int = setting("volumes", count(1, 100_000), 10_000, "that have an account of their own")
 
 
 @attrs.frozen
 class AdminRecord(Record):
-    """Metrics and status over HTTP; without this table there is no such listener."""
+    """The HTTP listener for metrics and status, which is off without this table."""
 
     listen: str = setting("listen", Address(listens=True), description="where metrics are read")
 
 
 @attrs.frozen
 class OperatorRecord(Record):
-    """The operator's file of one sidecar."""
+    """One sidecar's operator's file."""
 
     name: str = setting("name", kinds.name(), description="the sidecar's name, its own in the fleet")
     listen: str = setting("listen", Address(listens=True), description="where RESP2 clients connect")
--- a/runloft/config/operator/settings_records.py
+++ b/runloft/config/operator/settings_records.py
@@ -1,4 +1,4 @@
-"""The records of the ``settings`` table: classes, plans, and the figures of the scheduler's rules."""
+"""Records of the ``settings`` table: classes, plans, and parameters of the scheduler's rules."""
 
 import attrs
 
@@ -11,7 +11,7 @@
 FRACTION = Number(minimum=0.0, maximum=1.0)
 RATE = Number("units a second", 0.0, 1e9)
 
-# Keys by table, beside classes and plans, that quotas and rules go by: the same at each sidecar.
+# Keys by table that must be the same on all sidecars, besides classes and plans: quotas and rules use them.
 SHARED_KEYS = {
     "Extra": ("ColdUnits", "UsualUnits", "MaxUnits", "WithinShare", "BeyondShare", "UsePeriod"),
     "Safety": ("Cold", "ColdFrom", "Fall", "FallMultiple", "DrainGrace"),
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class ClassRecord(Record):
-    """One class of request; times are in nanoseconds."""
+    """One class of requests; times are in nanoseconds."""
 
     name: str = setting("Name", kinds.name(), description="as requests name it")
     latency_objective: int = setting(
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class PlanRecord(Record):
-    """One plan; its figures hold for each volume, over all sidecars and nodes."""
+    """One plan; its figures apply to each of its volumes, summed over all sidecars and nodes."""
 
     name: str = setting("Name", kinds.name(), description="as requests name it")
     rate: float = setting(
@@ -112,7 +112,7 @@
 
 @attrs.frozen
 class ExtraRecord(Record):
-    """Facts of this kind of service: sizes of requests, and what quotas are worth."""
+    """Properties of the service: request sizes, and weights within and beyond the quota."""
 
     writes_by_class: list[bool] = setting("ClassWrites", ListOf(Boolean()), [], "for each class: it writes")
     slow_start_units: float = setting(
@@ -157,7 +157,7 @@
 
 @attrs.frozen
 class PermissionsRecord(Record):
-    """What the site permits; times are in nanoseconds."""
+    """Permissions and limits of the site; times are in nanoseconds."""
 
     max_attempts: int = setting("AttemptsCap", count(1, 3), 1, "attempts of a request at most")
     may_cancel: bool = setting("Cancel", Boolean(), False, "attempts may be called off")
@@ -192,7 +192,7 @@
 
 @attrs.frozen
 class SafetyRecord(Record):
-    """Figures of slow start, draining and the retry budget; times are in nanoseconds."""
+    """Parameters of slow start, draining and the retry budget; times are in nanoseconds."""
 
     slow_start: int = setting("Cold", duration(), 0, "a node is warm by then; 0: no rule for cold nodes")
     slow_start_initial_fraction: float = setting(
@@ -232,7 +232,7 @@
 
 @attrs.frozen
 class FeedbackRecord(Record):
-    """Load reports of nodes."""
+    """Load reports that nodes send."""
 
     fields: list[str] = setting("Fields", ListOf(Text(tuple(REPORT_FIELDS)), distinct=True), [], "values")
     source: str = setting("Source", Text(("piggyback", "pull", "silent")), "silent", "where they come", False)
@@ -240,7 +240,7 @@
 
 @attrs.frozen
 class SettingsRecord(Record):
-    """The settings of the decisions and of the core."""
+    """Settings of the decisions and of the core."""
 
     hosts: int = setting("GroupSize", count(1, 10_000), 1, "how many sidecars there are")
     host_number: int = setting("SlotNo", count(0, 9_999), 0, "this one's number among them, from 0")
--- a/runloft/config/operator/template.py
+++ b/runloft/config/operator/template.py
@@ -1,4 +1,4 @@
-"""The template from which ``config write`` makes an operator's file: complete, valid, to be edited."""
+"""Template for ``config write``: a complete and valid operator's file that is then edited."""
 
 import re
 
@@ -118,7 +118,7 @@
 
 
 def operator_template(application: str) -> str:
-    """Return the file for an application; raise ValueError if its name can't name a volume."""
+    """Return the file for an application; raise ValueError if its name is not a valid volume name."""
     if not APPLICATION_NAME.fullmatch(application):
         raise ValueError("an application's name holds lower-case letters, digits and inner hyphens")
     last_bytes = application.encode()[-VOLUME_ID_BYTES:]
--- a/runloft/config/platform_config.py
+++ b/runloft/config/platform_config.py
@@ -1,6 +1,7 @@
-"""Translation of a configuration's values, the platform's JSON or an operator's file, into ``Config``.
+"""Translation of a decoded configuration, the platform's JSON or an operator's file, into ``Config``.
 
-Faults are texts that begin with the key.  An operator's file has been checked before, with lines.
+Each fault is a text that begins with the key.  An operator's file has already been checked by then, and its
+faults reported with line numbers.
 """
 
 from collections.abc import Mapping, Sequence
@@ -28,25 +29,25 @@
 DEFAULT_ACCOUNTED_VOLUMES = 10_000
 NS_PER_MS = 1_000_000
 
-NO_ADDRESS = SocketAddress("", 0)  # in place of one that is at fault
+PLACEHOLDER_ADDRESS = SocketAddress("", 0)  # returned for an invalid address
 
 
 def config_from_json(document: Any) -> Config:
-    """Check and translate a configuration; raise ConfigError with every fault, named by its key."""
+    """Check and translate a configuration; raise ConfigError with every fault, each prefixed by its key."""
     if not isinstance(document, dict):
         raise ConfigError(["(top): an object is wanted"])
     return _Translation(document).config()
 
 
 class _Limits(NamedTuple):
-    """What the program may take of its machine."""
+    """The program's limits for descriptors and memory."""
 
     sockets: int
     memory_mb: float
 
 
 class _Translation:
-    """The translation of one document, and the faults that it has found."""
+    """Translates one document and collects its faults."""
 
     def __init__(self, document: Document) -> None:
         self._document = document
@@ -55,7 +56,7 @@
     def config(self) -> Config:
         """Translate the document; raise ConfigError with every fault.
 
-        Faults are reported in the order of these steps.
+        Faults are reported in the order of the steps below.
         """
         document = self._document
         listen = self._address("listen")
@@ -94,12 +95,12 @@
     def _address(self, key: str) -> SocketAddress:
         if key not in self._document:
             self._faults.append(f"{key}: missing")
-            return NO_ADDRESS
+            return PLACEHOLDER_ADDRESS
         try:
             return parse_address(str(self._document[key]))
         except ValueError as error:
             self._faults.append(f"{key}: {error}")
-            return NO_ADDRESS
+            return PLACEHOLDER_ADDRESS
 
     def _wire_pairs(self) -> PathValues:
         settings = self._document.get("settings")
@@ -140,7 +141,7 @@
                 self._faults.append(f"settings.{table}.{index}.Name: a name of its own is wanted")
 
     def _check_peers(self, peers: Any) -> None:
-        """Check the list of schedulers; nothing is sent to them, so it is not kept."""
+        """Check the list of schedulers, which is not kept because nothing is sent to them."""
         if not isinstance(peers, list | None):
             self._faults.append("peers: a list of addresses is wanted")
             return
@@ -195,7 +196,7 @@
 
 
 def agreement_settings(document: Mapping[str, Any]) -> AgreementSettings:
-    """Translate an agreement's table, which has been checked; the platform's JSON has none."""
+    """Translate a checked ``agreement`` table; the platform's JSON has no such table."""
     lease_ns = int(float(document.get("lease_ms", DEFAULT_LEASE_MS)) * NS_PER_MS)
     fence_ms = document.get("fence_ms")
     return AgreementSettings(
--- a/runloft/config/schema/__init__.py
+++ b/runloft/config/schema/__init__.py
@@ -1,1 +1,1 @@
-"""Declaring and reading records: kinds of values, records, layers, and the lines of a TOML file."""
+"""Declaration and reading of records: value kinds, records, layers, and line numbers of TOML keys."""
--- a/runloft/config/schema/kinds.py
+++ b/runloft/config/schema/kinds.py
@@ -1,4 +1,4 @@
-"""The types that a setting may have: what is read from TOML, in which unit, within which bounds."""
+"""The kinds of values that a setting may have: their TOML types, units and bounds."""
 
 import ipaddress
 import math
@@ -27,10 +27,10 @@
 
 
 class InvalidValueError(ValueError):
-    """A value that its kind does not accept.
+    """Raised for a value that its kind does not accept.
 
-    ``code``, ``reason`` and ``remedy`` are those of the fault; ``subpath`` leads to the wrong item
-    where the value is a list.
+    ``code``, ``reason`` and ``remedy`` are those of the fault; for a list, ``subpath`` is the path of the
+    invalid item.
     """
 
     def __init__(self, code: str, reason: str, remedy: str = "", subpath: tuple[str, ...] = ()) -> None:
@@ -42,7 +42,7 @@
 
 
 def quote_value(value: object) -> str:
-    """Return a value as a reason quotes it, cut where it is long."""
+    """Return a value as quoted in a fault's reason, truncated if it is long."""
     text = f'"{value}"' if isinstance(value, str) else str(value)
     text = text.lower() if isinstance(value, bool) else text
     return text if len(text) <= MAX_QUOTED_LENGTH else text[: MAX_QUOTED_LENGTH - 3] + "..."
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """A type of value."""
+    """The base of all value kinds."""
 
     def parse(self, value: Any) -> Any:
         """Return the value in the wire's unit; raise InvalidValueError if it is not of this kind."""
@@ -58,7 +58,7 @@
 
     @property
     def expected(self) -> str:
-        """The accepted values, in words."""
+        """A description of the accepted values."""
         raise NotImplementedError
 
 
@@ -66,8 +66,8 @@
 class Number(Kind):
     """A finite number within bounds.
 
-    ``minimum`` and ``maximum`` are inclusive, ``above`` is exclusive; ``units`` are suffixes that a text
-    may carry, with their factors.
+    ``minimum`` and ``maximum`` are inclusive, ``above`` is exclusive.  ``units`` maps each unit suffix that
+    is accepted in a string to its factor.
     """
 
     unit: str = ""
@@ -78,9 +78,9 @@
     units: Mapping[str, Decimal | int] | None = field(default=None, compare=False)
 
     def parse(self, value: Any) -> Any:
-        """Return an int where whole numbers are wanted, else a float."""
+        """Return the value as an int if ``integer`` is set, or else as a float."""
         if isinstance(value, str) and self.units:
-            value = self._with_unit(value, self.units)
+            value = self._parse_with_unit(value, self.units)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a number", self.expected)
         if not math.isfinite(value):
@@ -98,8 +98,8 @@
             return False
         return self.maximum is None or value <= self.maximum
 
-    def _with_unit(self, text: str, units: Mapping[str, Decimal | int]) -> int | float:
-        """Return a text such as 400ms or 8MiB in the wire's unit, exactly."""
+    def _parse_with_unit(self, text: str, units: Mapping[str, Decimal | int]) -> int | float:
+        """Convert a string such as 400ms or 8MiB to the wire's unit, by decimal arithmetic."""
         match = VALUE_WITH_UNIT.fullmatch(text)
         if not match or match[2] not in units:
             raise InvalidValueError("wrong-unit", f"{quote_value(text)} can't be read", self.expected)
@@ -113,7 +113,7 @@
 
     @property
     def expected(self) -> str:
-        """The accepted numbers and their unit."""
+        """A description of the accepted numbers and units."""
         text = "a whole number" if self.integer else "a number"
         text += f" of {self.unit}" if self.unit else ""
         text += self._bounds
@@ -136,28 +136,28 @@
 
 
 def duration(minimum: int = 0, maximum: int = HOUR_NS) -> Number:
-    """Return the kind of a time in nanoseconds; ``"400ms"`` is accepted too."""
+    """Return the kind of a duration in nanoseconds; strings such as ``"400ms"`` are accepted too."""
     return Number("nanoseconds", minimum, maximum, integer=True, units=NANOSECONDS)
 
 
 def milliseconds(minimum: float = 0.0, maximum: float = HOUR_MS) -> Number:
-    """Return the kind of a time in milliseconds; ``"1.5s"`` is accepted too."""
+    """Return the kind of a duration in milliseconds; strings such as ``"1.5s"`` are accepted too."""
     return Number("milliseconds", minimum, maximum, units=MILLISECONDS)
 
 
 def size(minimum: int, maximum: int) -> Number:
-    """Return the kind of a size in bytes; ``"8MiB"`` is accepted too."""
+    """Return the kind of a size in bytes; strings such as ``"8MiB"`` are accepted too."""
     return Number("bytes", minimum, maximum, integer=True, units=BYTES)
 
 
 def count(minimum: int, maximum: int | None = None) -> Number:
-    """Return the kind of a whole number of things."""
+    """Return the kind of an integer without a unit."""
     return Number("", minimum, maximum, integer=True)
 
 
 @dataclass(frozen=True)
 class Boolean(Kind):
-    """true or false."""
+    """A boolean."""
 
     def parse(self, value: Any) -> bool:
         """Return the value if it is a boolean."""
@@ -168,13 +168,13 @@
 
     @property
     def expected(self) -> str:
-        """Both values."""
+        """A description of the accepted values."""
         return "true or false"
 
 
 @dataclass(frozen=True)
 class Text(Kind):
-    """A text: one of some choices, or one that matches a pattern."""
+    """A string that is one of ``choices`` or matches ``pattern``, if these are given."""
 
     choices: tuple[str, ...] = ()
     pattern: re.Pattern[str] | None = None
@@ -183,7 +183,7 @@
     allow_empty: bool = True
 
     def parse(self, value: Any) -> str:
-        """Return the value if it is such a text."""
+        """Return the value if it is an accepted string."""
         if not isinstance(value, str):
             raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a text", self.expected)
         if self.choices and value not in self.choices:
@@ -196,24 +196,24 @@
 
     @property
     def expected(self) -> str:
-        """The choices, or the form."""
+        """The choices, or a description of the form."""
         return f"one of {', '.join(self.choices)}" if self.choices else self.form
 
 
 def name() -> Text:
-    """Return the kind of a name: letters, digits and inner dots, hyphens and underscores, 64 at most."""
+    """Return the kind of a name: up to 64 letters, digits and inner dots, hyphens and underscores."""
     return Text(pattern=NAME, form="a name of up to 64 letters, digits and inner . _ -", code="bad-name")
 
 
 @dataclass(frozen=True)
 class Address(Kind):
-    """host:port; ``listens`` wants an address of this machine that can be bound."""
+    """An address of the form host:port; ``listens`` requires a host that a listener can bind to."""
 
     listens: bool = False
-    any_port: bool = True  # port 0: the system chooses
+    any_port: bool = True  # accept port 0, for which the system chooses a port
 
     def parse(self, value: Any) -> str:
-        """Return the address as it was given."""
+        """Return the address unchanged."""
         if not isinstance(value, str):
             raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a text", self.expected)
         host, _, port = value.rpartition(":")
@@ -230,7 +230,7 @@
 
     @property
     def expected(self) -> str:
-        """The form, with an example."""
+        """A description of the form, with an example."""
         return "host:port, such as 127.0.0.1:6379"
 
 
@@ -239,7 +239,7 @@
 
 
 def _can_be_bound(host: str) -> bool:
-    """Return whether a host is an IP address, IPv6 in brackets or not, or this machine's name."""
+    """Return whether a host is ``localhost`` or an IP address; IPv6 brackets are optional."""
     bare = host[1:-1] if host.startswith("[") and host.endswith("]") else host
     if bare == "localhost":
         return True
@@ -252,10 +252,10 @@
 
 @dataclass(frozen=True)
 class HexNumber(Kind):
-    """Up to 16 hexadecimal digits, as a text."""
+    """A string of up to 16 hexadecimal digits."""
 
     def parse(self, value: Any) -> str:
-        """Return the digits as they were given."""
+        """Return the digits unchanged."""
         if not isinstance(value, str):
             raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a text", self.expected)
         if not HEX.fullmatch(value):
@@ -266,18 +266,18 @@
 
     @property
     def expected(self) -> str:
-        """How many digits."""
+        """A description of the accepted strings."""
         return "up to 16 hexadecimal digits in quotes"
 
 
 @dataclass(frozen=True)
 class Range(Kind):
-    """Two numbers, the lower first."""
+    """A pair of numbers: a lower and an upper bound."""
 
     number: Number = field(default_factory=Number)
 
     def parse(self, value: Any) -> list[float]:
-        """Return both numbers."""
+        """Return the lower and the upper number as a list."""
         if not isinstance(value, list) or len(value) != 2:
             reason = f"{quote_value(value)} is no pair of numbers"
             raise InvalidValueError("wrong-type", reason, self.expected)
@@ -289,7 +289,7 @@
 
     @property
     def expected(self) -> str:
-        """The form, and what each number may be."""
+        """A description of the pair and of the accepted numbers."""
         return f"[lower, upper], each {self.number.expected}"
 
 
@@ -302,18 +302,18 @@
     distinct: bool = False
 
     def parse(self, value: Any) -> list[Any]:
-        """Return all items; the error for a wrong one leads to its place."""
+        """Return the parsed items; the error for an invalid item has the item's index as ``subpath``."""
         if not isinstance(value, list):
             raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a list", self.expected)
         items: list[Any] = []
         for index, raw in enumerate(value):
-            place = (str(index),)
+            subpath = (str(index),)
             try:
                 item = self.item.parse(raw)
             except InvalidValueError as error:
-                raise InvalidValueError(error.code, error.reason, error.remedy, place) from error
+                raise InvalidValueError(error.code, error.reason, error.remedy, subpath) from error
             if self.distinct and item in items:
-                raise InvalidValueError("twice", f"{quote_value(raw)} stands twice", self.expected, place)
+                raise InvalidValueError("twice", f"{quote_value(raw)} stands twice", self.expected, subpath)
             items.append(item)
         if len(items) < self.min_length:
             raise InvalidValueError("too-few", f"{len(items)} are too few", self.expected)
@@ -321,11 +321,11 @@
 
     @property
     def expected(self) -> str:
-        """The least length, and what each item may be."""
+        """A description of the minimum length and of the accepted items."""
         at_least = f" of at least {self.min_length}" if self.min_length else ""
         return f"a list{at_least}, each {self.item.expected}"
 
 
 def join_names(names: Sequence[str]) -> str:
-    """Return names as a sentence lists them."""
+    """Join names to a list in prose, such as ``a, b and c``."""
     return names[0] if len(names) == 1 else f"{', '.join(names[:-1])} and {names[-1]}"
--- a/runloft/config/schema/layers.py
+++ b/runloft/config/schema/layers.py
@@ -1,4 +1,4 @@
-"""Unification of layers: several sources of values for one file, none of which overrides another."""
+"""Unification of layers: several sources of values for one file, where none overrides another."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Layer:
-    """One source of values: its name in reasons, its values, and the path at which they stand."""
+    """One source of values: its name in reasons, its values, and their path in the source file."""
 
     name: str
     values: Mapping[str, Any]
@@ -20,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Origin:
-    """Where a unified value was set first."""
+    """The first layer that set a unified value, and the value's path in the source file."""
 
     layer: Layer
-    place: KeyPath
+    source_path: KeyPath
 
 
 def unify(layers: Iterable[Layer], reader: Reader) -> Document:
-    """Return the layers' values in one table; report each key that two of them set differently.
+    """Merge the layers into one table and report each key that two layers set to different values.
 
-    The order of the layers changes nothing but which of two places a fault names first.
+    The order of the layers only determines at which of the two values a fault is reported.
     """
     unifier = _Unifier(reader)
     for layer in layers:
@@ -38,40 +38,40 @@
 
 
 class _Unifier:
-    """The values unified so far, and the origin of each."""
+    """Holds the values unified so far and the origin of each."""
 
     def __init__(self, reader: Reader) -> None:
         self.values: Document = {}
         self._reader = reader
         self._origins: dict[KeyPath, _Origin] = {}
 
-    def add(self, layer: Layer, values: Mapping[str, Any], into: Document, path: KeyPath) -> None:
-        """Add one table of a layer to a table of the result."""
+    def add(self, layer: Layer, values: Mapping[str, Any], target: Document, path: KeyPath) -> None:
+        """Merge one table of a layer into a table of the result."""
         for key, value in values.items():
-            here = (*path, key)
-            place = (*layer.path, *here)
+            key_path = (*path, key)
+            source_path = (*layer.path, *key_path)
             if isinstance(value, Mapping):
-                table = into.setdefault(key, {})
+                table = target.setdefault(key, {})
                 if isinstance(table, dict):
-                    self._origins.setdefault(here, _Origin(layer, place))
-                    self.add(layer, value, table, here)
+                    self._origins.setdefault(key_path, _Origin(layer, source_path))
+                    self.add(layer, value, table, key_path)
                     continue
-            if key not in into:
-                into[key] = value
-                self._origins[here] = _Origin(layer, place)
-            elif not _same(into[key], value):
-                self._report(layer, place, value, into[key], self._origins[here])
+            if key not in target:
+                target[key] = value
+                self._origins[key_path] = _Origin(layer, source_path)
+            elif not _equal(target[key], value):
+                self._report(layer, source_path, value, target[key], self._origins[key_path])
 
-    def _report(self, layer: Layer, place: KeyPath, value: Any, first: Any, origin: _Origin) -> None:
+    def _report(self, layer: Layer, source_path: KeyPath, value: Any, existing: Any, origin: _Origin) -> None:
         self._reader.fault(
-            place,
+            source_path,
             "layers-disagree",
-            f"{layer.name} sets {quote_value(value)}, {origin.layer.name} sets {quote_value(first)} "
-            f"at {self._reader.place(origin.place)}",
+            f"{layer.name} sets {quote_value(value)}, {origin.layer.name} sets {quote_value(existing)} "
+            f"at {self._reader.place(origin.source_path)}",
             "one value, in one of the two places",
         )
 
 
-def _same(one: Any, other: Any) -> bool:
-    """Return whether two values are equal; True is not 1."""
+def _equal(one: Any, other: Any) -> bool:
+    """Return whether two values are equal; True and 1 are not."""
     return bool(one == other) and isinstance(one, bool) == isinstance(other, bool)
--- a/runloft/config/schema/positions.py
+++ b/runloft/config/schema/positions.py
@@ -1,7 +1,7 @@
-"""The lines at which the keys of a TOML text stand.
+"""Line numbers of the keys in a TOML text.
 
-``tomllib`` gives values without places.  The text is read a second time, for its keys alone, and only
-when a fault has to be reported: a file without one costs nothing here.
+``tomllib`` does not report where a value was defined, so the text is scanned a second time for its keys.
+This happens only when a fault is reported, so a file without faults costs nothing.
 """
 
 import re
@@ -10,35 +10,35 @@
 
 from runloft.config.documents import KeyPath
 
-KEY_PIECE = re.compile(r"""\s*(?:"((?:[^"\\]|\\.)*)"|'([^']*)'|([A-Za-z0-9_-]+))\s*""")
-# What may stand in a value: texts (the long ones first), comments, brackets.
+KEY_SEGMENT = re.compile(r"""\s*(?:"((?:[^"\\]|\\.)*)"|'([^']*)'|([A-Za-z0-9_-]+))\s*""")
+# Tokens of a value that matter for its end: strings (multi-line quotes first), comments, brackets.
 VALUE_TOKEN = re.compile(r'"""|\'\'\'|"(?:[^"\\\n]|\\.)*"|\'[^\'\n]*\'|#[^\n]*|[\[\]{}]')
-LONG_QUOTES = ('"""', "'''")
+MULTILINE_QUOTES = ('"""', "'''")
 
 
 @dataclass(frozen=True, slots=True)
 class DottedKey:
-    """A key's pieces, and the index in its line behind it."""
+    """The segments of a key, and the index in the line at which the key ends."""
 
-    pieces: KeyPath
+    segments: KeyPath
     end: int
 
 
 def parse_dotted_key(text: str, start: int = 0) -> DottedKey:
-    """Read a dotted key that begins at an index of a line."""
-    pieces = []
+    """Parse the dotted key that starts at index ``start`` of a line."""
+    segments = []
     end = start
-    while match := KEY_PIECE.match(text, end):
-        pieces.append(next(group for group in match.groups() if group is not None))
+    while match := KEY_SEGMENT.match(text, end):
+        segments.append(next(group for group in match.groups() if group is not None))
         end = match.end()
         if end >= len(text) or text[end] != ".":
             break
         end += 1
-    return DottedKey(tuple(pieces), end)
+    return DottedKey(tuple(segments), end)
 
 
 class Positions:
-    """The lines of the keys of one text, counted from 1."""
+    """Maps the keys of one text to their line numbers, which start at 1."""
 
     def __init__(self, text: str) -> None:
         self._lines: dict[KeyPath, int] = {}
@@ -46,7 +46,7 @@
         self._read(text.split("\n"))
 
     def line(self, key: Sequence[str]) -> int:
-        """Return the line of a key, or of the nearest table around it; 1 where none is known."""
+        """Return the line of a key, or else of the nearest enclosing table, or else 1."""
         path = tuple(key)
         while path and path not in self._lines:
             path = path[:-1]
@@ -62,18 +62,18 @@
             if not line or line[0] == "#":
                 continue
             if line.startswith("[["):
-                table = self._begin_row(parse_dotted_key(line, 2).pieces, number)
+                table = self._begin_row(parse_dotted_key(line, 2).segments, number)
             elif line[0] == "[":
-                table = self._resolve(parse_dotted_key(line, 1).pieces)
+                table = self._resolve(parse_dotted_key(line, 1).segments)
                 self._lines.setdefault(table, number)
             else:
                 key = parse_dotted_key(line)
-                for length in range(1, len(key.pieces) + 1):
-                    self._lines.setdefault((*table, *key.pieces[:length]), number)
+                for length in range(1, len(key.segments) + 1):
+                    self._lines.setdefault((*table, *key.segments[:length]), number)
                 index = _skip_value(lines, index, line[key.end :])
 
     def _begin_row(self, name: KeyPath, number: int) -> KeyPath:
-        """Record the header of one row of a list of tables; return the row's path."""
+        """Record the header of a row in an array of tables; return the row's path."""
         base = self._resolve(name)
         row = self._last_rows.get(base, -1) + 1
         self._last_rows[base] = row
@@ -83,53 +83,53 @@
         return table
 
     def _resolve(self, name: KeyPath) -> KeyPath:
-        """Return a header's path; a list of tables within it stands for its last row."""
+        """Return a header's path; an array of tables inside it is resolved to its last row."""
         path: KeyPath = ()
-        for place, piece in enumerate(name):
-            path = (*path, piece)
-            if path in self._last_rows and place < len(name) - 1:
+        for index, segment in enumerate(name):
+            path = (*path, segment)
+            if path in self._last_rows and index < len(name) - 1:
                 path = (*path, str(self._last_rows[path]))
         return path
 
 
 class _ValueScanner:
-    """Follows brackets and long texts of one value over several lines."""
+    """Tracks brackets and multi-line strings of one value over several lines."""
 
     def __init__(self) -> None:
-        self._depth = 0
-        self._quotes = ""  # the quotes that end the long text that is open
+        self._bracket_depth = 0
+        self._open_quotes = ""  # closing quotes of the multi-line string that is open
 
     @property
     def complete(self) -> bool:
-        return self._depth <= 0 and not self._quotes
+        return self._bracket_depth <= 0 and not self._open_quotes
 
     def scan(self, line: str) -> None:
-        """Go through one line of the value."""
+        """Scan one line of the value."""
         position = 0
         while True:
-            if self._quotes:
-                end = line.find(self._quotes, position)
+            if self._open_quotes:
+                end = line.find(self._open_quotes, position)
                 if end < 0:
                     return
-                position = end + len(self._quotes)
-                self._quotes = ""
+                position = end + len(self._open_quotes)
+                self._open_quotes = ""
             match = VALUE_TOKEN.search(line, position)
             if not match:
                 return
             position = match.end()
-            self._follow(match[0])
+            self._update(match[0])
 
-    def _follow(self, token: str) -> None:
-        if token in LONG_QUOTES:
-            self._quotes = token
+    def _update(self, token: str) -> None:
+        if token in MULTILINE_QUOTES:
+            self._open_quotes = token
         elif token in "[{":
-            self._depth += 1
+            self._bracket_depth += 1
         elif token in "]}":
-            self._depth -= 1
+            self._bracket_depth -= 1
 
 
 def _skip_value(lines: list[str], index: int, value_text: str) -> int:
-    """Return the index of the line behind a value, which may span several."""
+    """Return the index of the line after a value, which may span several lines."""
     scanner = _ValueScanner()
     scanner.scan(value_text)
     while not scanner.complete and index < len(lines):
--- a/runloft/config/schema/reader.py
+++ b/runloft/config/schema/reader.py
@@ -1,6 +1,6 @@
-"""Reading of records out of one file's values, and the gathering of its faults.
+"""Reading of records from one file's values, and collection of the file's faults.
 
-A field at fault doesn't hide the others: every constraint whose fields could be read is checked.
+An invalid field doesn't hide other faults: every constraint whose fields are valid is checked.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -9,7 +9,7 @@
 from typing import Any, TypeVar
 
 from runloft.config.documents import KeyPath
-from runloft.config.faults import SIMILARITY, Fault, Severity, nearest_word
+from runloft.config.faults import MIN_SIMILARITY, Fault, Severity, nearest_word
 from runloft.config.schema.kinds import InvalidValueError, Kind, quote_value
 from runloft.config.schema.positions import Positions
 from runloft.config.schema.records import REQUIRED, Named, Record, Rows, Setting, Table, settings_of
@@ -19,7 +19,7 @@
 
 
 class Reader:
-    """Reads records out of one file's values and gathers every fault."""
+    """Reads records from one file's values and collects every fault."""
 
     def __init__(self, file: str, text: str = "") -> None:
         self.file = file
@@ -28,15 +28,15 @@
 
     @cached_property
     def positions(self) -> Positions:
-        """The lines of the keys; read at the first fault."""
+        """The line numbers of the keys, computed on first use."""
         return Positions(self.text)
 
     def line(self, path: Sequence[str]) -> int:
-        """Return the line of a key; 0 where the file's text is not known."""
+        """Return the line of a key, or 0 if the file's text is unknown."""
         return self.positions.line(path) if self.text else 0
 
     def place(self, path: Sequence[str]) -> str:
-        """Return a place of this file as reasons name it."""
+        """Return a key's position as FILE:LINE, for reasons of faults."""
         return f"{self.file}:{self.positions.line(path)}"
 
     def fault(
@@ -47,7 +47,7 @@
         remedy: str = "",
         severity: Severity = Severity.FAULT,
     ) -> None:
-        """Add a fault at a key; the empty path is the file itself."""
+        """Add a fault at a key; the empty path stands for the whole file."""
         key = ".".join(path) or "(file)"
         self.faults.append(Fault(self.file, self.line(path), key, code, reason, remedy, severity))
 
@@ -57,9 +57,9 @@
             self.fault(violation.path, violation.code, violation.reason, violation.remedy, violation.severity)
 
     def record(self, record: type[RecordType], raw: Any, path: KeyPath = ()) -> RecordType | None:
-        """Return a record read from a table; None if the value is no table.
+        """Return the record read from a table, or None if the value is not a table.
 
-        A field that could not be read is None in it.
+        A field is None in the record if its value is invalid, or if it is required and absent.
         """
         if not isinstance(raw, Mapping):
             self.fault(path, "wrong-type", f"{quote_value(raw)} is not a table", "a table")
@@ -72,38 +72,38 @@
             self.fault((*path, key), "unknown-key", reason, nearest_word(key, keys))
         misspelled = [key.casefold() for key in unknown]
         values: dict[str, Any] = {}
-        bad: set[str] = set()
+        invalid: set[str] = set()
         for field, setting in declared.items():
             if setting.key in raw:
                 before = len(self.faults)
                 values[field] = self._value(setting.kind, raw[setting.key], (*path, setting.key))
                 if len(self.faults) > before:
-                    bad.add(field)
-            elif self._is_absent(setting, misspelled, path):
+                    invalid.add(field)
+            elif self._lacks_value(setting, misspelled, path):
                 values[field] = None
-                bad.add(field)
-        made = record(**values)
-        self._check_constraints(made, bad, path)
-        return made
-
-    def _is_absent(self, setting: Setting, misspelled: Sequence[str], path: KeyPath) -> bool:
-        """Return whether a key that is not given leaves its field without a value."""
-        if misspelled and get_close_matches(setting.key.casefold(), misspelled, 1, SIMILARITY):
-            return True  # a mistyped key is one fault, not two
+                invalid.add(field)
+        instance = record(**values)
+        self._check_constraints(instance, invalid, path)
+        return instance
+
+    def _lacks_value(self, setting: Setting, misspelled: Sequence[str], path: KeyPath) -> bool:
+        """Return whether an absent key leaves its field without a value; report a missing required key."""
+        if misspelled and get_close_matches(setting.key.casefold(), misspelled, 1, MIN_SIMILARITY):
+            return True  # the misspelled key is already reported as unknown
         if setting.default is not REQUIRED:
             return False
         self.fault((*path, setting.key), "missing", "it is not given", setting.kind.expected)
         return True
 
-    def _check_constraints(self, record: Record, bad: set[str], path: KeyPath) -> None:
+    def _check_constraints(self, record: Record, invalid: set[str], path: KeyPath) -> None:
         declared = settings_of(type(record))
         for constraint in record.CONSTRAINTS:
             values = [getattr(record, field) for field in constraint.fields]
-            if not bad.isdisjoint(constraint.fields) or None in values or constraint.holds(*values):
+            if not invalid.isdisjoint(constraint.fields) or None in values or constraint.holds(*values):
                 continue
-            words = {field: getattr(record, field) for field in declared}
-            reason = constraint.reason.format(**words)
-            remedy = constraint.remedy.format(**words)
+            field_values = {field: getattr(record, field) for field in declared}
+            reason = constraint.reason.format(**field_values)
+            remedy = constraint.remedy.format(**field_values)
             key = declared[constraint.reported_field].key
             self.fault((*path, key), constraint.code, reason, remedy, constraint.severity)
 
--- a/runloft/config/schema/records.py
+++ b/runloft/config/schema/records.py
@@ -1,8 +1,8 @@
-"""Typed records: how a table of settings is declared.
+"""Typed records, which declare tables of settings.
 
-A record is an attrs class.  Each field is one ``setting``: key, kind (type, unit, bounds), default and
-description stand in this one place; ``CONSTRAINTS`` beside the fields relate them to each other.
-``runloft.config.reader`` reads records out of a file's values.
+A record is an attrs class.  Each field is one ``setting`` that declares key, kind (type, unit, bounds),
+default and description; ``CONSTRAINTS`` relate the fields to each other.
+``runloft.config.schema.reader`` reads records from a file's values.
 """
 
 from collections.abc import Callable
@@ -22,8 +22,8 @@
 class Constraint:
     """A constraint between fields of one record.
 
-    ``holds`` is called with the named fields, in their order; the fault is reported at the first of them.
-    ``reason`` and ``remedy`` are formatted with all fields of the record.
+    ``holds`` is called with the values of ``fields``, in this order.  A violation is reported at the first
+    of them.  ``reason`` and ``remedy`` are formatted with all fields of the record.
     """
 
     code: str
@@ -35,7 +35,7 @@
 
     @property
     def reported_field(self) -> str:
-        """The field at which the fault is reported."""
+        """The field at which a violation is reported."""
         return self.fields[0]
 
 
@@ -47,32 +47,32 @@
 
 @dataclass(frozen=True)
 class Table(Kind):
-    """A table that is one record."""
+    """A table that is read as one record."""
 
     record: type[Record]
 
     @property
     def expected(self) -> str:
-        """The form."""
+        """A description of the accepted values."""
         return "a table"
 
 
 @dataclass(frozen=True)
 class Rows(Kind):
-    """A list of tables, each one record."""
+    """A list of tables, each read as one record."""
 
     record: type[Record]
     min_length: int = 0
 
     @property
     def expected(self) -> str:
-        """The form and the least length."""
+        """A description of the accepted values and the minimum length."""
         return "a list of tables" + (f", at least {self.min_length}" if self.min_length else "")
 
 
 @dataclass(frozen=True)
 class Named(Kind):
-    """Tables by name, each one record."""
+    """A table of named tables, each read as one record."""
 
     record: type[Record]
     names: Kind
@@ -80,13 +80,13 @@
 
     @property
     def expected(self) -> str:
-        """The form and the least number of tables."""
+        """A description of the accepted values and the minimum number of tables."""
         return "tables, each by its name" + (f", at least {self.min_length}" if self.min_length else "")
 
 
 @dataclass(frozen=True)
 class Setting:
-    """The declaration of one field; one that is not ``used`` is known and passed over."""
+    """The declaration of one field; a field that is not ``used`` is accepted and ignored."""
 
     key: str
     kind: Kind
@@ -96,7 +96,7 @@
 
 
 def setting(key: str, kind: Kind, default: Any = REQUIRED, description: str = "", used: bool = True) -> Any:
-    """Return an attrs field for a setting; without a default it must be given."""
+    """Return an attrs field for a setting; a setting without a default is required."""
     declared = Setting(key, kind, default, description, used)
     initial = None if default is REQUIRED else default
     if isinstance(initial, dict | list):
@@ -105,7 +105,7 @@
 
 
 def settings_of(record: type[Record]) -> dict[str, Setting]:
-    """Return a record's settings by field name."""
+    """Return the settings of a record class by field name."""
     return {
         field.name: field.metadata["setting"]
         for field in attrs.fields(cast(Any, record))
@@ -114,7 +114,7 @@
 
 
 def document_of(record: Record) -> Document:
-    """Return a record as the wire names and counts it; absent settings are left out."""
+    """Return a record as a document with the wire's keys and units; omit settings that are None."""
     document: Document = {}
     for field, declared in settings_of(type(record)).items():
         value = getattr(record, field)
--- a/runloft/config/schema/toml_file.py
+++ b/runloft/config/schema/toml_file.py
@@ -1,4 +1,4 @@
-"""Reading of a TOML file: its bytes, its encoding and its grammar."""
+"""Reading of TOML files, with faults for size, encoding and syntax."""
 
 import re
 import tomllib
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TomlFile:
-    """A file that was read: its reader, and its values unless ``reader.faults`` says why there are none."""
+    """A TOML file that was read; ``document`` is None if ``reader.faults`` holds the reason."""
 
     reader: Reader
     document: Document | None = None
 
 
 def read_toml(path: str) -> TomlFile:
-    """Read a file; a failure is one fault of its reader."""
+    """Read a file; a failure is reported as one fault of its reader."""
     reader = Reader(path)
     try:
         with open(path, "rb") as file:
@@ -34,7 +34,7 @@
 
 
 def parse_toml(path: str, data: bytes) -> TomlFile:
-    """Read a file's bytes; ``path`` names it in faults."""
+    """Parse a file's bytes; ``path`` names the file in faults."""
     reader = Reader(path)
     text = _decode(reader, data)
     if text is None:
@@ -50,11 +50,13 @@
 
 def _decode(reader: Reader, data: bytes) -> str | None:
     if len(data) > MAX_FILE_BYTES:
-        reason = f"it has more than {MAX_FILE_BYTES >> 20} MiB"
+        reason = f"the file is larger than {MAX_FILE_BYTES >> 20} MiB"
         reader.fault((), "too-large", reason, "a smaller file")
         return None
     if data.startswith(BYTE_ORDER_MARKS):
-        reader.fault((), "byte-order-mark", "it begins with a byte order mark", "plain UTF-8 without one")
+        reader.fault(
+            (), "byte-order-mark", "the file starts with a byte order mark", "plain UTF-8 without one"
+        )
         return None
     try:
         return data.decode("utf-8")
@@ -66,7 +68,7 @@
 
 
 def _grammar_fault(path: str, text: str, reason: str) -> Fault:
-    """Return the fault for a decoder's message, whose position stands in the message alone."""
+    """Return the fault for a decoder's message; the position is given only in the message's text."""
     line = text.count("\n") + 1
     if match := DECODER_POSITION.search(reason):
         line = int(match[1])
--- a/runloft/config/schema/violations.py
+++ b/runloft/config/schema/violations.py
@@ -1,4 +1,4 @@
-"""Violations: what a check finds in a record, before its file and line are known."""
+"""Violations: results of checks on records, without file and line."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A fault at a path of keys, whose file and line are not known here."""
+    """A fault at a path of keys; the file's reader adds file and line."""
 
     path: KeyPath
     code: str
--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -1,6 +1,6 @@
-"""The configuration of one scheduler, as the program uses it: ``Config`` and its parts.
+"""The configuration of one scheduler as the program uses it: ``Config`` and its components.
 
-``runloft.config.loading`` reads it from a file.
+``runloft.config.loading`` loads it from a file.
 """
 
 from dataclasses import dataclass, field
@@ -13,14 +13,14 @@
 OPERATIONS = ("get", "head", "put", "delete", "create", "part", "complete", "abort", "parts")
 MAX_PORT = 65535
 
-MEMORY_MB = 192  # where the file names no limit
-PROGRAM_MB = 24  # what the program itself takes; the rest is for requests, bodies and buffers
+MEMORY_MB = 192  # default memory limit
+PROGRAM_MB = 24  # used by the program itself; the rest is for requests, bodies and buffers
 MIN_SPARE_MB = 4
 MAX_OPEN_REQUESTS = 2048
-OPEN_REQUEST_BYTES = 4096  # that are reckoned for each open request
+OPEN_REQUEST_BYTES = 4096  # memory budgeted per open request
 
-FENCE_LEASES = 1.5  # the fence in leases, unless it is set
-FENCE_DRIFT_DIVISOR = 16  # two steady clocks may drift apart by this part of a fence in its time
+FENCE_LEASES = 1.5  # default of the fence, in leases
+FENCE_DRIFT_DIVISOR = 16  # allowed clock drift during a fence: the fence divided by this
 
 
 class SocketAddress(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 def parse_address(text: str) -> SocketAddress:
-    """Split host:port; raise ValueError if the text is not of this form."""
+    """Parse host:port; raise ValueError if the text does not have this form."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError(f"not an address of the form host:port: {text!r}")
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectSettings:
-    """The object API, where an operator's file sets it up."""
+    """Settings of the object API, present if an operator's file configures it."""
 
     listen: SocketAddress
     store: str
@@ -57,54 +57,54 @@
     volumes: dict[str, VolumeSettings]
     unit_bytes: int = 65536
     max_body: int = 8 << 20
-    server_port: int = 0  # of object servers whose entry in the list names no address for it
+    server_port: int = 0  # port of object servers whose node list entry names no object endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class AgreementSettings:
-    """Where sidecars agree about the committed generation, where an operator's file sets it up."""
+    """Settings of the agreement on the committed generation, present if an operator's file configures it."""
 
     store: str
     directory: str
     prefix: str = "runloft"
     lease_ns: int = 3_000_000_000
-    fence_ns: int = 4_500_000_000  # nothing is reserved once the store has been silent for so long
-    cut_off: str = "unreserved"  # what is done then; "hold": nothing is served
+    fence_ns: int = 4_500_000_000  # after this long without contact to the store, nothing is reserved
+    cut_off: str = "unreserved"  # mode after the fence: serve without reserves, or "hold" to serve nothing
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
     """The configuration of one scheduler.
 
-    ``document`` is an operator's file in the wire's units; None for the platform's JSON.
+    ``document`` is the decoded operator's file in the wire's units, or None for the platform's JSON.
     """
 
     name: str
     listen: SocketAddress
     discovery: SocketAddress
     seed: int
-    initial_node_list: Document  # by which requests are placed until discovery has sent one
+    initial_node_list: Document  # used for placement until discovery has sent a node list
     settings: contract.Settings
     class_names: tuple[str, ...]
     plan_names: tuple[str, ...]
-    idle_timeout_ns: int  # of connections to nodes
+    idle_timeout_ns: int  # for connections to nodes
     max_sockets: int
     zones: tuple[str, ...] = ()
     objects: ObjectSettings | None = None
     memory_mb: int = MEMORY_MB
     agreement: AgreementSettings | None = None
     admin: SocketAddress | None = None
-    accounted_volumes: int = 0  # that have a latency account of their own; 0: none are kept
+    accounted_volumes: int = 0  # volumes with a latency account of their own; 0: no accounts
     suspended_volumes: SuspendedVolumes = SuspendedVolumes()
     document: Document | None = field(default=None, compare=False)
 
     @property
     def spare_bytes(self) -> int:
-        """The memory that requests, bodies and buffers may take together."""
+        """The memory available to requests, bodies and buffers together, in bytes."""
         return max(MIN_SPARE_MB, self.memory_mb - PROGRAM_MB) << 20
 
     @property
     def bounds(self) -> Bounds:
-        """What the core may hold: a third of the spare memory for requests, a quarter for bodies."""
+        """The core's bounds: a third of the spare memory for requests and a quarter for bodies."""
         requests = min(MAX_OPEN_REQUESTS, self.spare_bytes // 3 // OPEN_REQUEST_BYTES)
         return Bounds(requests, self.spare_bytes // 4)
--- a/runloft/config/tool/__init__.py
+++ b/runloft/config/tool/__init__.py
@@ -1,1 +1,1 @@
-"""The actions of ``runloft config`` and what they print."""
+"""Actions of ``runloft config`` and their output."""
--- a/runloft/config/tool/check_command.py
+++ b/runloft/config/tool/check_command.py
@@ -1,4 +1,4 @@
-"""The action ``runloft config check``: each fault by file, line and key."""
+"""The action ``runloft config check``, which reports each fault by file, line and key."""
 
 import argparse
 import json
@@ -13,7 +13,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Check files, a fleet, or both against each other; return the exit status."""
+    """Check files, a fleet, or both against each other, and return the exit status."""
     if not options.file and not options.fleet:
         return usage_error("config check wants FILE or --fleet")
     if options.nodes and not options.fleet:
@@ -46,7 +46,7 @@
 
 
 def _platform_faults(path: str) -> list[Fault]:
-    """Check the platform's JSON, by the same code as ``serve``."""
+    """Check the platform's JSON with the same code as ``serve``."""
     try:
         load_config(path)
     except ConfigError as error:
@@ -55,9 +55,9 @@
     return []
 
 
-def _print_result(options: argparse.Namespace, faults: list[Fault], blocked: bool) -> None:
+def _print_result(options: argparse.Namespace, faults: list[Fault], has_blocking: bool) -> None:
     print_faults(faults)
-    if blocked:
+    if has_blocking:
         return
     names = [*options.file, *([options.fleet] if options.fleet else [])]
     warnings = f", warnings: {len(faults)}" if faults else ""
--- a/runloft/config/tool/diff_command.py
+++ b/runloft/config/tool/diff_command.py
@@ -1,4 +1,4 @@
-"""The action ``runloft config diff``: what a change does to each volume."""
+"""The action ``runloft config diff``, which reports the effect of a change on each volume."""
 
 import argparse
 import json
@@ -19,13 +19,13 @@
 from runloft.config.tool.output import print_faults, print_table, usage_error
 
 COLUMNS = ("volume", "figure", "old", "new", "on")
-# Reserves that can't be served don't keep a fleet from being compared.
+# A fleet is compared even if its reserves are infeasible.
 TOLERATED_CODES = ("reserve-not-borne",)
 
 
 @dataclass(frozen=True, slots=True)
 class _Side:
-    """One of the two files: whether it is a fleet's, its faults, and its volumes where there are figures."""
+    """One of the two files; ``volumes`` is empty if the file has blocking faults."""
 
     is_fleet: bool
     faults: Sequence[Fault]
@@ -33,7 +33,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Compare two files of one kind; return the exit status."""
+    """Compare two files of the same kind and return the exit status."""
     sides = []
     for path in (options.old, options.new):
         side = _read_side(path, options.nodes)
--- a/runloft/config/tool/explain_command.py
+++ b/runloft/config/tool/explain_command.py
@@ -1,4 +1,4 @@
-"""The action ``runloft config explain``: what a key takes."""
+"""The action ``runloft config explain``, which describes a key."""
 
 import argparse
 
@@ -10,11 +10,11 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Explain a key, or all keys that end with the given pieces; return the exit status."""
+    """Explain a key, or all keys that end with the given segments, and return the exit status."""
     keys = find_keys(options.key)
     if not keys:
-        last_pieces = {path.split(".")[-1] for path in known_keys()}
-        suggestion = nearest_word(options.key.split(".")[-1], last_pieces)
+        last_segments = {path.split(".")[-1] for path in known_keys()}
+        suggestion = nearest_word(options.key.split(".")[-1], last_segments)
         print_error(f'there is no key "{options.key}"; did you mean {suggestion}?')
         return 1
     for number, key in enumerate(keys):
--- a/runloft/config/tool/explanation.py
+++ b/runloft/config/tool/explanation.py
@@ -1,4 +1,4 @@
-"""What a key means: its type, unit, bounds and default, as the records declare them."""
+"""Explanations of keys: type, unit, bounds and default, as declared in the records."""
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """A key of a file, dotted; rows and names stand as ``*``; with the record that declares it."""
+    """A dotted key, with ``*`` for row numbers and names, and the record that declares it."""
 
     path: str
     setting: Setting
@@ -30,46 +30,49 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplanationLine:
-    """One line of an explanation: what it is about, and the text."""
+    """One line of an explanation: a label and a text."""
 
     label: str
     text: str
 
 
 def keys_of(record: type[Record], prefix: str = "") -> Iterator[Key]:
-    """Yield every key of a record and of the records below it."""
+    """Yield every key of a record and of its nested records."""
     for setting in settings_of(record).values():
         path = f"{prefix}{setting.key}"
         yield Key(path, setting, record)
         kind = setting.kind
         if isinstance(kind, Table | Rows | Named) and kind.record is not Record:
-            star = "" if isinstance(kind, Table) else "*."
-            yield from keys_of(kind.record, f"{path}.{star}")
+            wildcard = "" if isinstance(kind, Table) else "*."
+            yield from keys_of(kind.record, f"{path}.{wildcard}")
 
 
 def known_keys() -> dict[str, Key]:
-    """Return every key of both files by its path; a key of the fleet's begins with ``fleet.``."""
+    """Return the keys of the operator's and the fleet's file by path; the fleet's start with ``fleet.``."""
     keys = [*keys_of(OperatorRecord), *keys_of(FleetRecord, FLEET_PREFIX)]
     return {key.path: key for key in keys}
 
 
-def find_keys(word: str) -> list[Key]:
-    """Find keys by their whole path or by their last pieces; numbers and names match ``*``."""
-    suffix = word.split(".")
+def find_keys(query: str) -> list[Key]:
+    """Return the keys with the given path, or else those whose path ends with the given segments.
+
+    A ``*`` in a path matches any segment, such as a row number or a name.
+    """
+    suffix = query.split(".")
     matching = [key for key in known_keys().values() if _ends_with(key.path.split("."), suffix)]
-    exact = [key for key in matching if key.path == word]
+    exact = [key for key in matching if key.path == query]
     return exact or matching
 
 
-def _ends_with(pieces: Sequence[str], suffix: Sequence[str]) -> bool:
-    tail = pieces[-len(suffix) :]
+def _ends_with(segments: Sequence[str], suffix: Sequence[str]) -> bool:
+    tail = segments[-len(suffix) :]
     if len(tail) != len(suffix):
         return False
-    return all(piece in (word, "*") for piece, word in zip(tail, suffix, strict=True))
+    return all(segment in (wanted, "*") for segment, wanted in zip(tail, suffix, strict=True))
 
 
 def explain(key: Key) -> list[ExplanationLine]:
-    """Return what there is to say about a key."""
+    """Return the lines of a key's explanation."""
     setting = key.setting
     lines = [ExplanationLine("key", key.path), ExplanationLine("takes", setting.kind.expected)]
     if setting.description:
@@ -79,7 +82,7 @@
     if not setting.used:
         lines.append(ExplanationLine("note", "known, and passed over: the program doesn't go by it"))
     for constraint in _constraints_on(key):
-        remedy = _with_keys(constraint.remedy, key.record)
+        remedy = _replace_placeholders(constraint.remedy, key.record)
         lines.append(ExplanationLine("constraint", f"{constraint.code}: right is {remedy}"))
     return lines
 
@@ -91,13 +94,13 @@
 
 
 def _constraints_on(key: Key) -> list[Constraint]:
-    """Return the constraints that a key takes part in."""
+    """Return the constraints that involve a key."""
     field = next(name for name, other in settings_of(key.record).items() if other is key.setting)
     return [constraint for constraint in key.record.CONSTRAINTS if field in constraint.fields]
 
 
-def _with_keys(text: str, record: type[Record]) -> str:
-    """Put keys in place of the fields whose values a fault would show."""
+def _replace_placeholders(text: str, record: type[Record]) -> str:
+    """Replace each field placeholder in a text by the field's key."""
     for field, setting in settings_of(record).items():
         text = text.replace("{" + field + "}", setting.key).replace("{" + field + ":g}", setting.key)
     return text
--- a/runloft/config/tool/output.py
+++ b/runloft/config/tool/output.py
@@ -1,4 +1,4 @@
-"""What the command-line tools print: faults, tables, and wrong use."""
+"""Output of the command-line tools: faults, tables and usage errors."""
 
 import sys
 from collections.abc import Iterable, Sequence
@@ -9,7 +9,7 @@
 
 
 def usage_error(reason: str) -> int:
-    """Print why the tool was used wrongly; return the exit status."""
+    """Print a usage error and return the exit status."""
     print(f"runloft: {reason}", file=sys.stderr)
     return USAGE_ERROR
 
@@ -20,13 +20,13 @@
 
 
 def print_faults(faults: Iterable[Fault]) -> None:
-    """Print faults on standard error, a line each."""
+    """Print faults on standard error, one per line."""
     for fault in faults:
         print_error(fault)
 
 
 def print_table(title: str, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
-    """Print rows: a table on a terminal, else columns separated by tabs."""
+    """Print rows as a table on a terminal, or else as columns separated by tabs."""
     if not sys.stdout.isatty():
         print("\t".join(columns))
         for row in rows:
--- a/runloft/config/tool/write_command.py
+++ b/runloft/config/tool/write_command.py
@@ -1,4 +1,4 @@
-"""The action ``runloft config write``: a template for one application, or a fleet's files."""
+"""The action ``runloft config write``, which writes a template or the files of a fleet."""
 
 import argparse
 import sys
@@ -17,17 +17,17 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Write files; return the exit status."""
+    """Write files and return the exit status."""
     return _write_from_fleet(options) if options.fleet else _write_template(options)
 
 
 def _write_template(options: argparse.Namespace) -> int:
     if options.all or options.output_dir or not options.application:
-        return usage_error("config write wants --application NAME, or --fleet FLEET")
+        return usage_error("config write requires --application NAME or --fleet FLEET")
     try:
         text = operator_template(options.application)
         if options.output:
-            mode = "w" if options.force else "x"  # an existing file stays, unless forced
+            mode = "w" if options.force else "x"  # don't overwrite an existing file unless forced
             with open(options.output, mode, encoding="utf-8") as file:
                 file.write(text)
         else:
@@ -40,7 +40,7 @@
 
 def _write_from_fleet(options: argparse.Namespace) -> int:
     if not _names_one_or_all(options):
-        return usage_error("--fleet goes with --application NAME, or with --all and --output-dir DIR")
+        return usage_error("--fleet requires either --application NAME, or both --all and --output-dir DIR")
     checked = check_fleet_file(options.fleet, options.nodes)
     print_faults(checked.faults)
     if checked.fleet is None or blocking_faults(checked.faults, options.strict):
@@ -53,14 +53,14 @@
 
 
 def _names_one_or_all(options: argparse.Namespace) -> bool:
-    """Return whether either one application is named, or all of them with a directory."""
-    one = bool(options.application) and not options.all and not options.output_dir
-    every = bool(options.all and options.output_dir) and not options.application
-    return one or every
+    """Return whether the options name either single application, or all of them and a directory."""
+    single = bool(options.application) and not options.all and not options.output_dir
+    all_to_directory = bool(options.all and options.output_dir) and not options.application
+    return single or all_to_directory
 
 
 def _write(options: argparse.Namespace, file: GeneratedFile) -> int:
-    """Write one application's file, or print it; return the exit status."""
+    """Write or print single application's file and return the exit status."""
     if options.all or options.output:
         return _write_file(options, file)
     sys.stdout.write(file.text)
--- a/runloft/config/wire_settings.py
+++ b/runloft/config/wire_settings.py
@@ -1,7 +1,7 @@
-"""Translation of the wire's settings into the decisions' ``Settings``.
+"""Translation of settings in their wire form into the ``Settings`` of the decisions.
 
 The simulator's first message carries settings as path=value lines.  The platform's JSON and an operator's
-file name them alike, so they are flattened to that form, and all sides share one translation.
+file use the same names, so they are flattened to that form and share one translation.
 """
 
 import math
@@ -21,11 +21,14 @@
     "fail_rate": "errors_per_s",
 }
 
-PathValues = dict[str, str]  # the wire's settings by their dotted paths
+PathValues = dict[str, str]  # settings in wire form, by dotted path
 
 
 def flatten(value: Any, path: str = "") -> PathValues:
-    """Return nested JSON as path=value pairs: lists of objects counted, plain lists joined by commas."""
+    """Return nested JSON as path=value pairs.
+
+    A list of objects becomes a count and one set of pairs per object; other lists are joined by commas.
+    """
     match value:
         case dict():
             pairs: PathValues = {}
@@ -49,7 +52,7 @@
 
 
 class _Reader:
-    """Reads typed values; absent ones, and those that are no finite number, have the default."""
+    """Reads typed values; an absent value, or a number that isn't finite, is replaced by the default."""
 
     __slots__ = ("pairs", "prefix")
 
@@ -81,7 +84,7 @@
 
 
 def settings_from_wire(pairs: Mapping[str, str]) -> contract.Settings:
-    """Translate the first message; unknown keys are passed over, absent figures are zero."""
+    """Translate settings in wire form; ignore unknown keys and use defaults for absent ones."""
     reader = _Reader(pairs)
     return contract.Settings(
         classes=_classes(reader),
