--- a/runloft/config/commands.py
+++ b/runloft/config/commands.py
@@ -11,9 +11,7 @@
 
 def add_parsers(actions: Any) -> None:
     """Add the options of ``write``, ``check``, ``explain`` and ``diff`` to argparse's sub-parsers."""
-    write = actions.add_parser(
-        "write", help="write a valid template for an application, or the files of a fleet"
-    )
+    write = actions.add_parser("write", help="write a valid file for an application, or a fleet's files")
     write.add_argument(
         "--application",
         metavar="NAME",
@@ -26,7 +24,7 @@
     )
     write.add_argument("--output", metavar="FILE", help="file to write; default: standard output")
     write.add_argument("--output-dir", metavar="DIR", help="directory in which --all writes NAME.toml")
-    write.add_argument("--force", action="store_true", help="overwrite a file that was edited by hand")
+    write.add_argument("--force", action="store_true", help="overwrite an existing or hand-edited file")
     write.add_argument("--strict", action="store_true", help="treat warnings as faults")
     check = actions.add_parser("check", help="report each fault by file, line and key")
     check.add_argument(
@@ -72,7 +70,7 @@
 def run(options: argparse.Namespace) -> int:
     """Run an action and return the exit status.
 
-    An action's module is imported only when it runs, so other actions work without its libraries.
+    An action's module is imported only when the action runs, so other actions work without its libraries.
     """
     try:
         match options.action:
--- a/runloft/config/operator/agreement_checks.py
+++ b/runloft/config/operator/agreement_checks.py
@@ -13,7 +13,7 @@
 # for clock drift, then one lease until the change is applied, and one poll of the tool.
 FENCE_WITH_DRIFT = 1 + 1 / FENCE_DRIFT_DIVISOR
 LEASES_AFTER_FENCE = 1 + 1 / 10
-EXCHANGES_PER_LEASE = 4  # an exchange with the store times out after the lease divided by this
+EXCHANGES_PER_LEASE = 4  # an exchange with the store may take up to the lease divided by this
 NS_PER_MS = 1e6
 
 LEASE_PATH: KeyPath = ("agreement", "lease_ms")
--- a/runloft/config/platform_config.py
+++ b/runloft/config/platform_config.py
@@ -29,7 +29,7 @@
 DEFAULT_ACCOUNTED_VOLUMES = 10_000
 NS_PER_MS = 1_000_000
 
-PLACEHOLDER_ADDRESS = SocketAddress("", 0)  # returned for an invalid address
+PLACEHOLDER_ADDRESS = SocketAddress("", 0)  # in place of a missing or invalid address
 
 
 def config_from_json(document: Any) -> Config:
--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -68,7 +68,7 @@
     directory: str
     prefix: str = "runloft"
     lease_ns: int = 3_000_000_000
-    fence_ns: int = 4_500_000_000  # after this long without contact to the store, nothing is reserved
+    fence_ns: int = 4_500_000_000  # after this long without an answer from the store, nothing is reserved
     cut_off: str = "unreserved"  # mode after the fence: serve without reserves, or "hold" to serve nothing
 
 
--- a/tests/config/conftest.py
+++ b/tests/config/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the configuration's tests."""
+"""Fixtures for the tests of the configuration."""
 
 import pytest
 
@@ -7,8 +7,8 @@
 
 
 @pytest.fixture
-def written(tmp_path):
-    """A directory with the files that the fleet generates."""
+def generated_dir(tmp_path):
+    """Return a directory with the files generated from the fleet."""
     fleet = str(FILES / "fleet.toml")
     assert main(["config", "write", "--fleet", fleet, "--all", "--output-dir", str(tmp_path)]) == 0
     return tmp_path
--- a/tests/config/test_commands.py
+++ b/tests/config/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line of ``config``."""
+"""Tests of the command line of ``config``."""
 
 import json
 import subprocess
@@ -31,8 +31,8 @@
 
 def test_standard_output_holds_only_the_tools_json(tmp_path):
     command = [sys.executable, "-m", "runloft", "config", "check", "--fleet", str(FLEET), "--json"]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
-    assert json.loads(done.stdout) == {"faults": [], "served": True}
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
+    assert json.loads(completed.stdout) == {"faults": [], "served": True}
 
 
 def test_a_key_is_explained_from_its_declaration(capsys):
@@ -52,8 +52,10 @@
         "import sys; from runloft.cli import build_parser; from runloft.config.loading import load_config;"
         f"load_config({str(path)!r}); build_parser(); print(*sys.modules)"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT)
-    loaded = {name.partition(".")[0] for name in done.stdout.split()}
+    completed = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT
+    )
+    loaded = {name.partition(".")[0] for name in completed.stdout.split()}
     assert "runloft" in loaded
     assert not loaded & {
         "attr",
--- a/tests/config/test_comparison.py
+++ b/tests/config/test_comparison.py
@@ -90,51 +90,51 @@
         ),
     ],
 )
-def test_a_file_that_disagrees_with_the_fleet_is_reported(written, old, new, code, key, capsys):
-    path = written / "reports.toml"
+def test_a_file_that_disagrees_with_the_fleet_is_reported(generated_dir, old, new, code, key, capsys):
+    path = generated_dir / "reports.toml"
     replace_in_file(path, old, new)
-    paths = sorted(map(str, written.iterdir()))
+    paths = sorted(map(str, generated_dir.iterdir()))
     assert main(["config", "check", *paths, "--fleet", str(FLEET), "--json"]) == 1
     told = json.loads(capsys.readouterr().out)["faults"]
     assert (code, key, str(path)) in [(f["code"], f["key"], f["file"]) for f in told]
     assert {f["code"] for f in told} <= {code, "volume-not-here"}
 
 
-def test_the_file_that_disagrees_with_most_files_is_reported(written):
-    third = written / "third.toml"
+def test_the_file_that_disagrees_with_most_files_is_reported(generated_dir):
+    third = generated_dir / "third.toml"
     third.write_text(
-        (written / "ingest.toml")
+        (generated_dir / "ingest.toml")
         .read_text()
         .replace('"ingest"', '"third"')
         .replace("SlotNo = 0", "SlotNo = 2")
     )
-    paths = sorted(written.iterdir())
+    paths = sorted(generated_dir.iterdir())
     for path in paths:
         replace_in_file(path, "GroupSize = 2", "GroupSize = 3")
     replace_in_file(third, "Parts = 2.0", "Parts = 3.0")
     (fault,) = compare_files([check_file(str(path)) for path in paths])
     assert (fault.file, fault.code, fault.line) == (str(third), "plan-disagrees", line(third, "Parts = 3.0"))
     assert (
-        f"2 at {written / 'ingest.toml'}:" in fault.reason.replace("2.0 at", "2 at")
+        f"2 at {generated_dir / 'ingest.toml'}:" in fault.reason.replace("2.0 at", "2 at")
         and "1 more" in fault.reason
     )
 
 
-def test_one_id_for_two_volumes_in_two_files_is_reported(written):
-    other = written / "second.toml"
+def test_one_id_for_two_volumes_in_two_files_is_reported(generated_dir):
+    other = generated_dir / "second.toml"
     text = (
-        (written / "reports.toml")
+        (generated_dir / "reports.toml")
         .read_text()
         .replace('"reports"', '"second"')
         .replace("SlotNo = 1", "SlotNo = 0")
     )
     other.write_text(text.replace("volumes.logs]", "volumes.ledgers]"))
-    got = compare_files([check_file(str(written / name)) for name in ("reports.toml", "second.toml")])
+    got = compare_files([check_file(str(generated_dir / name)) for name in ("reports.toml", "second.toml")])
     assert "id-of-two-volumes" in [fault.code for fault in got]
 
 
-def test_hosts_are_counted_when_all_files_are_given(written):
-    reports = written / "reports.toml"
+def test_hosts_are_counted_when_all_files_are_given(generated_dir):
+    reports = generated_dir / "reports.toml"
     replace_in_file(reports, "GroupSize = 2", "GroupSize = 1")
     replace_in_file(reports, "SlotNo = 1", "SlotNo = 0")
     replace_in_file(reports, "hosts = 2", "hosts = 1")
--- a/tests/config/test_documentation.py
+++ b/tests/config/test_documentation.py
@@ -1,4 +1,4 @@
-"""Every fault code and every key is explained."""
+"""Tests that every fault code and every key is documented."""
 
 import ast
 import re
@@ -12,7 +12,7 @@
 
 
 def codes_in(tree):
-    """Find the codes that a module's calls report: their only arguments of hyphenated words."""
+    """Yield the fault codes in a module: the hyphenated string arguments of calls that report faults."""
     for call in ast.walk(tree):
         if isinstance(call, ast.Call) and getattr(call.func, "id", getattr(call.func, "attr", "")) in (
             REPORTING_CALLS
@@ -33,9 +33,9 @@
 
 
 def test_every_key_has_a_description_or_is_a_table():
-    bare = [
+    undocumented = [
         key.path
         for key in known_keys().values()
         if not key.setting.description and not isinstance(key.setting.kind, Table | Rows | Named)
     ]
-    assert bare == []
+    assert undocumented == []
--- a/tests/config/test_file_checks.py
+++ b/tests/config/test_file_checks.py
@@ -1,4 +1,4 @@
-"""Checks of configuration files: each fault by code, key and line, and no other."""
+"""Tests that checks of configuration files report exactly the expected codes, keys and lines."""
 
 from pathlib import Path
 
@@ -46,23 +46,23 @@
 
 
 HERE = Path(__file__).parent / "files"
-WHOLE = (HERE / "sidecar.toml").read_bytes()
+VALID_FILE = (HERE / "sidecar.toml").read_bytes()
 
 
 @pytest.mark.parametrize(
     ("data", "line", "code"),
     [
-        (b"\xef\xbb\xbf" + WHOLE, 0, "byte-order-mark"),
-        (WHOLE.decode().encode("utf-16"), 0, "byte-order-mark"),
-        (WHOLE.replace(b'"export-history"\nlisten', b'"export\xff"\nlisten'), 1, "not-utf8"),
-        (WHOLE[: WHOLE.index(b'5s"\nEffect = "retry') + 1], 70, "bad-toml"),
-        (WHOLE + b"# " + b"x" * (10 << 20), 0, "too-large"),
+        (b"\xef\xbb\xbf" + VALID_FILE, 0, "byte-order-mark"),
+        (VALID_FILE.decode().encode("utf-16"), 0, "byte-order-mark"),
+        (VALID_FILE.replace(b'"export-history"\nlisten', b'"export\xff"\nlisten'), 1, "not-utf8"),
+        (VALID_FILE[: VALID_FILE.index(b'5s"\nEffect = "retry') + 1], 70, "bad-toml"),
+        (VALID_FILE + b"# " + b"x" * (10 << 20), 0, "too-large"),
         (b"a = " + b"[" * 5000, 1, "bad-toml"),
     ],
 )
 def test_an_unparsable_file_reports_one_fault(data, line, code):
-    got = check_text("f.toml", data).faults
-    assert [(f.line, f.code, f.key) for f in got] == [(line, code, "(file)")]
+    faults = check_text("f.toml", data).faults
+    assert [(f.line, f.code, f.key) for f in faults] == [(line, code, "(file)")]
 
 
 def test_a_missing_or_too_large_file_is_a_fault(tmp_path):
@@ -72,5 +72,7 @@
 
 
 def test_windows_line_endings_keep_line_numbers():
-    got = check_text("f.toml", WHOLE.replace(b"Parts = 2.0", b"Parts = 0").replace(b"\n", b"\r\n")).faults
-    assert [f.line for f in got] == [WHOLE[: WHOLE.index(b"Parts = 2.0")].count(b"\n") + 1]
+    faults = check_text(
+        "f.toml", VALID_FILE.replace(b"Parts = 2.0", b"Parts = 0").replace(b"\n", b"\r\n")
+    ).faults
+    assert [f.line for f in faults] == [VALID_FILE[: VALID_FILE.index(b"Parts = 2.0")].count(b"\n") + 1]
--- a/tests/config/test_machine_checks.py
+++ b/tests/config/test_machine_checks.py
@@ -1,4 +1,4 @@
-"""The checks of descriptors and memory, against the program's own figures and what was measured."""
+"""Tests of the checks of descriptors and memory against the program's constants and recorded measurements."""
 
 from pathlib import Path
 
@@ -15,31 +15,36 @@
 
 
 def test_descriptor_checks_agree_with_listeners_and_upstream_pools():
-    """The checks can't import what they speak of: layers lie the other way."""
-    raw = check_file(str(HERE / "sidecar.toml")).document | {"limits": {"sockets": 1024}}
-    for objects, parts in machine_checks.NODE_SOCKET_DIVISORS.items():
-        held = raw if objects else {key: value for key, value in raw.items() if key != "objects"}
-        listener = ListenerBase(None, None, None, None, config_from_json(held))
-        fronts = 2 if objects else 1
+    """Guard the constants that the checks duplicate because import rules forbid importing them."""
+    document = check_file(str(HERE / "sidecar.toml")).document | {"limits": {"sockets": 1024}}
+    for objects, divisors in machine_checks.NODE_SOCKET_DIVISORS.items():
+        checked_document = (
+            document if objects else {key: value for key, value in document.items() if key != "objects"}
+        )
+        listener = ListenerBase(None, None, None, None, config_from_json(checked_document))
+        listener_count = 2 if objects else 1
         assert (listener.pressure_threshold, listener.max_clients) == (
-            int(1024 * machine_checks.EVICTION_FRACTION) // fronts,
-            int(1024 * machine_checks.MAX_CLIENT_FRACTION) // fronts,
+            int(1024 * machine_checks.EVICTION_FRACTION) // listener_count,
+            int(1024 * machine_checks.MAX_CLIENT_FRACTION) // listener_count,
         )
-        for part in parts:
+        for divisor in divisors:
             pool = ConnectionPool(
                 None,
                 None,
                 None,
                 None,
-                config_from_json(held),
+                config_from_json(checked_document),
                 connection_type=None,
                 permit=None,
                 begin_attempt=None,
-                descriptors_divisor=part,
+                descriptors_divisor=divisor,
             )
-            assert pool.max_connections == (1024 - machine_checks.RESERVED_SOCKETS) // part
-    server = (HERE.parents[2] / "runloft" / "service" / "server.py").read_text()
-    assert "descriptors_divisor=4 if config.objects else 2," in server and "descriptors_divisor=8," in server
+            assert pool.max_connections == (1024 - machine_checks.RESERVED_SOCKETS) // divisor
+    server_source = (HERE.parents[2] / "runloft" / "service" / "server.py").read_text()
+    assert (
+        "descriptors_divisor=4 if config.objects else 2," in server_source
+        and "descriptors_divisor=8," in server_source
+    )
     assert (machine_checks.IDLE_TIMEOUT_MS, machine_checks.CROWDED_IDLE_TIMEOUT_MS) == (
         resp_limits.IDLE_TIMEOUT_NS / 1e6,
         resp_limits.PRESSURE_IDLE_TIMEOUT_NS / 1e6,
@@ -50,16 +55,23 @@
 def test_checked_memory_is_no_less_than_measured():
     path = HERE.parents[2] / "docs" / "capacity" / "datapath.json"
     events = result_from(path.read_text()).events
-    rests = [one for one in events if one.name == "clients-rest-uncrowded"]
-    used = [
-        (e.figures["scheduler.resident_mb"] - e.figures["scheduler.before.resident_mb"]) / e.sizes.clients
-        for e in rests
+    idle_events = [event for event in events if event.name == "clients-rest-uncrowded"]
+    client_memory_mb = [
+        (event.figures["scheduler.resident_mb"] - event.figures["scheduler.before.resident_mb"])
+        / event.sizes.clients
+        for event in idle_events
     ]
-    assert machine_checks.CLIENT_MEMORY_KB * 0.9 < max(used) * 1024 <= machine_checks.CLIENT_MEMORY_KB
-    starts = [one for one in events if one.name.startswith("starts:")]
-    for most, some in (
+    assert (
+        machine_checks.CLIENT_MEMORY_KB * 0.9
+        < max(client_memory_mb) * 1024
+        <= machine_checks.CLIENT_MEMORY_KB
+    )
+    starts = [event for event in events if event.name.startswith("starts:")]
+    for limit_mb, event_names in (
         (machine_checks.BASE_MEMORY_MB, ("starts:platform", "starts:operator")),
-        (machine_checks.BASE_MEMORY_WITH_TOOLS_MB, [one.name for one in starts]),
+        (machine_checks.BASE_MEMORY_WITH_TOOLS_MB, [event.name for event in starts]),
     ):
-        own = [one.figures["scheduler.resident_mb"] for one in starts if one.name in some]
-        assert most * 0.9 < max(own) <= most
+        resident_mb = [
+            event.figures["scheduler.resident_mb"] for event in starts if event.name in event_names
+        ]
+        assert limit_mb * 0.9 < max(resident_mb) <= limit_mb
--- a/tests/config/test_unchanged_output.py
+++ b/tests/config/test_unchanged_output.py
@@ -1,7 +1,7 @@
-"""What the configuration tool prints, against the lines that version 9c33a60 printed.
+"""Tests that the configuration tool's output matches that of version 9c33a60.
 
 The files under ``files/expected`` are transcripts of that version: command, exit status, standard output
-and standard error.  They change only where a change of the tool's output is meant.
+and standard error.  They change only with an intended change of the tool's output.
 """
 
 import hashlib
@@ -21,16 +21,16 @@
 EXPECTED = FILES / "expected"
 
 
-def by_value(item):
-    """Return an item's values without the names of its classes and fields."""
+def values_only(item):
+    """Return an item as nested lists of values, without names of classes and fields."""
     if isinstance(item, Enum):
         return list(type(item)).index(item)
     if is_dataclass(item):
-        return [by_value(getattr(item, field.name)) for field in fields(item) if field.name != "document"]
+        return [values_only(getattr(item, field.name)) for field in fields(item) if field.name != "document"]
     if isinstance(item, dict):
-        return [[by_value(key), by_value(value)] for key, value in item.items()]
+        return [[values_only(key), values_only(value)] for key, value in item.items()]
     if isinstance(item, list | tuple):
-        return [by_value(inner) for inner in item]
+        return [values_only(inner) for inner in item]
     return repr(item)
 
 
@@ -39,11 +39,11 @@
 
 
 def digest_of_values(item):
-    return digest(json.dumps(by_value(item)))
+    return digest(json.dumps(values_only(item)))
 
 
 class Transcript:
-    """Runs commands of the tool in a directory and records what they print."""
+    """Runs commands of the tool and records their output."""
 
     def __init__(self, capsys):
         self.capsys = capsys
@@ -53,7 +53,7 @@
         self.lines.append(line)
 
     def run(self, *words, short=False):
-        """Run a command; ``short`` records a digest of its standard output."""
+        """Run a command and record its output; with ``short``, record only a digest of standard output."""
         self.capsys.readouterr()
         status = main(["config", *words])
         printed = self.capsys.readouterr()
@@ -84,7 +84,7 @@
 
 
 def transcript_of_values(transcript):
-    """Record the settings that each good sidecar file is translated to."""
+    """Record the translated settings of each good sidecar file."""
     for case in read_cases("good.txt"):
         if case.base == "sidecar":
             Path("sidecar.toml").write_text(case.text)
@@ -95,7 +95,7 @@
 
 
 def transcript_of_wire_settings(transcript):
-    """Record the translation of first messages in which some lines are absent or no numbers."""
+    """Record translations of wire settings with some keys missing and some values invalid."""
     raw = load_config(str(FILES / "sidecar.toml")).document["settings"]
     pairs = flatten(raw)
     transcript.note(f"pairs sha256 {digest(json.dumps(pairs))}")
@@ -162,7 +162,7 @@
     transcript.run("diff", "old.toml", "sidecar.toml")
 
 
-CHANGES_OF_ONE_FILE = (
+EDITS_OF_ONE_FILE = (
     ("Parts = 2.0", "Parts = 20.0"),
     ("Guaranteed = 10.0", "Guaranteed = 1.0"),
     ("HardLimit = 2500000000", "HardLimit = 25000000000"),
@@ -181,13 +181,13 @@
 
 
 def transcript_of_comparison(transcript):
-    """Record the faults of several files: of each other, and against the fleet."""
+    """Record the faults of several files compared with each other and with the fleet."""
     Path("fleet.toml").write_text((FILES / "fleet.toml").read_text())
     transcript.run("write", "--fleet", "fleet.toml", "--all", "--output-dir", ".")
-    written = Path("reports.toml").read_text()
-    for old, new in CHANGES_OF_ONE_FILE:
-        assert old in written
-        Path("reports.toml").write_text(written.replace(old, new, 1))
+    original = Path("reports.toml").read_text()
+    for old, new in EDITS_OF_ONE_FILE:
+        assert old in original
+        Path("reports.toml").write_text(original.replace(old, new, 1))
         transcript.note(f"== {old!r} -> {new!r}")
         transcript.run("check", "ingest.toml", "reports.toml")
         transcript.run("check", "ingest.toml", "reports.toml", "--fleet", "fleet.toml")
@@ -208,7 +208,7 @@
     transcript.run("check", "--fleet", "fleet.toml", "--nodes", "nodes.json")
 
 
-CHANGES_OF_THE_PLATFORMS_JSON = (
+EDITS_OF_PLATFORM_JSON = (
     ("listen", None),
     ("listen", "nowhere"),
     ("discovery", "host:99999"),
@@ -254,25 +254,25 @@
 )
 
 
-def replaced(document, path, value):
-    """Return a copy of a JSON document in which the value at a dotted path is another; None takes it out."""
+def with_value_replaced(document, path, value):
+    """Return a copy of a JSON document with the value at a dotted path replaced, or removed if None."""
     document = json.loads(json.dumps(document))
     *inner, last = path.split(".")
-    place = document
-    for piece in inner:
-        place = place[int(piece)] if isinstance(place, list) else place.setdefault(piece, {})
+    parent = document
+    for key in inner:
+        parent = parent[int(key)] if isinstance(parent, list) else parent.setdefault(key, {})
     if value is None:
-        del place[last]
+        del parent[last]
     else:
-        place[last] = value
+        parent[last] = value
     return document
 
 
 def transcript_of_platform(transcript):
-    """Record the faults of the platform's JSON, and the values of what is without fault."""
-    whole = load_config(str(FILES / "sidecar.toml")).document
-    for path, value in (("name", "same"), *CHANGES_OF_THE_PLATFORMS_JSON):
-        Path("config.json").write_text(json.dumps(replaced(whole, path, value)))
+    """Record the faults of variants of the platform's JSON, and the values of those without faults."""
+    valid_document = load_config(str(FILES / "sidecar.toml")).document
+    for path, value in (("name", "same"), *EDITS_OF_PLATFORM_JSON):
+        Path("config.json").write_text(json.dumps(with_value_replaced(valid_document, path, value)))
         transcript.note(f"== {path} {value!r}")
         transcript.run("check", "config.json")
         if main(["config", "check", "config.json"]) == 0:
--- a/tests/config/test_write_command.py
+++ b/tests/config/test_write_command.py
@@ -1,4 +1,4 @@
-"""``config write``: generated files, and files that were changed by hand."""
+"""Tests of ``config write``: generated and hand-edited files."""
 
 import os
 from pathlib import Path
@@ -10,46 +10,46 @@
 FLEET = ROOT / "tests" / "config" / "files" / "fleet.toml"
 
 
-def test_generated_files_have_no_fault_and_are_reproducible(written, capsys):
-    paths = sorted(map(str, written.iterdir()))
+def test_generated_files_have_no_fault_and_are_reproducible(generated_dir, capsys):
+    paths = sorted(map(str, generated_dir.iterdir()))
     assert main(["config", "check", *paths, "--fleet", str(FLEET), "--strict"]) == 0
-    before = [Path(p).read_bytes() for p in paths]
-    again = ["config", "write", "--fleet", str(FLEET), "--all", "--output-dir", str(written)]
+    before = [Path(path).read_bytes() for path in paths]
+    write_all = ["config", "write", "--fleet", str(FLEET), "--all", "--output-dir", str(generated_dir)]
     capsys.readouterr()
-    assert main(again) == 0
+    assert main(write_all) == 0
     assert capsys.readouterr().out.count("unchanged") == 2
-    assert [Path(p).read_bytes() for p in paths] == before
+    assert [Path(path).read_bytes() for path in paths] == before
     assert main(["config", "write", "--fleet", str(FLEET), "--application", "ingest"]) == 0
-    assert capsys.readouterr().out == (written / "ingest.toml").read_text()
+    assert capsys.readouterr().out == (generated_dir / "ingest.toml").read_text()
 
 
-def test_a_hand_edited_file_is_kept_unless_forced(written, capsys):
-    path = written / "reports.toml"
+def test_a_hand_edited_file_is_kept_unless_forced(generated_dir, capsys):
+    path = generated_dir / "reports.toml"
     replace_in_file(path, "Parts = 2.0", "Parts = 2.5")
     changed = path.read_text()
-    again = ["config", "write", "--fleet", str(FLEET), "--all", "--output-dir", str(written)]
-    assert main(again) == 1
+    write_all = ["config", "write", "--fleet", str(FLEET), "--all", "--output-dir", str(generated_dir)]
+    assert main(write_all) == 1
     assert path.read_text() == changed and "by hand" in capsys.readouterr().err
-    assert main([*again, "--force"]) == 0
+    assert main([*write_all, "--force"]) == 0
     assert path.read_text() != changed
-    assert [p.name for p in written.iterdir() if p.suffix != ".toml"] == []  # nothing left half-written
+    assert [p.name for p in generated_dir.iterdir() if p.suffix != ".toml"] == []  # no partial file remains
 
 
-def test_a_failed_write_leaves_the_old_file(written, monkeypatch):
-    path = written / "reports.toml"
+def test_a_failed_write_leaves_the_old_file(generated_dir, monkeypatch):
+    path = generated_dir / "reports.toml"
     old = path.read_text()
-    fleet = written / "other.toml"
+    fleet = generated_dir / "other.toml"
     fleet.write_text(FLEET.read_text().replace("MaxUnits = 6", "MaxUnits = 5"))
 
-    def broken(*_):
+    def fail_to_replace(*_):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "replace", broken)
+    monkeypatch.setattr(os, "replace", fail_to_replace)
     assert (
         main(["config", "write", "--fleet", str(fleet), "--application", "reports", "--output", str(path)])
         == 1
     )
-    assert path.read_text() == old and len(list(written.iterdir())) == 3
+    assert path.read_text() == old and len(list(generated_dir.iterdir())) == 3
 
 
 def test_an_infeasible_fleet_is_not_written(tmp_path, capsys):
--- a/tests/support/config_cases.py
+++ b/tests/support/config_cases.py
@@ -1,4 +1,4 @@
-"""Cases of configuration files: changes to the two whole files beside them, and the faults that they give."""
+"""Cases of configuration files: edits of two valid base files, and the faults that these cause."""
 
 import re
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Case:
-    """One changed file: the file that it is made from, its edits, and the faults that it must give."""
+    """One edited file: its base file, the edits, and the expected faults."""
 
     base: str
     title: str
@@ -20,12 +20,12 @@
 
     @property
     def text(self) -> str:
-        """Return the text of the changed file."""
+        """Return the text of the edited file."""
         return apply_edits(self.base, self.edits)
 
 
 def read_cases(name: str) -> Iterator[Case]:
-    """Read a file of cases: base, title, edits, faults."""
+    """Yield the cases of a file."""
     for block in (FILES / name).read_text().split("\n\n"):
         head, *rest = block.strip("\n").split("\n")
         _, base, title = head.split(" ", 2)
@@ -34,18 +34,19 @@
 
 
 def apply_edits(base: str, edits: tuple[str, ...]) -> str:
-    """Return the base file's text with each numbered line edited, the last line first."""
+    """Return the base file's text after all edits; lines are numbered as in the base file."""
     lines = (FILES / f"{base}.toml").read_text().split("\n")
+    # Edited from the last line to the first, so that earlier line numbers stay valid.
     for edit in sorted(edits, key=lambda text: -int(EDIT.match(text)[1])):
-        number, what, text = EDIT.match(edit).groups()
-        at = int(number)
+        number, operation, text = EDIT.match(edit).groups()
+        index = int(number)
         new = text.replace("\\n", "\n").split("\n")
-        lines[at - (what != "+") : at] = [] if what == "-" else new
+        lines[index - (operation != "+") : index] = [] if operation == "-" else new
     return "\n".join(lines)
 
 
 def replace_in_file(path: Path, old: str, new: str) -> None:
-    """Replace the first occurrence of a text in a file, which must hold it."""
+    """Replace the first occurrence of a text in a file; the text must occur."""
     text = path.read_text()
     assert old in text
     path.write_text(text.replace(old, new, 1))
