--- a/runloft/config/object_settings.py
+++ b/runloft/config/object_settings.py
@@ -26,7 +26,10 @@
 def read_objects(
     document: Any, class_names: Sequence[str], plan_names: Sequence[str], faults: list[str]
 ) -> ObjectSettings | None:
-    """Return the object API's settings, or add a text to ``faults`` for each fault and return None."""
+    """Return the object API's settings, or None if there are faults.
+
+    Each fault is added to ``faults`` as a text.
+    """
     if not isinstance(document, dict):
         faults.append("objects: an object is wanted")
         return None
--- a/runloft/config/schema/toml_file.py
+++ b/runloft/config/schema/toml_file.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TomlFile:
-    """A TOML file that was read; ``document`` is None if ``reader.faults`` holds the reason."""
+    """A TOML file that was read; ``document`` is None if the file can't be parsed."""
 
     reader: Reader
     document: Document | None = None
--- a/runloft/config/tool/write_command.py
+++ b/runloft/config/tool/write_command.py
@@ -53,14 +53,14 @@
 
 
 def _names_one_or_all(options: argparse.Namespace) -> bool:
-    """Return whether the options name either single application, or all of them and a directory."""
+    """Return whether the options name either one application, or all of them and a directory."""
     single = bool(options.application) and not options.all and not options.output_dir
     all_to_directory = bool(options.all and options.output_dir) and not options.application
     return single or all_to_directory
 
 
 def _write(options: argparse.Namespace, file: GeneratedFile) -> int:
-    """Write or print single application's file and return the exit status."""
+    """Write or print one application's file and return the exit status."""
     if options.all or options.output:
         return _write_file(options, file)
     sys.stdout.write(file.text)
--- a/tests/config/test_unchanged_output.py
+++ b/tests/config/test_unchanged_output.py
@@ -297,7 +297,7 @@
 
 
 @pytest.mark.parametrize("name", list(TRANSCRIPTS))
-def test_output_is_that_of_the_version_before(name, tmp_path, monkeypatch, capsys):
+def test_output_matches_the_recorded_transcript(name, tmp_path, monkeypatch, capsys):
     monkeypatch.chdir(tmp_path)
     transcript = Transcript(capsys)
     TRANSCRIPTS[name](transcript)
