--- a/runloft/lab/soak/attempt_oracles.py
+++ b/runloft/lab/soak/attempt_oracles.py
@@ -44,7 +44,9 @@
     remaining_s = request.expires_at - attempt.first_byte_at
     if attempt.deadline_s > remaining_s + DEADLINE_TOLERANCE_S + tolerance_s:
         excess_s = attempt.deadline_s - remaining_s
-        yield Violation(Rule.DEADLINE, request.id, f"attempt {number} announced {excess_s:.3f} s too much")
+        yield Violation(
+            Rule.DEADLINE, request.id, f"attempt {number} announced a deadline {excess_s:.3f} s too long"
+        )
 
 
 def _check_retry(
--- a/runloft/lab/soak/clients.py
+++ b/runloft/lab/soak/clients.py
@@ -32,8 +32,8 @@
     "ledger-write": ClientClass(b"IO.OUT", 1.5),
 }
 WRITE_VERB = b"IO.OUT"
-ANSWER_GRACE_S = 0.5  # an answer this long after the deadline is late but no violation
-READ_TIMEOUT_MARGIN_S = 1.5  # added to the time of the latest expected answer
+ANSWER_GRACE_S = 0.5  # an answer up to this long after the deadline is worthless, but no violation
+READ_TIMEOUT_MARGIN_S = 1.5  # beyond the latest expected answer; no answer arrives after it
 MEAN_THINK_TIME_S = 0.12  # between the requests of one client
 # A pipeline must fit into a receive window: the send time of bytes that are still buffered is unknown.
 MAX_PIPELINED = 150
@@ -88,7 +88,7 @@
         return any(self.random.random() < fault.amount for fault in active)
 
     async def run(self, until_s: float) -> None:
-        """Send requests until a time of the run."""
+        """Send requests until ``until_s`` seconds after the run's start."""
         await anyio.sleep(self.random.uniform(0.0, MEAN_THINK_TIME_S))
         while self.now() < until_s:
             try:
--- a/runloft/lab/soak/node_oracles.py
+++ b/runloft/lab/soak/node_oracles.py
@@ -18,7 +18,7 @@
 MEAN_UNITS = 2.0
 NODE_UNITS_PER_S = 100.0
 # Arrivals are random: a count within this many standard deviations above the mean is no violation.
-LARGE_MEAN_REQUESTS = 30.0
+LARGE_MEAN_REQUESTS = 30.0  # smallest mean for which LARGE_MEAN_DEVIATIONS applies
 LARGE_MEAN_DEVIATIONS = 2
 SMALL_MEAN_DEVIATIONS = 3
 
--- a/runloft/lab/soak/playing.py
+++ b/runloft/lab/soak/playing.py
@@ -46,7 +46,7 @@
         )
 
     def shrink(self, result: SeedResult) -> SeedResult:
-        """Drop every fault without which one of the broken rules is still broken."""
+        """Drop each fault in turn; leave it out if one of the same rules is still broken without it."""
         rules = {violation.rule for violation in result.violations}
         for fault in result.schedule.faults:
             reduced = self.play(result.schedule.without(fault))
--- a/runloft/lab/soak/process_oracles.py
+++ b/runloft/lab/soak/process_oracles.py
@@ -9,7 +9,7 @@
 from runloft.lab.soak.violations import Rule, Violation
 
 LOGGED_ERROR = re.compile(r"Traceback|invariant violated|\[error +\]")
-EXPECTED_ERROR = re.compile(r"reload failed, the old configuration stands")  # the file can be unreadable
+EXPECTED_ERROR = re.compile(r"reload failed, the old configuration stands")  # injected read errors cause it
 MAX_LINE_LENGTH = 160
 
 
--- a/runloft/lab/soak/records.py
+++ b/runloft/lab/soak/records.py
@@ -39,7 +39,7 @@
 
     @property
     def expires_at(self) -> float:
-        """The time of its deadline."""
+        """The time at which its deadline expires."""
         return self.sent_at + self.wait_s
 
     @property
--- a/runloft/lab/soak/seed_result.py
+++ b/runloft/lab/soak/seed_result.py
@@ -40,7 +40,7 @@
         return Verdict.INCONCLUSIVE if only_timed and self.lag_s > MAX_EVENT_LOOP_DELAY_S else Verdict.FAILED
 
     def document(self) -> SeedDocument:
-        """Return a line of --output; its keys are stable and independent of the field names."""
+        """Return a line of --output; its top-level keys are independent of the field names."""
         return {
             "schedule": self.schedule.document(),
             "requests": self.requests,
--- a/runloft/lab/soak/shim.py
+++ b/runloft/lab/soak/shim.py
@@ -75,7 +75,7 @@
 
 
 def with_faults(injector: FaultInjector, kind: str, original: Callable[..., Any]) -> Callable[..., Any]:
-    """Return a wrapper of a function that fails by the schedule."""
+    """Return a wrapper that raises a kind's errors by the schedule, and else calls ``original``."""
 
     @functools.wraps(original)
     def call(*args: Any, **kwargs: Any) -> Any:
@@ -94,9 +94,7 @@
     original_init = socket_class.__init__
 
     def init(self: Any, *args: Any, **kwargs: Any) -> None:
-        if (
-            kwargs.get("fileno") is None and len(args) < 4
-        ):  # opens a new descriptor, does not wrap an existing one
+        if kwargs.get("fileno") is None and len(args) < 4:  # opens a new descriptor
             injector.check("system-socket")
         original_init(self, *args, **kwargs)
 
