--- a/runloft/lab/soak/process_oracles.py
+++ b/runloft/lab/soak/process_oracles.py
@@ -9,7 +9,7 @@
 from runloft.lab.soak.violations import Rule, Violation
 
 LOGGED_ERROR = re.compile(r"Traceback|invariant violated|\[error +\]")
-EXPECTED_ERROR = re.compile(r"reload failed, the old configuration stands")  # injected read errors cause it
+EXPECTED_ERROR = re.compile(r"reload failed, the old configuration stands")  # logged if a file cannot be read
 MAX_LINE_LENGTH = 160
 
 
