--- a/runloft/config/comparison/__init__.py
+++ b/runloft/config/comparison/__init__.py
@@ -1,1 +1,1 @@
-"""Several files side by side, and what a change does."""
+"""Comparison of several files with each other, and of a configuration before and after a change."""
--- a/runloft/config/comparison/claims.py
+++ b/runloft/config/comparison/claims.py
@@ -1,4 +1,4 @@
-"""What each file of a fleet says about figures that all files have to agree on."""
+"""The values that each file sets for keys on which all files must agree."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass
@@ -13,15 +13,15 @@
 from runloft.config.operator.settings_records import SHARED_KEYS, ClassRecord, PlanRecord, SettingsRecord
 from runloft.config.schema.records import Record, settings_of
 
-OWN_AGREEMENT_FIELDS = ("store", "directory", "cut_off")  # a machine's own matter
-FLEET_TABLES = {"Classes": "classes", "ServiceLevels": "plans"}  # of an operator's file -> of the fleet's
+LOCAL_AGREEMENT_FIELDS = ("store", "directory", "cut_off")  # may differ between machines
+FLEET_TABLES = {"Classes": "classes", "ServiceLevels": "plans"}  # operator's table -> fleet's table
 
-Topic = tuple[str, ...]  # what a claim is about: a kind, then names and a key
+Topic = tuple[str, ...]  # what a value is for: a kind, then names and a key
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """A value that a file gives to a topic, and where it stands."""
+    """A file's value for a topic, and its key path."""
 
     topic: Topic
     path: KeyPath
@@ -30,26 +30,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A value at a place of one file; the fleet's claims are right."""
+    """A value at a key of one file; where claims differ, the fleet's is taken as correct."""
 
     source: CheckedFile | Fleet
     path: KeyPath
     value: Any
 
     @property
-    def place(self) -> str:
-        """The place as reasons name it."""
+    def location(self) -> str:
+        """File and line of the value, or the file alone if its text is not known."""
         reader = self.source.reader
         return reader.place(self.path) if reader.text else self.source.file
 
     def fault(self, code: str, reason: str, remedy: str, severity: Severity = Severity.FAULT) -> Fault:
-        """Return a fault at this place."""
+        """Return a fault at this claim's file, line and key."""
         line = self.source.reader.line(self.path)
         return Fault(self.source.file, line, ".".join(self.path), code, reason, remedy, severity)
 
 
 def statements_of_operator(record: OperatorRecord) -> Iterator[Statement]:
-    """Yield all that a sidecar's file says which the others have to say alike."""
+    """Yield the values in a sidecar's file that must be the same in every sidecar's file."""
     if record.agreement is not None:
         yield from _agreement_statements(record.agreement)
     if record.settings is None:
@@ -64,7 +64,7 @@
 
 def _agreement_statements(agreement: AgreementRecord) -> Iterator[Statement]:
     for field, setting in settings_of(AgreementRecord).items():
-        if setting.used and field not in OWN_AGREEMENT_FIELDS:
+        if setting.used and field not in LOCAL_AGREEMENT_FIELDS:
             path = ("agreement", setting.key)
             yield Statement(path, path, getattr(agreement, field))
 
@@ -100,7 +100,7 @@
 
 
 def statements_of_fleet(fleet: Fleet) -> Iterator[Statement]:
-    """Yield what the fleet says, at its own keys."""
+    """Yield the fleet's values, at the fleet's own keys."""
     record = Generator(fleet).record(0)
     if record is not None:
         for statement in statements_of_operator(record):
--- a/runloft/config/comparison/diff.py
+++ b/runloft/config/comparison/diff.py
@@ -1,4 +1,4 @@
-"""What a change of configuration does to each volume: plan, reserve, share, limit, on which nodes."""
+"""The effect of a configuration change on each volume: its plan, reserve, limit, and share on each node."""
 
 from collections import defaultdict
 from collections.abc import Iterator, Mapping
@@ -10,25 +10,25 @@
 from runloft.config.operator.records import OperatorRecord
 from runloft.config.operator.settings_records import PlanRecord
 
-COMPARED_FIGURES = ("plan", "reserve", "weight", "limit", "hosts")  # these names are printed
-MIN_SHARE_CHANGE = 0.01  # of the larger share; smaller changes are not reported
+COMPARED_FIGURES = ("plan", "reserve", "weight", "limit", "hosts")  # printed, and fields of VolumeFigures
+MIN_SHARE_CHANGE = 0.01  # fraction of the larger share; smaller changes are not reported
 
 
 @dataclass(frozen=True, slots=True)
 class VolumeFigures:
-    """What one volume has by one configuration; rates in units a second."""
+    """One volume's figures in one configuration; rates are in units per second."""
 
     plan: str
     reserve: float
     weight: float
     limit: float
     hosts: float
-    shares: Mapping[str, float]  # by node: the volume's part, by weight, of what the reserves leave there
+    shares: Mapping[str, float]  # by node uid: the part, by weight, of the unreserved rate
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change of one figure of one volume; these names are part of the ``--json`` output."""
+    """A change of one figure of one volume; the field names are part of the ``--json`` output."""
 
     volume: str
     figure: str
@@ -38,36 +38,36 @@
 
 
 def figures_of_fleet(fleet: Fleet) -> dict[str, VolumeFigures]:
-    """Return each volume's figures over the fleet's nodes."""
+    """Return each volume's figures, with its share on each node of the fleet."""
     unreserved = _unreserved_by_shard(fleet)
     weights: dict[int, float] = defaultdict(float)
     for volume in fleet.volumes:
         for shard in volume.shards:
             weights[shard] += volume.plan.weight
-    holders: dict[int, list[str]] = defaultdict(list)
+    nodes_by_shard: dict[int, list[str]] = defaultdict(list)
     for node in fleet.node_rates():
         if node.rate:
-            holders[node.node.shard].append(node.node.uid)
+            nodes_by_shard[node.node.shard].append(node.node.uid)
     figures = {}
     for volume in fleet.volumes:
         shares = {}
         for shard in volume.shards:
-            for uid in holders[shard]:
+            for uid in nodes_by_shard[shard]:
                 share = unreserved.get(shard, 0.0) * volume.plan.weight / weights[shard]
-                shares[uid] = share / len(holders[shard])
+                shares[uid] = share / len(nodes_by_shard[shard])
         figures[volume.name] = _figures(volume.plan, float(len(volume.sidecars)), shares)
     return figures
 
 
 def _unreserved_by_shard(fleet: Fleet) -> Mapping[int, float]:
-    """Return the units a second that the reserves leave on each shard."""
+    """Return the rate in units per second that the reserves leave free on each shard."""
     capacities = shard_capacities(fleet.node_rates(), Fraction(str(fleet.record.usable_fraction)))
     load = assign_reserves(reserve_demands(fleet.volumes), capacities).load
     return {shard: max(0, capacity - load.get(shard, 0)) / SCALE for shard, capacity in capacities.items()}
 
 
 def figures_of_operator(record: OperatorRecord) -> dict[str, VolumeFigures]:
-    """Return each volume's figures by one sidecar's file; without nodes there are no shares."""
+    """Return each volume's figures from one sidecar's file, which names no nodes and so gives no shares."""
     plans = {plan.name: plan for plan in record.settings.plans}
     volumes = record.objects.volumes if record.objects else {}
     figures = {f"(every volume on {name})": _figures(plan, 0.0, {}) for name, plan in plans.items()}
@@ -81,7 +81,7 @@
 
 
 def find_changes(old: Mapping[str, VolumeFigures], new: Mapping[str, VolumeFigures]) -> Iterator[Change]:
-    """Yield every change of a figure, volume by volume."""
+    """Yield every changed figure, by volume in the order of their names."""
     for name in sorted(old.keys() | new.keys()):
         before = old.get(name)
         after = new.get(name)
@@ -97,7 +97,7 @@
         old = getattr(before, figure)
         new = getattr(after, figure)
         if old != new:
-            yield Change(name, figure, _text(old), _text(new))
+            yield Change(name, figure, _format(old), _format(new))
 
 
 def _changed_shares(name: str, before: Mapping[str, float], after: Mapping[str, float]) -> Iterator[Change]:
@@ -105,12 +105,12 @@
         old = before.get(node, 0.0)
         new = after.get(node, 0.0)
         if abs(old - new) > MIN_SHARE_CHANGE * max(old, new):
-            yield Change(name, "share", _text(round(old, 3)), _text(round(new, 3)), node)
+            yield Change(name, "share", _format(round(old, 3)), _format(round(new, 3)), node)
 
 
 def _presence(figures: VolumeFigures | None) -> str:
     return "none" if figures is None else "there"
 
 
-def _text(value: object) -> str:
+def _format(value: object) -> str:
     return f"{value:g}" if isinstance(value, float) else str(value)
--- a/runloft/config/comparison/files.py
+++ b/runloft/config/comparison/files.py
@@ -1,7 +1,7 @@
-"""Comparison of several sidecars' files: where they disagree about one volume, plan, class or figure.
+"""Comparison of several sidecars' files: values that must be equal in all of them but differ.
 
-Of files that disagree, the one against most others is reported; the fleet, where it is known, is right
-against any number of files.
+The value that most files set is taken as correct and the files with another are reported.  If the fleet
+is known, its value is the correct one, however many files differ from it.
 """
 
 from collections import defaultdict
@@ -18,7 +18,7 @@
 
 
 def compare_files(files: Iterable[CheckedFile], fleet: Fleet | None = None) -> list[Fault]:
-    """Return the disagreements of files with each other and with the fleet, where it is given."""
+    """Return a fault for each disagreement of the files with each other and with the fleet, if given."""
     checked = list(files)
     if len(checked) < 2 and fleet is None:
         return []
@@ -32,7 +32,7 @@
 
 
 def _claims_by_topic(files: Sequence[CheckedFile], fleet: Fleet | None) -> Mapping[Topic, list[Claim]]:
-    """Return all claims by topic; what is at fault by itself claims no value that others should share."""
+    """Return all claims by topic, without those whose key has a fault of its own already."""
     claims: dict[Topic, list[Claim]] = defaultdict(list)
     for file in files:
         for statement in statements_of_operator(_record(file)):
@@ -43,54 +43,54 @@
                 claims[statement.topic].append(Claim(fleet, statement.path, statement.value))
     at_fault = {(fault.file, fault.key) for file in files for fault in file.faults}
     return {
-        topic: [claim for claim in some if (claim.source.file, ".".join(claim.path)) not in at_fault]
-        for topic, some in claims.items()
+        topic: [claim for claim in of_topic if (claim.source.file, ".".join(claim.path)) not in at_fault]
+        for topic, of_topic in claims.items()
     }
 
 
 def _record(file: CheckedFile) -> OperatorRecord:
-    assert file.record is not None  # only readable files are compared
+    assert file.record is not None  # compare_files leaves out files without a record
     return file.record
 
 
 def _disagreements(topic: Topic, claims: Sequence[Claim]) -> Iterator[Fault]:
-    """Yield a fault for each claim against the fleet, or against most files."""
+    """Yield a fault for each claim that differs from the fleet's or, without a fleet, from most files'."""
     by_value: dict[str, list[Claim]] = defaultdict(list)
     for claim in claims:
         by_value[repr(claim.value)].append(claim)
     if len(by_value) < 2:
         return
-    # The fleet first, then the largest group; of equals the one that was named first.
-    right = max(by_value.values(), key=lambda group: (_of_fleet(group) is not None, len(group)))
-    first = _of_fleet(right) or right[0]
-    more = f" and {len(right) - 1} more" if len(right) > 1 else ""
+    # The group with the fleet's claim, else the largest; the first of several of equal size.
+    reference = max(by_value.values(), key=lambda group: (_fleet_claim(group) is not None, len(group)))
+    first = _fleet_claim(reference) or reference[0]
+    more = f" and {len(reference) - 1} more" if len(reference) > 1 else ""
     subject = _subject(topic)
-    # The longest fence that a lease announces is respected; another one comes into force file by file.
+    # The longest fence that a lease announces is respected, so a change may be applied file by file.
     severity = Severity.WARNING if topic[0] == "agreement" else Severity.FAULT
     remedy = f"the same in all, such as {quote_value(first.value)}"
     for claim in claims:
-        if claim not in right:
+        if claim not in reference:
             reason = (
                 f"{subject} {quote_value(claim.value)} here, "
-                f"{quote_value(first.value)} at {first.place}{more}"
+                f"{quote_value(first.value)} at {first.location}{more}"
             )
             yield claim.fault(f"{topic[0]}-disagrees", reason, remedy, severity)
 
 
 def _subject(topic: Topic) -> str:
-    """Return what a claim is about, as a reason begins."""
+    """Return the start of a reason: what the topic is, and its key."""
     if len(topic) == 1:
         return f"{topic[0]} has GroupSize"
     named = len(topic) > 2 and topic[0] != "figure"
     return f'{topic[0]} "{topic[1]}" has {topic[-1]}' if named else f"{topic[0]} has {topic[-1]}"
 
 
-def _of_fleet(claims: Iterable[Claim]) -> Claim | None:
+def _fleet_claim(claims: Iterable[Claim]) -> Claim | None:
     return next((claim for claim in claims if isinstance(claim.source, Fleet)), None)
 
 
 def _compare_names(files: Sequence[CheckedFile], fleet: Fleet | None) -> Iterator[Fault]:
-    """Check that each file is one sidecar's, and one of the fleet's."""
+    """Check that each name and slot belongs to one file, and that the fleet has each name."""
     names: dict[str, Claim] = {}
     slots: dict[int, Claim] = {}
     for file in files:
@@ -103,14 +103,14 @@
         if slot is not None:
             claim = Claim(file, ("settings", "SlotNo"), slot)
             if slot in slots:
-                reason = f"slot {slot} is taken by another sidecar, at {slots[slot].place}"
+                reason = f"slot {slot} is taken by another sidecar, at {slots[slot].location}"
                 yield claim.fault("slot-taken", reason, "a slot of its own")
             slots.setdefault(slot, claim)
 
 
 def _compare_name(claim: Claim, other: Claim | None, fleet: Fleet | None) -> Iterator[Fault]:
     if other is not None:
-        reason = f'"{claim.value}" is the name of another sidecar, at {other.place}'
+        reason = f'"{claim.value}" is the name of another sidecar, at {other.location}'
         yield claim.fault("sidecar-twice", reason, "a name of its own")
     elif fleet and claim.value not in [application.name for application in fleet.record.applications]:
         reason = f'the fleet has no application "{claim.value}"'
--- a/runloft/config/comparison/volumes.py
+++ b/runloft/config/comparison/volumes.py
@@ -1,4 +1,4 @@
-"""Comparison of the volumes of several sidecars' files: ids, and the number of sidecars that serve one."""
+"""Comparison of the volumes in several sidecars' files: their ids, and how many sidecars serve each."""
 
 from collections import defaultdict
 from collections.abc import Iterator, Mapping, Sequence
@@ -11,7 +11,7 @@
 
 
 def compare_volumes(files: Sequence[CheckedFile], fleet: Fleet | None) -> Iterator[Fault]:
-    """Check that an id is one volume's everywhere, and that hosts are counted right."""
+    """Check volume ids across the files, and volumes against the fleet or, without one, their ``hosts``."""
     yield from _compare_ids(files)
     if fleet is not None:
         yield from _compare_with_fleet(files, fleet)
@@ -26,7 +26,7 @@
             claim = _id_claim(file, name)
             owner = owners.setdefault(int(volume.id, 16), claim)
             if owner.value != name and owner.source is not file:
-                reason = f'id {volume.id} is that of "{owner.value}" at {owner.place}'
+                reason = f'id {volume.id} is that of "{owner.value}" at {owner.location}'
                 yield claim.fault("id-of-two-volumes", reason, "an id of its own")
 
 
@@ -57,16 +57,16 @@
 
 
 def _compare_hosts(files: Sequence[CheckedFile]) -> Iterator[Fault]:
-    """Yield a warning where a volume's file names another number of sidecars than serve it.
+    """Yield a warning where a volume's ``hosts`` differs from the number of files that serve the volume.
 
-    Only with all files at hand, each with its volumes, can the sidecars of a volume be counted.
+    The sidecars of a volume can be counted only if the files of all sidecars are given, each with volumes.
     """
     if len(files) != _group_size(files) or not all(file.record and file.record.objects for file in files):
         return
     for claims in _hosts_by_volume(files).values():
         for claim in claims:
             if claim.value is not None and claim.value != len(claims):
-                reason = f"it names {claim.value:g} sidecars, and {len(claims)} of the {len(files)} serve it"
+                reason = f"hosts is {claim.value:g}, but {len(claims)} of the {len(files)} sidecars serve it"
                 yield claim.fault("hosts-miscounted", reason, f"{len(claims)}", Severity.WARNING)
 
 
@@ -80,5 +80,5 @@
 
 
 def _group_size(files: Sequence[CheckedFile]) -> int | None:
-    """Return how many sidecars there are by the first file whose settings could be read."""
+    """Return the number of sidecars that the first file with readable settings sets, or 0 without any."""
     return next((file.record.settings.hosts for file in files if file.record and file.record.settings), 0)
--- a/runloft/config/feasibility/__init__.py
+++ b/runloft/config/feasibility/__init__.py
@@ -1,1 +1,1 @@
-"""Whether a fleet's nodes can serve its volumes' reserves."""
+"""Feasibility of a fleet: checks that its nodes can serve its volumes' reserves."""
--- a/runloft/config/feasibility/assignment.py
+++ b/runloft/config/feasibility/assignment.py
@@ -1,6 +1,6 @@
 """Assignment of volumes' reserves to shards.
 
-Figures are whole thousandths of a unit a second: reserves are rounded up, capacities are rounded down.
+Rates are integers in thousandths of a unit per second: reserves are rounded up, capacities down.
 """
 
 from collections import defaultdict
@@ -12,12 +12,12 @@
 from runloft.config.feasibility.flow_solver import ShardGroup, max_flow
 from runloft.config.fleet.model import NodeRate, Volume
 
-SCALE = 1000  # figures are thousandths of a unit a second
+SCALE = 1000  # integer steps per unit/s
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """A volume's reserve, in thousandths of a unit a second, and the shards that may serve it."""
+    """A volume's reserve, in thousandths of a unit per second, and the shards that may serve it."""
 
     name: str
     reserve: int
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Portion:
-    """The part of a reserve that one shard serves, in thousandths of a unit a second."""
+    """The amount of a reserve that one shard serves, in thousandths of a unit per second."""
 
     shard: int
     amount: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """The portions of each demand, the reserve that no shard has capacity for, and each shard's load."""
+    """Each demand's portions, the total reserve that could not be assigned, and each shard's load."""
 
     portions: tuple[tuple[Portion, ...], ...]
     unassigned: int
@@ -42,7 +42,7 @@
 
 
 def shard_capacities(nodes: Iterable[NodeRate], usable_fraction: Fraction) -> dict[int, int]:
-    """Return each shard's capacity for reserves, in thousandths of a unit a second."""
+    """Return each shard's capacity for reserves, in thousandths of a unit per second."""
     rates: dict[int, Fraction] = defaultdict(Fraction)
     for node in nodes:
         rates[node.node.shard] += node.rate
@@ -50,7 +50,7 @@
 
 
 def reserve_demands(volumes: Iterable[Volume]) -> list[Demand]:
-    """Return the demands of the volumes that have a reserve."""
+    """Return a demand for each volume that has a reserve."""
     return [
         Demand(volume.name, ceil(Fraction(str(volume.plan.reserve)) * SCALE), tuple(sorted(volume.shards)))
         for volume in volumes
@@ -61,8 +61,8 @@
 def assign_reserves(demands: Sequence[Demand], capacities: Mapping[int, int]) -> Assignment:
     """Assign as much of the reserves as the capacities allow, spread over the shards as evenly as possible.
 
-    Volumes with the same shards are one group: their reserves add up, and the group's flow is dealt out
-    in order.  That keeps the program as small as the fleet's variety.
+    Volumes with the same shards form one group in the linear program, whose size therefore depends on the
+    number of distinct shard sets.  The group's flow is divided among its demands in their order.
     """
     reserves: dict[tuple[int, ...], int] = defaultdict(int)
     for demand in demands:
@@ -75,7 +75,7 @@
     assigned = []
     unassigned = 0
     for demand in demands:
-        portions = _take(demand, remaining[demand.shards])
+        portions = _allocate(demand, remaining[demand.shards])
         for portion in portions:
             load[portion.shard] += portion.amount
         unassigned += demand.reserve - sum(portion.amount for portion in portions)
@@ -83,14 +83,14 @@
     return Assignment(tuple(assigned), unassigned, load)
 
 
-def _take(demand: Demand, remaining: dict[int, int]) -> tuple[Portion, ...]:
-    """Take a demand out of what is left of its group's flow, from the largest flow first."""
+def _allocate(demand: Demand, remaining: dict[int, int]) -> tuple[Portion, ...]:
+    """Allocate a demand from its group's remaining flow, largest flow first, and deduct it there."""
     portions = []
-    missing = demand.reserve
+    unassigned = demand.reserve
     for shard in sorted(demand.shards, key=lambda shard: (-remaining[shard], shard)):
-        amount = min(missing, remaining[shard])
+        amount = min(unassigned, remaining[shard])
         if amount:
             portions.append(Portion(shard, amount))
             remaining[shard] -= amount
-            missing -= amount
+            unassigned -= amount
     return tuple(portions)
--- a/runloft/config/feasibility/conflicts.py
+++ b/runloft/config/feasibility/conflicts.py
@@ -1,4 +1,4 @@
-"""Explanation of reserves that can't be assigned: smallest sets of volumes that can't be served together."""
+"""Explanation of infeasible reserves: minimal sets of volumes that can't be served together."""
 
 from collections import defaultdict
 from collections.abc import Callable, Collection, Iterator, Mapping, Sequence
@@ -9,17 +9,17 @@
 from runloft.config.feasibility.assignment import SCALE, Assignment, Demand
 from runloft.config.schema.kinds import join_names
 
-MAX_SHARDS_SEARCHED = 8  # of a volume, for which all their subsets are looked at
-MAX_CONFLICTS = 20  # that are reported
-MAX_NAMES_LISTED = 8  # volumes or shards in a reason
+MAX_SHARDS_SEARCHED = 8  # larger shard sets are skipped: each shard doubles the subsets to sum
+MAX_CONFLICTS = 20  # largest number returned
+MAX_NAMES_LISTED = 8  # volumes or shards named in one reason
 Item = TypeVar("Item")
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A smallest set of volumes that can't be served together: without any one of them it could.
+    """A minimal set of volumes that can't be served together: without any one of them the rest could be.
 
-    ``reserved`` and ``capacity`` are thousandths of a unit a second.
+    ``reserved`` and ``capacity`` are in thousandths of a unit per second.
     """
 
     volumes: tuple[str, ...]
@@ -28,8 +28,8 @@
     capacity: int
 
     def __str__(self) -> str:
-        names = _listed(self.volumes)
-        shards = _listed([str(shard) for shard in self.shards])
+        names = _join_some(self.volumes)
+        shards = _join_some([str(shard) for shard in self.shards])
         verb = "reserves" if len(self.volumes) == 1 else "reserve"
         shard, bear = ("shard", "bears") if len(self.shards) == 1 else ("shards", "bear")
         return (
@@ -38,7 +38,7 @@
         )
 
 
-def _listed(names: Sequence[str]) -> str:
+def _join_some(names: Sequence[str]) -> str:
     if len(names) > MAX_NAMES_LISTED:
         return f"{', '.join(names[:MAX_NAMES_LISTED])} and {len(names) - MAX_NAMES_LISTED} more"
     return join_names(names)
@@ -47,7 +47,7 @@
 def find_conflicts(
     demands: Sequence[Demand], capacities: Mapping[int, int], assignment: Assignment
 ) -> list[Conflict]:
-    """Return smallest sets that can't be served together, from each part of the fleet that is short."""
+    """Return minimal conflicting sets of volumes from each connected group of demands that lacks capacity."""
     served_on: dict[int, list[int]] = defaultdict(list)
     for index, portions in enumerate(assignment.portions):
         for portion in portions:
@@ -58,16 +58,18 @@
         assigned = sum(portion.amount for portion in assignment.portions[index])
         if assigned >= demand.reserve or index in explained:
             continue
-        connected = _connected(index, demands, served_on)
+        connected = _connected_demands(index, demands, served_on)
         explained |= connected
-        conflicts += _smallest_conflicts([demands[other] for other in sorted(connected)], capacities)
+        conflicts += _minimal_conflicts([demands[other] for other in sorted(connected)], capacities)
         if len(conflicts) >= MAX_CONFLICTS:
             break
     return conflicts[:MAX_CONFLICTS]
 
 
-def _connected(start: int, demands: Sequence[Demand], served_on: Mapping[int, Sequence[int]]) -> set[int]:
-    """Return all demands that could make way for one, directly or by moving others.
+def _connected_demands(
+    start: int, demands: Sequence[Demand], served_on: Mapping[int, Sequence[int]]
+) -> set[int]:
+    """Return a demand and all demands that could free capacity for it, directly or by moving others.
 
     None of their shards has capacity left, or the assignment would have used it.
     """
@@ -78,39 +80,41 @@
         for shard in demands[pending.pop()].shards:
             if shard not in shards:
                 shards.add(shard)
-                fresh = [index for index in served_on.get(shard, ()) if index not in connected]
-                connected.update(fresh)
-                pending += fresh
+                added = [index for index in served_on.get(shard, ()) if index not in connected]
+                connected.update(added)
+                pending += added
     return connected
 
 
-def _smallest_conflicts(demands: list[Demand], capacities: Mapping[int, int]) -> Iterator[Conflict]:
-    """Yield conflicts among connected demands, on shards that are disjoint from each other.
+def _minimal_conflicts(demands: list[Demand], capacities: Mapping[int, int]) -> Iterator[Conflict]:
+    """Yield conflicts among connected demands, on disjoint sets of shards.
 
-    Most often a few volumes on one volume's shards are the whole cause, at several places: those are
-    reported one by one.  Only where no volume's own shards are short are all demands looked at together.
+    Usually each conflict lies within one volume's shards, and those conflicts are yielded one by one.  All
+    demands are searched together only if no single volume's shards lack capacity.
     """
     all_shards = frozenset(shard for demand in demands for shard in demand.shards)
     reported: set[int] = set()
-    for shards in _short_shard_sets(demands, capacities) or [all_shards]:
+    for shards in _overcommitted_shard_sets(demands, capacities) or [all_shards]:
         if reported.isdisjoint(shards):
             reported |= shards
             inside = [demand for demand in demands if shards.issuperset(demand.shards)]
-            yield _smallest_conflict(inside, capacities)
+            yield _minimal_conflict(inside, capacities)
 
 
-def _short_shard_sets(demands: Sequence[Demand], capacities: Mapping[int, int]) -> list[frozenset[int]]:
-    """Return the shard sets of single volumes whose capacity is short of what lies on them alone."""
+def _overcommitted_shard_sets(
+    demands: Sequence[Demand], capacities: Mapping[int, int]
+) -> list[frozenset[int]]:
+    """Return the volumes' shard sets whose capacity is below the reserves that only they can serve."""
     reserves: dict[frozenset[int], int] = defaultdict(int)
     for demand in demands:
         reserves[frozenset(demand.shards)] += demand.reserve
-    short = [
+    overcommitted = [
         shards
         for shards in reserves
         if len(shards) <= MAX_SHARDS_SEARCHED
         and sum(reserves.get(subset, 0) for subset in _subsets(shards)) > _capacity(shards, capacities)
     ]
-    return sorted(short, key=lambda shards: (len(shards), sorted(shards)))
+    return sorted(overcommitted, key=lambda shards: (len(shards), sorted(shards)))
 
 
 def _subsets(shards: frozenset[int]) -> Iterator[frozenset[int]]:
@@ -126,23 +130,23 @@
     return sorted({shard for demand in demands for shard in demand.shards})
 
 
-def _smallest_conflict(demands: list[Demand], capacities: Mapping[int, int]) -> Conflict:
-    """Leave out what can be left out: first shards with all that lies on them, then single volumes."""
+def _minimal_conflict(demands: list[Demand], capacities: Mapping[int, int]) -> Conflict:
+    """Return a minimal conflict: drop shards with all their volumes first, then single volumes."""
 
-    def short(some: Sequence[Demand]) -> bool:
-        shards = {shard for demand in some for shard in demand.shards}
-        return sum(demand.reserve for demand in some) > _capacity(shards, capacities)
+    def exceeds_capacity(subset: Sequence[Demand]) -> bool:
+        shards = {shard for demand in subset for shard in demand.shards}
+        return sum(demand.reserve for demand in subset) > _capacity(shards, capacities)
 
-    def without_shards(some: list[Demand], shards: set[int]) -> list[Demand]:
-        return [demand for demand in some if shards.isdisjoint(demand.shards)]
+    def without_shards(subset: list[Demand], shards: set[int]) -> list[Demand]:
+        return [demand for demand in subset if shards.isdisjoint(demand.shards)]
 
-    def without_volumes(some: list[Demand], names: set[str]) -> list[Demand]:
-        return [demand for demand in some if demand.name not in names]
+    def without_volumes(subset: list[Demand], names: set[str]) -> list[Demand]:
+        return [demand for demand in subset if demand.name not in names]
 
     remaining = sorted(demands, key=lambda demand: (-demand.reserve, demand.name))
-    remaining = _reduce(remaining, _shards_of(remaining), without_shards, short)
+    remaining = _minimize(remaining, _shards_of(remaining), without_shards, exceeds_capacity)
     smallest_first = [demand.name for demand in reversed(remaining)]
-    remaining = _reduce(remaining, smallest_first, without_volumes, short)
+    remaining = _minimize(remaining, smallest_first, without_volumes, exceeds_capacity)
     shards = _shards_of(remaining)
     return Conflict(
         volumes=tuple(sorted(demand.name for demand in remaining)),
@@ -152,19 +156,19 @@
     )
 
 
-def _reduce(
+def _minimize(
     demands: list[Demand],
     items: Sequence[Item],
     without: Callable[[list[Demand], set[Item]], list[Demand]],
-    short: Callable[[Sequence[Demand]], bool],
+    exceeds_capacity: Callable[[Sequence[Demand]], bool],
 ) -> list[Demand]:
-    """Leave out as many items as possible while the demands stay short: by halves first, then one by one."""
+    """Drop items as long as the demands exceed the capacity: half of them at once, then ever fewer."""
     step = max(1, len(items) // 2)
     while items:
         start = 0
         while start < len(items):
             fewer = without(demands, set(items[start : start + step]))
-            if fewer and len(fewer) < len(demands) and short(fewer):
+            if fewer and len(fewer) < len(demands) and exceeds_capacity(fewer):
                 demands = fewer
                 items = [*items[:start], *items[start + step :]]
             else:
--- a/runloft/config/feasibility/flow_solver.py
+++ b/runloft/config/feasibility/flow_solver.py
@@ -1,7 +1,7 @@
 """The linear program that spreads reserves over shards: a maximum flow with an even load.
 
-All figures are whole.  With whole figures the program's corners are whole too, since its matrix is a
-network's, so that the result is exact.
+All coefficients are integers.  The matrix is that of a network flow, hence totally unimodular, so with
+integer bounds the vertices of the program are integers too and the result is exact.
 """
 
 import ctypes
@@ -15,21 +15,21 @@
 import highspy
 import numpy
 
-LOAD_STEPS = 16  # into which a shard's capacity is cut, each dearer than the one before: the load evens out
+LOAD_STEPS = 16  # steps of each shard's capacity, of increasing cost so that the load is spread evenly
 STDOUT_DESCRIPTOR = 1
 
 
 class SolverError(ArithmeticError):
-    """The solver ended without an optimal solution."""
+    """The solver found no optimal solution."""
 
     def __init__(self, status: object) -> None:
-        super().__init__(f"the solver ended with {status}")
+        super().__init__(f"the linear program was not solved to optimality: solver status {status}")
         self.status = status
 
 
 @dataclass(frozen=True, slots=True)
 class ShardGroup:
-    """The reserve of all volumes that lie on the same shards."""
+    """The total reserve of all volumes with the same shards."""
 
     shards: tuple[int, ...]
     reserve: int
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LoadStep:
-    """A column of the program: the use of one step of a shard's capacity."""
+    """A column of the program: the load in one step of a shard's capacity."""
 
     shard: int
     cost: int
@@ -57,7 +57,7 @@
 ) -> list[dict[int, int]]:
     """Return each group's flow by shard: as much of the reserves as the shards' capacities allow.
 
-    Raise SolverError if the program could not be solved.
+    Raise SolverError if the solver finds no optimal solution.
     """
     flows = [dict.fromkeys(group.shards, 0) for group in groups]
     if not groups:
@@ -89,7 +89,7 @@
     routes: Sequence[_Route],
     steps: Sequence[_LoadStep],
 ) -> Any:
-    """Return the program: one row for each group and each shard, one column for each route and step."""
+    """Return the program, with a row for each group and each shard and a column for each route and step."""
     columns = len(routes) + len(steps)
     route_cost = -2.0 * LOAD_STEPS
     costs = [route_cost] * len(routes) + [float(step.cost) for step in steps]
@@ -110,19 +110,19 @@
 def _fill_matrix(
     matrix: Any, row_of_shard: Mapping[int, int], routes: Sequence[_Route], steps: Sequence[_LoadStep]
 ) -> None:
-    """Fill the matrix by columns: a route has entries in its group's and its shard's row, a step in one."""
+    """Fill the matrix by columns: a route has entries for its group and its shard, a step for its shard."""
     rows = [row for route in routes for row in (route.group, row_of_shard[route.shard])]
     rows += [row_of_shard[step.shard] for step in steps]
-    entries_of_routes = 2 * len(routes)
+    route_entries = 2 * len(routes)
     matrix.format_ = highspy.MatrixFormat.kColwise
-    matrix.start_ = numpy.array([*range(0, entries_of_routes, 2), *range(entries_of_routes, len(rows) + 1)])
+    matrix.start_ = numpy.array([*range(0, route_entries, 2), *range(route_entries, len(rows) + 1)])
     matrix.index_ = numpy.array(rows)
-    matrix.value_ = numpy.array([1.0] * entries_of_routes + [-1.0] * len(steps))
+    matrix.value_ = numpy.array([1.0] * route_entries + [-1.0] * len(steps))
 
 
 @contextmanager
 def _stdout_discarded() -> Iterator[None]:
-    """Discard what is written to standard output: the library prints a banner that no option suppresses."""
+    """Discard all standard output: the library prints a banner that no option suppresses."""
     sys.stdout.flush()
     stdout = os.dup(STDOUT_DESCRIPTOR)
     null = os.open(os.devnull, os.O_WRONLY)
@@ -130,7 +130,7 @@
     try:
         yield
     finally:
-        ctypes.CDLL(None).fflush(None)  # the banner lies in C's own buffer
+        ctypes.CDLL(None).fflush(None)  # the banner is still in C's stdio buffer
         os.dup2(stdout, STDOUT_DESCRIPTOR)
         os.close(stdout)
         os.close(null)
@@ -140,7 +140,7 @@
     with _stdout_discarded():
         solver: Any = highspy.Highs()  # type: ignore[no-untyped-call]
     solver.silent()
-    solver.setOptionValue("solver", "simplex")  # corners, never inner points: they are whole
+    solver.setOptionValue("solver", "simplex")  # returns an integral vertex, never an interior point
     solver.setOptionValue("threads", 1)
     solver.setOptionValue("random_seed", 1)
     return solver
--- a/runloft/config/fleet/__init__.py
+++ b/runloft/config/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet file: its records, its checks, and the operators' files that it generates."""
+"""Fleet files: their records, their checks, and the operators' files generated from them."""
--- a/runloft/config/fleet/checks.py
+++ b/runloft/config/fleet/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a fleet that lie between its tables."""
+"""Checks of a fleet that involve more than one row or table of its file."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -18,31 +18,31 @@
 from runloft.config.schema.records import document_of
 
 MAX_SHARDS_LISTED = 8
-SHARE_TOLERANCE = 1e-9  # of rounding, in a sum that may be 1
+SHARE_TOLERANCE = 1e-9  # rounding error allowed in the sum of shares
 
 
 NamedRow = NodeRecord | ClassRecord | PlanRecord | FleetVolumeRecord | ApplicationRecord
 
 
-def check_fleet(fleet: Fleet, listed: list[Node] | None) -> None:
-    """Check a fleet and fill in its nodes and volumes; ``listed`` nodes stand in for its own."""
+def check_fleet(fleet: Fleet, listed_nodes: list[Node] | None) -> None:
+    """Check a fleet and set its nodes and volumes; ``listed_nodes``, if given, replace its own nodes."""
     _check_names(fleet)
-    _fill_nodes(fleet, listed)
+    _fill_nodes(fleet, listed_nodes)
     _check_shares(fleet)
     _fill_volumes(fleet)
 
 
 def _check_names(fleet: Fleet) -> None:
-    """Check that each name, and each node's uid, stands once in its table."""
-    for table, rows_of_table in _named_rows(fleet.record).items():
-        names = [row.uid if isinstance(row, NodeRecord) else row.name for row in rows_of_table]
-        rows: dict[str, int] = {}
+    """Check that each name, and each node's uid, is unique in its table."""
+    for table, table_rows in _named_rows(fleet.record).items():
+        names = [row.uid if isinstance(row, NodeRecord) else row.name for row in table_rows]
+        first_rows: dict[str, int] = {}
         for index, name in enumerate(names):
-            if name is not None and name in rows:
+            if name is not None and name in first_rows:
                 path = (table, str(index), _name_key(table))
                 code = "node-twice" if table == "nodes" else "name-twice"
-                fleet.reader.fault(path, code, f'"{name}" stands in row {rows[name]} too', "each once")
-            rows.setdefault(name, index)
+                fleet.reader.fault(path, code, f'"{name}" stands in row {first_rows[name]} too', "each once")
+            first_rows.setdefault(name, index)
 
 
 def _named_rows(record: FleetRecord) -> Mapping[str, Sequence[NamedRow]]:
@@ -61,16 +61,18 @@
     return "Name" if table in ("classes", "plans") else "name"
 
 
-def _fill_nodes(fleet: Fleet, listed: list[Node] | None) -> None:
+def _fill_nodes(fleet: Fleet, listed_nodes: list[Node] | None) -> None:
     nodes = [
         Node(node.uid, node.kind, node.shard, node.state, node.zone)
         for node in fleet.record.nodes or ()
         if node.shard is not None
     ]
     _check_machine_kinds(fleet, nodes)
-    fleet.nodes = nodes if listed is None else listed
+    fleet.nodes = nodes if listed_nodes is None else listed_nodes
     if not fleet.nodes and not any(fault.code in ("unreadable", "missing") for fault in fleet.faults):
-        fleet.reader.fault(("nodes",), "too-few", "no node is named", "nodes here, or --nodes FILE")
+        fleet.reader.fault(
+            ("nodes",), "too-few", "the fleet has no nodes", "at least one node here, or --nodes FILE"
+        )
 
 
 def _check_machine_kinds(fleet: Fleet, nodes: Sequence[Node]) -> None:
@@ -83,7 +85,7 @@
 
 
 def _check_shares(fleet: Fleet) -> None:
-    """Check that the classes' shares of all requests add up to 1 at most."""
+    """Check that the sum of the classes' shares of all requests is at most 1."""
     classes = fleet.record.classes
     if not classes:
         return
@@ -108,7 +110,7 @@
             owners.setdefault(number, volume.name)
         if plan is None:
             continue
-        _check_restated(fleet, volume, path, plan)
+        _check_restated_figures(fleet, volume, path, plan)
         if volume.shards and volume.sidecars and volume.id:
             shards = tuple(volume.shards)
             sidecars = tuple(volume.sidecars)
@@ -117,57 +119,61 @@
 
 @dataclass(frozen=True, slots=True)
 class _References:
-    """What a volume may refer to."""
+    """The plans, sidecars and shards that a volume may refer to."""
 
     plans: Mapping[str, PlanRecord]
     sidecars: Sequence[str]
-    shards: frozenset[int] | None  # None where no node is known
+    shards: frozenset[int] | None  # None if the fleet has no nodes
 
     @staticmethod
     def of_fleet(fleet: Fleet) -> "_References":
-        """Return the plans, sidecars and shards that a fleet has."""
+        """Return the plans, sidecars and shards of a fleet."""
         shards = frozenset(node.shard for node in fleet.nodes if node.state != "terminated")
         return _References(
             plans={plan.name: plan for plan in fleet.record.plans or () if plan.name},
-            sidecars=[one.name for one in fleet.record.applications or () if one.name],
+            sidecars=[
+                application.name for application in fleet.record.applications or () if application.name
+            ],
             shards=shards if fleet.nodes else None,
         )
 
 
-def _check_references(fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, known: _References) -> None:
+def _check_references(
+    fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, references: _References
+) -> None:
     """Check that a volume's plan, sidecars and shards exist."""
-    if volume.plan is not None and known.plans and volume.plan not in known.plans:
+    if volume.plan is not None and references.plans and volume.plan not in references.plans:
         reason = f'there is no plan "{volume.plan}"'
-        remedy = nearest_word(volume.plan, known.plans)
+        remedy = nearest_word(volume.plan, references.plans)
         fleet.reader.fault((*path, "plan"), "unknown-plan", reason, remedy)
-    _check_sidecars(fleet, volume, path, known.sidecars)
-    if known.shards is not None:
-        _check_shards(fleet, volume, path, known.shards)
+    _check_sidecars(fleet, volume, path, references.sidecars)
+    if references.shards is not None:
+        _check_shards(fleet, volume, path, references.shards)
 
 
 def _check_sidecars(
     fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, known_sidecars: Sequence[str]
 ) -> None:
-    for place, sidecar in enumerate(volume.sidecars or ()):
+    for index, sidecar in enumerate(volume.sidecars or ()):
         if sidecar not in known_sidecars:
             reason = f'there is no application "{sidecar}"'
             remedy = nearest_word(sidecar, known_sidecars)
-            fleet.reader.fault((*path, "sidecars", str(place)), "unknown-sidecar", reason, remedy)
+            fleet.reader.fault((*path, "sidecars", str(index)), "unknown-sidecar", reason, remedy)
 
 
 def _check_shards(
     fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, known_shards: frozenset[int]
 ) -> None:
-    for place, shard in enumerate(volume.shards or ()):
+    for index, shard in enumerate(volume.shards or ()):
         if shard not in known_shards:
             reason = f"no node holds shard {shard}"
             listed = sorted(known_shards)[:MAX_SHARDS_LISTED]
             remedy = f"one of {', '.join(map(str, listed))}"
-            fleet.reader.fault((*path, "shards", str(place)), "unknown-shard", reason, remedy)
+            fleet.reader.fault((*path, "shards", str(index)), "unknown-shard", reason, remedy)
 
 
-def _check_restated(fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, plan: PlanRecord) -> None:
-    """Check that a volume restates its plan's figures only with the same values."""
+def _check_restated_figures(fleet: Fleet, volume: FleetVolumeRecord, path: KeyPath, plan: PlanRecord) -> None:
+    """Check that the figures that a volume restates equal those of its plan."""
     restated = {key: value for key, value in document_of(volume).items() if key in RESTATABLE_PLAN_KEYS}
     if not restated:
         return
--- a/runloft/config/fleet/file.py
+++ b/runloft/config/fleet/file.py
@@ -1,7 +1,8 @@
 """Reading of a fleet file, with every check.
 
-Its layers are defaults < fleet (``settings``) < plan < application.  They unify: a volume may restate
-a figure of its plan, an application a setting of the fleet, but only to the same value.
+Its layers are defaults, the fleet (``settings``), the plan and the application.  They are unified, and no
+layer overrides another: a volume may restate a figure of its plan, and an application a setting of the
+fleet, but only with the same value.
 """
 
 from collections.abc import Sequence
@@ -19,12 +20,12 @@
 from runloft.config.fleet.records import FleetRecord, ServiceRecord
 from runloft.config.schema.toml_file import TomlFile, parse_toml, read_toml
 
-LAYER_KEYS = ("settings", "limits")  # tables that become layers of each application's file
+LAYER_KEYS = ("settings", "limits")  # tables that are layers of each application's file
 
 
 @dataclass(frozen=True, slots=True)
 class CheckedFleet:
-    """A fleet that was read, None where the file holds none, with every fault of its files."""
+    """A fleet that was read, or None if the file holds none, with every fault of its files."""
 
     fleet: Fleet | None
     faults: list[Fault]
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ApplicationLayers:
-    """One application's tables over the fleet's."""
+    """One application's tables, unified with the fleet's tables of the same names."""
 
     settings: Any
     limits: Any
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class _Layers:
-    """The tables of a fleet file that are no record: they are checked in each application's file."""
+    """The tables of a fleet file without a record; they are checked in each application's generated file."""
 
     settings: Any
     limits: Any
@@ -49,12 +50,12 @@
 
 
 def read_fleet(path: str, nodes: str | None = None) -> CheckedFleet:
-    """Read a fleet file; ``nodes`` names a node list that stands in for the fleet's own nodes."""
+    """Read a fleet file; ``nodes`` is the path of a node list that replaces the fleet's own nodes."""
     return _check(path, read_toml(path), nodes)
 
 
 def parse_fleet(path: str, data: bytes) -> CheckedFleet:
-    """Read a fleet file's bytes; ``path`` names it in faults."""
+    """Parse a fleet file's bytes; ``path`` names the file in faults."""
     return _check(path, parse_toml(path, data), None)
 
 
@@ -68,12 +69,12 @@
         return CheckedFleet(None, reader.faults)
     record = _with_layers(record, layers)
     fleet = Fleet(path, record, reader)
-    listed = None
+    listed_nodes = None
     if nodes is not None:
         node_list = read_node_list(nodes, record.machines)
-        listed = node_list.nodes
+        listed_nodes = node_list.nodes
         reader.faults += node_list.faults
-    check_fleet(fleet, listed)
+    check_fleet(fleet, listed_nodes)
     if not any(fault.severity is Severity.FAULT for fault in fleet.faults):
         check_generated_files(fleet)
     reader.faults.sort(key=lambda fault: (fault.file, fault.line, fault.key, fault.code))
@@ -95,19 +96,19 @@
 
 
 def _without_layers(document: Document) -> Document:
-    """Return a fleet file's document without its layers."""
-    shaped = _without(document, LAYER_KEYS)
+    """Return a copy of a fleet file's document without its layers."""
+    remaining = _without(document, LAYER_KEYS)
     service = document.get("service")
     if isinstance(service, dict):
-        shaped["service"] = _without(service, ("classes",))
+        remaining["service"] = _without(service, ("classes",))
     applications = document.get("applications")
     if isinstance(applications, list):
-        # These two are no keys of an application, but have never been reported as unknown.
+        # Not keys of an application, but they have always been ignored and not reported as unknown.
         ignored = ("applications", "classes") if isinstance(service, dict) else ("applications",)
-        shaped["applications"] = [
+        remaining["applications"] = [
             _without(row, (*LAYER_KEYS, *ignored)) if isinstance(row, dict) else row for row in applications
         ]
-    return shaped
+    return remaining
 
 
 def _without(table: Document, keys: Sequence[str]) -> Document:
--- a/runloft/config/fleet/generated_checks.py
+++ b/runloft/config/fleet/generated_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the files that a fleet generates; their faults are reported at the fleet's own keys."""
+"""Checks of the files generated from a fleet; their faults are reported at the fleet's own keys."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import replace
@@ -21,7 +21,7 @@
     for index, application in enumerate(fleet.record.applications):
         layers = Reader(fleet.file, fleet.reader.text)
         document = generator.document(index, layers)
-        # Layers disagree at a place of the fleet's own; the values are then no longer one file's.
+        # Where layers disagree the generated values are ambiguous, so only the disagreement is reported.
         fleet.reader.faults += [fault for fault in layers.faults if fault not in fleet.reader.faults]
         if layers.faults:
             continue
@@ -34,7 +34,7 @@
 
 
 def _violations(fleet: Fleet, document: Document) -> Iterator[Violation]:
-    """Yield a file's violations; those between tables only where the tables are without fault."""
+    """Yield a file's violations; checks between its tables run only if reading it gave no fault."""
     reader = Reader(fleet.file)
     record = reader.record(OperatorRecord, document)
     if reader.faults:
@@ -49,7 +49,7 @@
 
 
 def _fleet_path(fleet: Fleet, index: int, path: KeyPath) -> KeyPath:
-    """Return the key of the fleet that a key of an application's file comes from."""
+    """Return the fleet's key that a key of an application's generated file comes from."""
     match path:
         case ("settings", "Classes", *tail):
             return ("classes", *tail)
@@ -73,7 +73,7 @@
 
 
 def _layer_path(fleet: Fleet, index: int, path: KeyPath) -> KeyPath:
-    """Return the application's own key if its layer has it, else the fleet's."""
+    """Return the application's key if its own layer sets it, else the fleet's."""
     value: Any = getattr(fleet.record.applications[index], path[0])
     for key in path[1:]:
         value = value.get(key) if isinstance(value, Mapping) else None
--- a/runloft/config/fleet/generator.py
+++ b/runloft/config/fleet/generator.py
@@ -1,4 +1,4 @@
-"""From a fleet to the values of each application's file: its layers unified, always the same way."""
+"""Generation of each application's values from a fleet, by unifying its layers in a fixed order."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 from runloft.config.schema.reader import Reader
 from runloft.config.schema.records import document_of
 
-FLEET_CLASS_KEYS = ("work_ms", "share", "writes")  # of the fleet's classes alone
+FLEET_CLASS_KEYS = ("work_ms", "share", "writes")  # left out of the classes in applications' files
 
 
 def volumes_by_application(fleet: Fleet) -> dict[str, list[Volume]]:
@@ -24,7 +24,7 @@
 
 
 class Generator:
-    """Generates the values of applications' files; what they share is put together once."""
+    """Generates the values of applications' files; the shared settings are computed once."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -34,7 +34,7 @@
     def document(self, index: int, reader: Reader) -> Document:
         """Return the values of one application's file.
 
-        What its layers set differently is reported to the reader.
+        Keys that its layers set to different values are reported to ``reader``.
         """
         record = self.fleet.record
         application = record.applications[index]
@@ -58,7 +58,7 @@
         return {key: value for key, value in document.items() if value is not None}
 
     def record(self, index: int) -> OperatorRecord | None:
-        """Return the record of one application's file; None where the fleet is at fault."""
+        """Return the record of one application's file, or None if its values can't be read as one."""
         reader = Reader(self.fleet.file)
         return reader.record(OperatorRecord, self.document(index, Reader(self.fleet.file)))
 
@@ -104,7 +104,7 @@
 
 
 def _shared_settings(fleet: Fleet) -> Document:
-    """Return the settings that every application's file has."""
+    """Return the settings that are the same in every application's file."""
     record = fleet.record
     classes = [
         {key: value for key, value in document_of(row).items() if key not in FLEET_CLASS_KEYS}
--- a/runloft/config/fleet/model.py
+++ b/runloft/config/fleet/model.py
@@ -1,4 +1,4 @@
-"""A fleet: its nodes, its volumes, and the service rate that a node surely has."""
+"""A fleet: its nodes, its volumes, and the lowest and highest service rate of each node."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """A storage node, from the fleet file or from a node list."""
+    """A storage node from the fleet file or from a node list."""
 
     uid: str
     kind: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRate:
-    """A node's service rate, in units a second."""
+    """A node's service rate, in units per second."""
 
     node: Node
     rate: Fraction
@@ -63,24 +63,24 @@
         return sum(node.state != "terminated" for node in self.nodes)
 
     def min_rate(self, node: Node) -> Fraction:
-        """Return the units a second that a warm node does at its kind's least speed; 0 out of service."""
+        """Return a warm node's rate in units per second at its kind's lowest speed; 0 if not in service."""
         kind = self.record.machines.get(node.kind)
         if kind is None or node.state != "in_service":
             return Fraction(0)
         return self._rate(kind, kind.speed[0])
 
     def max_rate(self, node: Node) -> Fraction:
-        """Return the units a second that a warm node does at its kind's greatest speed; 0 out of service."""
+        """Return a warm node's rate in units per second at its kind's highest speed; 0 if not in service."""
         kind = self.record.machines.get(node.kind)
         if kind is None or node.state != "in_service":
             return Fraction(0)
         return self._rate(kind, kind.speed[1])
 
     def node_rates(self) -> Iterator[NodeRate]:
-        """Yield each node with its least rate."""
+        """Yield each node with its minimum rate."""
         for node in self.nodes:
             yield NodeRate(node, self.min_rate(node))
 
     def _rate(self, kind: MachineRecord, speed: float) -> Fraction:
-        of_a_core = Fraction(str(speed)) * MS_PER_S / Fraction(str(self.record.unit_work_ms))
-        return Fraction(str(kind.cores)) * of_a_core
+        core_rate = Fraction(str(speed)) * MS_PER_S / Fraction(str(self.record.unit_work_ms))
+        return Fraction(str(kind.cores)) * core_rate
--- a/runloft/config/fleet/node_list.py
+++ b/runloft/config/fleet/node_list.py
@@ -1,4 +1,4 @@
-"""Reading of a node list in discovery's form, which may stand in for the fleet's own nodes."""
+"""Reading of a node list in discovery's format, which may replace the fleet's own nodes."""
 
 import json
 from collections.abc import Iterable, Iterator, Mapping
@@ -11,29 +11,29 @@
 from runloft.config.schema.kinds import quote_value
 from runloft.config.schema.reader import Reader
 
-LIST_FORM = "a list in discovery's form"
+EXPECTED_LIST = "a list in discovery's form"
 
 
 @dataclass(frozen=True, slots=True)
 class NodeList:
-    """The nodes of a file that could be read, and the file's faults."""
+    """The valid nodes of a node list, and the faults of its file."""
 
     nodes: list[Node]
     faults: list[Fault]
 
 
 def read_node_list(path: str, machines: Mapping[str, MachineRecord]) -> NodeList:
-    """Read nodes from a JSON file; an entry's ``model`` names the machine kind."""
+    """Read the nodes of a JSON file; an entry's ``model`` is its machine kind."""
     reader = Reader(path)
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
-        reader.fault((), "unreadable", str(error), LIST_FORM)
+        reader.fault((), "unreadable", str(error), EXPECTED_LIST)
         return NodeList([], reader.faults)
     targets = document.get("targets") if isinstance(document, dict) else None
     if not isinstance(targets, list):
-        reader.fault(("targets",), "missing", "there is no list of nodes", LIST_FORM)
+        reader.fault(("targets",), "missing", '"targets" is missing or not a list', EXPECTED_LIST)
         return NodeList([], reader.faults)
     if document.get("all") is not True:
         reason = "this is a list of changes, not of all nodes"
@@ -67,13 +67,13 @@
 
 
 def _check_nodes(path: str, nodes: Iterable[Node], machines: Mapping[str, MachineRecord]) -> Iterator[Fault]:
-    rows: dict[str, int] = {}
+    first_rows: dict[str, int] = {}
     for index, node in enumerate(nodes):
         key = f"targets.{index}"
-        if node.uid in rows:
-            reason = f'"{node.uid}" stands in row {rows[node.uid]} too'
+        if node.uid in first_rows:
+            reason = f'"{node.uid}" stands in row {first_rows[node.uid]} too'
             yield Fault(path, 0, f"{key}.uid", "node-twice", reason, "each node once")
-        rows.setdefault(node.uid, index)
+        first_rows.setdefault(node.uid, index)
         if node.kind not in machines:
             reason = f'there is no machine kind "{node.kind}"'
             yield Fault(path, 0, f"{key}.model", "unknown-kind", reason, nearest_word(node.kind, machines))
--- a/runloft/config/fleet/records.py
+++ b/runloft/config/fleet/records.py
@@ -20,7 +20,7 @@
 from runloft.config.schema.records import Named, Record, Rows, Table, setting
 
 NODE_STATES = ("in_service", "terminating", "terminated")
-RESTATABLE_PLAN_KEYS = ("BaseRate", "Guaranteed", "Parts", "ValueFactor", "Limit")  # by a volume
+RESTATABLE_PLAN_KEYS = ("BaseRate", "Guaranteed", "Parts", "ValueFactor", "Limit")  # allowed in a volume
 
 
 @attrs.frozen
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class FleetClassRecord(ClassRecord):
-    """A class, with the work of its requests."""
+    """A request class, with its work per request and its share of all requests."""
 
     work_ms: float = setting("work_ms", milliseconds(0.001), 1.0, "a usual request's work on one core")
     share: float = setting("share", Number(minimum=0.0, maximum=1.0), 0.0, "of all requests")
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class FleetVolumeRecord(Record):
-    """A volume."""
+    """A volume, the shards of its data and the sidecars that serve it."""
 
     name: str = setting("name", kinds.name(), description="its name")
     id: str = setting("id", HexNumber(), description="the volume as the platform counts it")
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class ApplicationRecord(Record):
-    """An application and the sidecar beside it."""
+    """An application and its sidecar."""
 
     name: str = setting("name", kinds.name(), description="its sidecar has the same name")
     listen: str = setting("listen", Address(listens=True), "127.0.0.1:6379", "RESP2")
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class ServiceRecord(Record):
-    """What all sidecars talk with."""
+    """Services that all sidecars use, and the object API's shared settings."""
 
     discovery: str = setting("discovery", Address(any_port=False), "127.0.0.1:8500", "the agent")
     store: str = setting("store", STORE_URL, None, "the shared store")
@@ -101,7 +101,7 @@
 
 @attrs.frozen
 class FleetRecord(Record):
-    """The fleet."""
+    """A fleet file as a whole."""
 
     name: str = setting("name", kinds.name(), description="the fleet's name")
     unit_work_ms: float = setting(
