--- a/runloft/config/comparison/diff.py
+++ b/runloft/config/comparison/diff.py
@@ -5,7 +5,12 @@
 from dataclasses import dataclass
 from fractions import Fraction
 
-from runloft.config.feasibility.assignment import SCALE, assign_reserves, reserve_demands, shard_capacities
+from runloft.config.feasibility.assignment import (
+    RATE_SCALE,
+    assign_reserves,
+    reserve_demands,
+    shard_capacities,
+)
 from runloft.config.fleet.model import Fleet
 from runloft.config.operator.records import OperatorRecord
 from runloft.config.operator.settings_records import PlanRecord
@@ -63,11 +68,13 @@
     """Return the rate in units per second that the reserves leave free on each shard."""
     capacities = shard_capacities(fleet.node_rates(), Fraction(str(fleet.record.usable_fraction)))
     load = assign_reserves(reserve_demands(fleet.volumes), capacities).load
-    return {shard: max(0, capacity - load.get(shard, 0)) / SCALE for shard, capacity in capacities.items()}
+    return {
+        shard: max(0, capacity - load.get(shard, 0)) / RATE_SCALE for shard, capacity in capacities.items()
+    }
 
 
 def figures_of_operator(record: OperatorRecord) -> dict[str, VolumeFigures]:
-    """Return each volume's figures from one sidecar's file, which names no nodes and so gives no shares."""
+    """Return the figures of each volume and plan in one sidecar's file; without nodes, without shares."""
     plans = {plan.name: plan for plan in record.settings.plans}
     volumes = record.objects.volumes if record.objects else {}
     figures = {f"(every volume on {name})": _figures(plan, 0.0, {}) for name, plan in plans.items()}
@@ -81,7 +88,7 @@
 
 
 def find_changes(old: Mapping[str, VolumeFigures], new: Mapping[str, VolumeFigures]) -> Iterator[Change]:
-    """Yield every changed figure, by volume in the order of their names."""
+    """Yield the changes of figures and, above MIN_SHARE_CHANGE, of shares, ordered by volume name."""
     for name in sorted(old.keys() | new.keys()):
         before = old.get(name)
         after = new.get(name)
--- a/runloft/config/comparison/files.py
+++ b/runloft/config/comparison/files.py
@@ -41,10 +41,12 @@
         for statement in statements_of_fleet(fleet):
             if statement.topic in claims:
                 claims[statement.topic].append(Claim(fleet, statement.path, statement.value))
-    at_fault = {(fault.file, fault.key) for file in files for fault in file.faults}
+    faulty_keys = {(fault.file, fault.key) for file in files for fault in file.faults}
     return {
-        topic: [claim for claim in of_topic if (claim.source.file, ".".join(claim.path)) not in at_fault]
-        for topic, of_topic in claims.items()
+        topic: [
+            claim for claim in topic_claims if (claim.source.file, ".".join(claim.path)) not in faulty_keys
+        ]
+        for topic, topic_claims in claims.items()
     }
 
 
--- a/runloft/config/feasibility/assignment.py
+++ b/runloft/config/feasibility/assignment.py
@@ -12,7 +12,7 @@
 from runloft.config.feasibility.flow_solver import ShardGroup, max_flow
 from runloft.config.fleet.model import NodeRate, Volume
 
-SCALE = 1000  # integer steps per unit/s
+RATE_SCALE = 1000  # thousandths of a unit per second, the unit of integer rates
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,13 +46,15 @@
     rates: dict[int, Fraction] = defaultdict(Fraction)
     for node in nodes:
         rates[node.node.shard] += node.rate
-    return {shard: floor(rate * usable_fraction * SCALE) for shard, rate in rates.items()}
+    return {shard: floor(rate * usable_fraction * RATE_SCALE) for shard, rate in rates.items()}
 
 
 def reserve_demands(volumes: Iterable[Volume]) -> list[Demand]:
     """Return a demand for each volume that has a reserve."""
     return [
-        Demand(volume.name, ceil(Fraction(str(volume.plan.reserve)) * SCALE), tuple(sorted(volume.shards)))
+        Demand(
+            volume.name, ceil(Fraction(str(volume.plan.reserve)) * RATE_SCALE), tuple(sorted(volume.shards))
+        )
         for volume in volumes
         if volume.plan.reserve > 0
     ]
--- a/runloft/config/feasibility/check.py
+++ b/runloft/config/feasibility/check.py
@@ -11,7 +11,7 @@
 
 from runloft.config.faults import Fault, Severity
 from runloft.config.feasibility.assignment import (
-    SCALE,
+    RATE_SCALE,
     Assignment,
     Demand,
     assign_reserves,
@@ -61,9 +61,9 @@
     def __init__(self, fleet: Fleet, volumes: Sequence[Volume]) -> None:
         self._fleet = fleet
         self._reader = Reader(fleet.file, fleet.reader.text)
-        self._usable = Fraction(str(fleet.record.usable_fraction))
+        self._usable_fraction = Fraction(str(fleet.record.usable_fraction))
         self._nodes = list(fleet.node_rates())
-        self._capacities = shard_capacities(self._nodes, self._usable)
+        self._capacities = shard_capacities(self._nodes, self._usable_fraction)
         self._demands = reserve_demands(volumes)
         self._rows = {volume.name: index for index, volume in enumerate(fleet.record.volumes)}
 
@@ -83,7 +83,7 @@
     def _report_conflicts(self, assignment: Assignment) -> None:
         for conflict in find_conflicts(self._demands, self._capacities, assignment):
             row = min(self._rows.get(name, 0) for name in conflict.volumes)
-            shortfall = (conflict.reserved - conflict.capacity) / SCALE
+            shortfall = (conflict.reserved - conflict.capacity) / RATE_SCALE
             remedy = f"{shortfall:g} units/s less, or more nodes for those shards"
             self._report(row, "reserve-not-borne", str(conflict), remedy, Severity.FAULT)
 
@@ -99,10 +99,11 @@
             }
             shard = min(shortfall, key=lambda shard: (-shortfall[shard], shard))
             if shortfall[shard] > 0:
-                reserve = demand.reserve / SCALE
+                reserve = demand.reserve / RATE_SCALE
                 reason = (
                     f"{demand.name}'s whole reserve of {reserve:g} units/s on shard {shard} is "
-                    f"{shortfall[shard] / SCALE:g} more than it has left after volumes with no other shard"
+                    f"{shortfall[shard] / RATE_SCALE:g} more than it has left "
+                    "after volumes with no other shard"
                 )
                 remedy = "a smaller reserve, or requests spread evenly over its shards"
                 row = self._rows.get(demand.name, 0)
@@ -122,10 +123,10 @@
         slower = self._nodes[index]
         nodes = list(self._nodes)
         nodes[index] = NodeRate(slower.node, slower.rate * fraction)
-        shortfall = assign_reserves(self._demands, shard_capacities(nodes, self._usable)).unassigned
+        shortfall = assign_reserves(self._demands, shard_capacities(nodes, self._usable_fraction)).unassigned
         if shortfall:
             reason = (
-                f"with {slower.node.uid} {condition}, {shortfall / SCALE:g} units/s of reserves "
+                f"with {slower.node.uid} {condition}, {shortfall / RATE_SCALE:g} units/s of reserves "
                 "can't be served"
             )
             remedy = f"more capacity for the volumes on shard {slower.node.shard}"
@@ -133,18 +134,18 @@
 
     def _most_loaded_node(self, assignment: Assignment) -> int | None:
         """Return the index of a node on the shard with the highest load per node; None if there is none."""
-        nodes_by_shard: dict[int, list[int]] = defaultdict(list)
+        indices_by_shard: dict[int, list[int]] = defaultdict(list)
         for index, node in enumerate(self._nodes):
             if node.rate:
-                nodes_by_shard[node.node.shard].append(index)
-        if not nodes_by_shard or not assignment.load:
+                indices_by_shard[node.node.shard].append(index)
+        if not indices_by_shard or not assignment.load:
             return None
 
         def load_per_node(shard: int) -> Fraction:
-            return Fraction(assignment.load.get(shard, 0), len(nodes_by_shard[shard]))
+            return Fraction(assignment.load.get(shard, 0), len(indices_by_shard[shard]))
 
-        shard = min(nodes_by_shard, key=lambda shard: (-load_per_node(shard), shard))
-        return nodes_by_shard[shard][0]
+        shard = min(indices_by_shard, key=lambda shard: (-load_per_node(shard), shard))
+        return indices_by_shard[shard][0]
 
 
 def _single_shard_reserves(demands: Iterable[Demand]) -> Mapping[int, int]:
--- a/runloft/config/feasibility/conflicts.py
+++ b/runloft/config/feasibility/conflicts.py
@@ -6,7 +6,7 @@
 from itertools import combinations
 from typing import TypeVar
 
-from runloft.config.feasibility.assignment import SCALE, Assignment, Demand
+from runloft.config.feasibility.assignment import RATE_SCALE, Assignment, Demand
 from runloft.config.schema.kinds import join_names
 
 MAX_SHARDS_SEARCHED = 8  # larger shard sets are skipped: each shard doubles the subsets to sum
@@ -33,8 +33,8 @@
         verb = "reserves" if len(self.volumes) == 1 else "reserve"
         shard, bear = ("shard", "bears") if len(self.shards) == 1 else ("shards", "bear")
         return (
-            f"{names} {verb} {self.reserved / SCALE:g} units/s on {shard} {shards}, "
-            f"which {bear} {self.capacity / SCALE:g}"
+            f"{names} {verb} {self.reserved / RATE_SCALE:g} units/s on {shard} {shards}, "
+            f"which {bear} {self.capacity / RATE_SCALE:g}"
         )
 
 
@@ -48,17 +48,17 @@
     demands: Sequence[Demand], capacities: Mapping[int, int], assignment: Assignment
 ) -> list[Conflict]:
     """Return minimal conflicting sets of volumes from each connected group of demands that lacks capacity."""
-    served_on: dict[int, list[int]] = defaultdict(list)
+    demands_by_shard: dict[int, list[int]] = defaultdict(list)
     for index, portions in enumerate(assignment.portions):
         for portion in portions:
-            served_on[portion.shard].append(index)
+            demands_by_shard[portion.shard].append(index)
     conflicts: list[Conflict] = []
     explained: set[int] = set()
     for index, demand in enumerate(demands):
         assigned = sum(portion.amount for portion in assignment.portions[index])
         if assigned >= demand.reserve or index in explained:
             continue
-        connected = _connected_demands(index, demands, served_on)
+        connected = _connected_demands(index, demands, demands_by_shard)
         explained |= connected
         conflicts += _minimal_conflicts([demands[other] for other in sorted(connected)], capacities)
         if len(conflicts) >= MAX_CONFLICTS:
@@ -67,7 +67,7 @@
 
 
 def _connected_demands(
-    start: int, demands: Sequence[Demand], served_on: Mapping[int, Sequence[int]]
+    start: int, demands: Sequence[Demand], demands_by_shard: Mapping[int, Sequence[int]]
 ) -> set[int]:
     """Return a demand and all demands that could free capacity for it, directly or by moving others.
 
@@ -80,7 +80,7 @@
         for shard in demands[pending.pop()].shards:
             if shard not in shards:
                 shards.add(shard)
-                added = [index for index in served_on.get(shard, ()) if index not in connected]
+                added = [index for index in demands_by_shard.get(shard, ()) if index not in connected]
                 connected.update(added)
                 pending += added
     return connected
--- a/runloft/config/fleet/generated_file.py
+++ b/runloft/config/fleet/generated_file.py
@@ -52,8 +52,8 @@
     import tomli_w  # needs requirements-tools.txt, which ``serve`` runs without
 
     body = tomli_w.dumps(document)
-    head = f"# The sidecar of {application}, written from {source}: change that file, not this one.\n"
-    return f"{head}{DIGEST_PREFIX}{_digest(body)}\n{body}"
+    header = f"# The sidecar of {application}, written from {source}: change that file, not this one.\n"
+    return f"{header}{DIGEST_PREFIX}{_digest(body)}\n{body}"
 
 
 def _digest(body: str) -> str:
--- a/tests/config/test_comparison.py
+++ b/tests/config/test_comparison.py
@@ -1,4 +1,4 @@
-"""Several files side by side, and against the fleet."""
+"""Comparison of several sidecars' files with each other and with the fleet."""
 
 import json
 import re
@@ -18,40 +18,42 @@
 HERE = Path(__file__).parent / "files"
 
 
-def line(path, text):
-    return next(n for n, line in enumerate(path.read_text().split("\n"), 1) if line == text)
+def line_number(path, text):
+    return next(number for number, line in enumerate(path.read_text().split("\n"), 1) if line == text)
 
 
 @pytest.mark.parametrize(
-    ("change", "wants"),
+    ("change", "expected"),
     [
         (('directory = "/var/lib/runloft"', 'directory = "/srv"'), []),
-        (("127.0.0.1:6380/0", "127.0.0.2:6380/0"), []),  # another way to the same store
+        (("127.0.0.1:6380/0", "127.0.0.2:6380/0"), []),  # another address of the same store
         (("lease_ms = 3000", "lease_ms = 2500"), ["agreement.lease_ms ~agreement-disagrees"]),
         (('"runloft"\n', '"other"\n'), ["agreement.prefix ~agreement-disagrees"]),
     ],
 )
-def test_files_with_different_agreements_are_warned_about(change, wants, tmp_path):
-    own = (HERE / "sidecar.toml").read_text()
-    own = re.sub(r"\[objects.*?(?=\[admin)|^lease_ms.*$", "", own, flags=re.S | re.M)
-    own = own.replace("GroupSize = 3", "GroupSize = 2") + AGREEMENT + 'prefix = "runloft"\nlease_ms = 3000\n'
-    other = own.replace("SlotNo = 1", "SlotNo = 0").replace('"export-history"', '"reports"')
-    got = compare_files([check_text("a.toml", own.encode()), check_text("b.toml", other.encode())])
-    assert got == [] and change[0] in other
+def test_files_with_different_agreements_are_warned_about(change, expected, tmp_path):
+    first = (HERE / "sidecar.toml").read_text()
+    first = re.sub(r"\[objects.*?(?=\[admin)|^lease_ms.*$", "", first, flags=re.S | re.M)
+    first = (
+        first.replace("GroupSize = 3", "GroupSize = 2") + AGREEMENT + 'prefix = "runloft"\nlease_ms = 3000\n'
+    )
+    other = first.replace("SlotNo = 1", "SlotNo = 0").replace('"export-history"', '"reports"')
+    faults = compare_files([check_text("a.toml", first.encode()), check_text("b.toml", other.encode())])
+    assert faults == [] and change[0] in other
     other = other.replace(*change)
-    got = compare_files([check_text("a.toml", own.encode()), check_text("b.toml", other.encode())])
-    assert [f"{f.key} {'~' * (f.severity is Severity.WARNING)}{f.code}" for f in got] == wants
-    assert all((f.file, bool(f.line)) == ("b.toml", True) for f in got)
+    faults = compare_files([check_text("a.toml", first.encode()), check_text("b.toml", other.encode())])
+    assert [f"{f.key} {'~' * (f.severity is Severity.WARNING)}{f.code}" for f in faults] == expected
+    assert all((f.file, bool(f.line)) == ("b.toml", True) for f in faults)
 
 
 def test_a_file_with_fewer_descriptors_than_nodes_is_warned_about(tmp_path):
     fleet = check_fleet_file(str(HERE / "fleet.toml"), None).fleet
     (generated,) = generate_files(fleet, ["ingest"])
-    few = check_text(
+    file = check_text(
         "few.toml", (generated.text + "\n").replace("[limits]\n", "[limits]\nsockets = 36\n").encode()
     )
-    assert few.faults == ()
-    (fault,) = compare_files([few], fleet)
+    assert file.faults == ()
+    (fault,) = compare_files([file], fleet)
     assert (fault.code, fault.key, fault.severity) == (
         "sockets-below-nodes", "limits.sockets", Severity.WARNING)  # fmt: skip
     assert fault.remedy == "at least 38"
@@ -95,9 +97,9 @@
     replace_in_file(path, old, new)
     paths = sorted(map(str, written.iterdir()))
     assert main(["config", "check", *paths, "--fleet", str(FLEET), "--json"]) == 1
-    told = json.loads(capsys.readouterr().out)["faults"]
-    assert (code, key, str(path)) in [(f["code"], f["key"], f["file"]) for f in told]
-    assert {f["code"] for f in told} <= {code, "volume-not-here"}
+    faults = json.loads(capsys.readouterr().out)["faults"]
+    assert (code, key, str(path)) in [(f["code"], f["key"], f["file"]) for f in faults]
+    assert {f["code"] for f in faults} <= {code, "volume-not-here"}
 
 
 def test_the_file_that_disagrees_with_most_files_is_reported(written):
@@ -113,7 +115,11 @@
         replace_in_file(path, "GroupSize = 2", "GroupSize = 3")
     replace_in_file(third, "Parts = 2.0", "Parts = 3.0")
     (fault,) = compare_files([check_file(str(path)) for path in paths])
-    assert (fault.file, fault.code, fault.line) == (str(third), "plan-disagrees", line(third, "Parts = 3.0"))
+    assert (fault.file, fault.code, fault.line) == (
+        str(third),
+        "plan-disagrees",
+        line_number(third, "Parts = 3.0"),
+    )
     assert (
         f"2 at {written / 'ingest.toml'}:" in fault.reason.replace("2.0 at", "2 at")
         and "1 more" in fault.reason
@@ -129,8 +135,8 @@
         .replace("SlotNo = 1", "SlotNo = 0")
     )
     other.write_text(text.replace("volumes.logs]", "volumes.ledgers]"))
-    got = compare_files([check_file(str(written / name)) for name in ("reports.toml", "second.toml")])
-    assert "id-of-two-volumes" in [fault.code for fault in got]
+    faults = compare_files([check_file(str(written / name)) for name in ("reports.toml", "second.toml")])
+    assert "id-of-two-volumes" in [fault.code for fault in faults]
 
 
 def test_hosts_are_counted_when_all_files_are_given(written):
--- a/tests/config/test_diff_command.py
+++ b/tests/config/test_diff_command.py
@@ -1,4 +1,4 @@
-"""``config diff``: what a change does to each volume."""
+"""``config diff``: the effect of a change on each volume."""
 
 import json
 from pathlib import Path
@@ -11,7 +11,7 @@
 FLEET = ROOT / "tests" / "config" / "files" / "fleet.toml"
 
 
-def test_a_diff_of_fleets_reports_what_each_volume_gets(tmp_path, capsys):
+def test_a_diff_of_fleets_reports_changed_figures_and_shares(tmp_path, capsys):
     new = tmp_path / "new.toml"
     new.write_text(
         FLEET.read_text().replace("Parts = 2.0", "Parts = 4.0").replace('"ingest", "reports"', '"reports"')
@@ -22,9 +22,9 @@
         for r in json.loads(capsys.readouterr().out)
     }
     assert rows["tracks", "hosts", ""] == ("2", "1") and rows["ships", "weight", ""] == ("2", "4")
-    # Beside ships on shard 3, logs has one part of five where it had one of three.
-    old, new_ = map(float, rows["logs", "share", "s-3"])
-    assert new_ / old == pytest.approx(3 / 5, rel=1e-3)
+    # On shard 3, next to ships, the weight of logs was 1 of 3 and is now 1 of 5.
+    old_share, new_share = map(float, rows["logs", "share", "s-3"])
+    assert new_share / old_share == pytest.approx(3 / 5, rel=1e-3)
     assert ("logs", "reserve", "") not in rows
     assert main(["config", "diff", str(FLEET), str(FLEET)]) == 0
     assert "nothing changes" in capsys.readouterr().out
--- a/tests/config/test_feasibility.py
+++ b/tests/config/test_feasibility.py
@@ -1,4 +1,4 @@
-"""Feasibility of reserves: against all subsets of shards, and at exact capacity."""
+"""Feasibility of reserves: compared with all subsets of shards, at exact capacity, and its faults."""
 
 import re
 from fractions import Fraction
@@ -17,56 +17,56 @@
 SHARDS = range(4)
 
 
-def fits(wanted, bears):
-    """Say by Hall's condition, over all sets of shards, whether it fits."""
+def fits(demands, capacities):
+    """Return whether the demands fit, by Hall's condition over all sets of shards."""
     for size in range(len(SHARDS) + 1):
-        for some in combinations(SHARDS, size):
-            inside = sum(d.reserve for d in wanted if set(d.shards) <= set(some))
-            if inside > sum(bears[shard] for shard in some):
+        for subset in combinations(SHARDS, size):
+            inside = sum(d.reserve for d in demands if set(d.shards) <= set(subset))
+            if inside > sum(capacities[shard] for shard in subset):
                 return False
     return True
 
 
 @st.composite
-def worlds(draw):
-    bears = {shard: draw(st.integers(0, 30)) for shard in SHARDS}
-    some = st.lists(st.sampled_from(SHARDS), min_size=1, max_size=3, unique=True)
-    wanted = [
-        Demand(f"v{n}", draw(st.integers(1, 25)), tuple(sorted(draw(some))))
+def demands_and_capacities(draw):
+    capacities = {shard: draw(st.integers(0, 30)) for shard in SHARDS}
+    shard_sets = st.lists(st.sampled_from(SHARDS), min_size=1, max_size=3, unique=True)
+    demands = [
+        Demand(f"v{n}", draw(st.integers(1, 25)), tuple(sorted(draw(shard_sets))))
         for n in range(draw(st.integers(1, 6)))
     ]
-    return wanted, bears
+    return demands, capacities
 
 
-@given(worlds())
+@given(demands_and_capacities())
 @settings(max_examples=150, deadline=None)
-def test_assignment_finds_what_fits_and_conflicts_are_minimal(world):
-    wanted, bears = world
-    found = assign_reserves(wanted, bears)
-    assert (found.unassigned == 0) == fits(wanted, bears)
-    for demand, portions in zip(wanted, found.portions, strict=True):
+def test_assignment_finds_what_fits_and_conflicts_are_minimal(example):
+    demands, capacities = example
+    assignment = assign_reserves(demands, capacities)
+    assert (assignment.unassigned == 0) == fits(demands, capacities)
+    for demand, portions in zip(demands, assignment.portions, strict=True):
         assert sum(portion.amount for portion in portions) <= demand.reserve
         assert {portion.shard for portion in portions} <= set(demand.shards)
-    assert all(found.load[shard] <= bears[shard] for shard in found.load)
-    if found.unassigned:
-        told = find_conflicts(wanted, bears, found)
-        assert told
-        for conflict in told:
-            inside = [demand for demand in wanted if demand.name in conflict.volumes]
-            assert not fits(inside, bears) and conflict.reserved > conflict.capacity
-            for one in inside:  # smallest: without any one of them it fits
-                assert fits([d for d in inside if d is not one], bears)
+    assert all(assignment.load[shard] <= capacities[shard] for shard in assignment.load)
+    if assignment.unassigned:
+        conflicts = find_conflicts(demands, capacities, assignment)
+        assert conflicts
+        for conflict in conflicts:
+            inside = [demand for demand in demands if demand.name in conflict.volumes]
+            assert not fits(inside, capacities) and conflict.reserved > conflict.capacity
+            for dropped in inside:  # minimal: without any one of them the rest fits
+                assert fits([d for d in inside if d is not dropped], capacities)
 
 
 def test_reserves_at_exact_capacity_are_decided_consistently():
-    wanted = [Demand(f"v{n}", 333_333, (0, 1, 2)) for n in range(3)]
+    demands = [Demand(f"v{n}", 333_333, (0, 1, 2)) for n in range(3)]
     for extra in (-2, -1, 0, 1):
-        bears = {0: 333_333, 1: 333_333, 2: 333_333 + extra}
-        got = {
-            assign_reserves(order, bears).unassigned
-            for order in (wanted, wanted[::-1], wanted[1:] + wanted[:1])
+        capacities = {0: 333_333, 1: 333_333, 2: 333_333 + extra}
+        unassigned = {
+            assign_reserves(order, capacities).unassigned
+            for order in (demands, demands[::-1], demands[1:] + demands[:1])
         }
-        assert got == {max(0, -extra)}
+        assert unassigned == {max(0, -extra)}
 
 
 FLEET = (Path(__file__).parent / "files" / "fleet.toml").read_text()
@@ -78,10 +78,10 @@
     text = text.replace('plan = "basic"\nshards = [1, 2]', 'plan = "standard"\nshards = [1, 2]')
     checked = parse_fleet("f.toml", text.encode())
     assert not checked.faults
-    told = {fault.code: fault.reason for fault in check_feasibility(checked.fleet)}
-    assert "52 units/s on shard 1 is 7 more" in told["reserve-on-one-shard"]
-    assert re.match(r"with s-[12] lost, 7 units/s", told["reserve-node-lost"])
-    assert "reserve-node-cold" not in told  # a quarter of its power bears the rest
+    reasons = {fault.code: fault.reason for fault in check_feasibility(checked.fleet)}
+    assert "52 units/s on shard 1 is 7 more" in reasons["reserve-on-one-shard"]
+    assert re.match(r"with s-[12] lost, 7 units/s", reasons["reserve-node-lost"])
+    assert "reserve-node-cold" not in reasons  # a quarter of its rate is enough for the rest
 
 
 def test_a_conflict_names_volumes_shards_and_figures():
@@ -99,11 +99,11 @@
     after = parse_fleet("b.toml", FLEET.replace(old, new).encode()).fleet
     both = merge_generations(after.volumes, before.volumes)
     assert {v.name: v.plan.reserve for v in both if v.plan.reserve} == {"tracks": 10.0, "ships": 10.0}
-    # A volume that moves is served by some on its old shards and by others on its new ones.
+    # During a move some sidecars serve a volume on its old shards and others on its new ones.
     assert next(v for v in both if v.name == "ships").shards == ((1,) if "3" in old else (1, 3))
 
 
-def test_the_rate_of_a_node_is_that_of_its_least_speed():
+def test_the_rates_of_a_node_are_those_of_its_lowest_and_highest_speed():
     fleet = parse_fleet("f.toml", FLEET.encode()).fleet
     assert [fleet.min_rate(node) for node in fleet.nodes] == [50, 50, 20]
     assert [fleet.max_rate(node) for node in fleet.nodes] == [75, 75, Fraction(25)]
--- a/tests/config/test_node_list.py
+++ b/tests/config/test_node_list.py
@@ -1,4 +1,4 @@
-"""Node lists in discovery's form."""
+"""Node lists in discovery's format, checked with a fleet."""
 
 import json
 from pathlib import Path
@@ -10,7 +10,7 @@
 HERE = Path(__file__).parent / "files"
 
 
-def nodes(tmp_path, *changes, **top):
+def write_node_list(tmp_path, *changes, **top_level):
     rows = [("s-1", "fast", 1), ("s-2", "fast", 2), ("s-3", "slow", 3)]
     targets = [
         {"uid": uid, "model": kind, "pod_group": shard, "state": "in_service"} for uid, kind, shard in rows
@@ -18,12 +18,12 @@
     for index, change in changes:
         targets[index] |= change
     path = tmp_path / "nodes.json"
-    path.write_text(json.dumps({"rev": 4, "all": True, "targets": targets} | top))
+    path.write_text(json.dumps({"rev": 4, "all": True, "targets": targets} | top_level))
     return str(path)
 
 
 @pytest.mark.parametrize(
-    ("changes", "top", "wants"),
+    ("changes", "top_level", "expected"),
     [
         ([], {}, []),
         ([(1, {"uid": "s-1"})], {}, ["node-twice targets.1.uid"]),
@@ -33,10 +33,12 @@
                                           "unknown-shard volumes.2.shards.0"]),
         ([], {"all": False}, ["nodes-in-part all"]),
         ([], {"targets": 7}, ["missing targets"]),
-        # Both fast ones drain: what is left bears 18, and the two volumes reserve 10 each.
+        # Both fast nodes drain: the remaining capacity is 18, and the two volumes reserve 10 each.
         ([(0, {"state": "terminating"}), (1, {"state": "terminating"})], {}, ["reserve-not-borne volumes.0"]),
     ],
 )  # fmt: skip
-def test_a_node_list_replaces_the_fleets_own_nodes(changes, top, wants, tmp_path):
-    faults = check_fleet_file(str(HERE / "fleet.toml"), nodes(tmp_path, *changes, **top)).faults
-    assert sorted(f"{f.code} {f.key}" for f in faults) == wants
+def test_a_node_list_replaces_the_fleets_own_nodes(changes, top_level, expected, tmp_path):
+    faults = check_fleet_file(
+        str(HERE / "fleet.toml"), write_node_list(tmp_path, *changes, **top_level)
+    ).faults
+    assert sorted(f"{f.code} {f.key}" for f in faults) == expected
