--- a/runloft/__init__.py
+++ b/runloft/__init__.py
@@ -4,8 +4,8 @@
 
 __version__ = "0.2.0"
 
-# Prevents structlog from loading rich, wherever that is installed: 7 MB and a slower start of ``serve``,
-# while nothing here logs by it.  The tool's tables import it themselves.
+# Prevents structlog from importing rich where it is installed: that costs 7 MB and delays the start of
+# ``serve``, and no log uses it.  The tools import rich themselves to print tables.
 if "structlog" not in sys.modules and "rich" not in sys.modules:
     sys.modules["rich"] = None  # type: ignore[assignment]
     import structlog as structlog
--- a/runloft/arguments.py
+++ b/runloft/arguments.py
@@ -8,12 +8,12 @@
 
 
 def build_parser(with_tools: bool = True) -> argparse.ArgumentParser:
-    """Return the parser; without the tools, whose loading would only delay a scheduler's start."""
+    """Return the parser; without tools, whose import would delay a scheduler's start, it has ``serve`` only."""
     parser = argparse.ArgumentParser(prog="runloft", description="A host-side I/O scheduler.")
     commands = parser.add_subparsers(dest="command", required=True)
     _add_serve_parser(commands)
     if with_tools:
-        commands.add_parser("version", help="print versions")
+        commands.add_parser("version", help="print the versions of runloft and its dependencies")
         _add_config_parser(commands)
         _add_lab_parser(commands)
     return parser
@@ -38,7 +38,7 @@
     from runloft.lab.scale import options as scale_options
     from runloft.lab.soak import options as soak_options
 
-    lab = commands.add_parser("lab", help="play scenarios on loopback, with stand-ins alone")
+    lab = commands.add_parser("lab", help="run scenarios on loopback, using stand-in servers only")
     actions = lab.add_subparsers(dest="action", required=True)
     _add_scenario_parser(actions)
     _add_rollouts_parser(actions)
@@ -50,14 +50,18 @@
 def _add_scenario_parser(actions: Subparsers) -> None:
     run = actions.add_parser("run", help="run a scenario and print what each volume got")
     run.add_argument("scenario", metavar="SCENARIO")
-    run.add_argument("--seed", type=int, default=1, help="of what is sent when (default 1)")
-    run.add_argument("--plot", metavar="FILE", help="draw service over time (PNG, SVG)")
+    run.add_argument("--seed", type=int, default=1, help="seed of the request arrivals (default 1)")
+    run.add_argument("--plot", metavar="FILE", help="write a plot of the service over time (PNG, SVG)")
     run.add_argument("--json", action="store_true", help="print as JSON")
 
 
 def _add_rollouts_parser(actions: Subparsers) -> None:
-    rollouts = actions.add_parser("rollouts", help="measure roll-outs over sidecars and lost replies")
+    rollouts = actions.add_parser(
+        "rollouts", help="measure roll-outs for several numbers of sidecars and reply losses"
+    )
     rollouts.add_argument("--sidecars", default="3,10,30", metavar="N,...")
-    rollouts.add_argument("--lost", default="0,0.5", metavar="PART,...", help="of the store's replies")
+    rollouts.add_argument(
+        "--lost", default="0,0.5", metavar="PART,...", help="lost fractions of the store's replies"
+    )
     rollouts.add_argument("--lease-ms", type=float, default=1000.0)
     rollouts.add_argument("--seed", type=int, default=1)
--- a/runloft/cli.py
+++ b/runloft/cli.py
@@ -1,4 +1,4 @@
-"""The command line: each sub-command in a function, which loads no more than it needs."""
+"""The command line: one function per sub-command, which imports only the modules that it needs."""
 
 import argparse
 import gc
@@ -19,16 +19,16 @@
 from runloft.service.server import run_server
 from runloft.service.signals import defer_reload, exit_on_sigterm
 
-READ_RETRIES = 40  # of a configuration that can't be read for a moment
+READ_RETRIES = 40  # 2 s in total; read errors may be temporary
 READ_RETRY_S = 0.05
-# Of values that the checks of the platform's JSON let pass; an operator's file is checked in full.
-UNFORESEEN_ERRORS = (ArithmeticError, LookupError, RecursionError, TypeError, ValueError)
+# Raised by values that the checks of the platform's JSON miss; an operator's file is checked in full.
+UNCHECKED_VALUE_ERRORS = (ArithmeticError, LookupError, RecursionError, TypeError, ValueError)
 AGREEMENT_ACTIONS = ("roll", "status", "forget")
 DEPENDENCIES = ("anyio", "h11", "redis", "sortedcontainers", "structlog")
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run a sub-command and return the process's exit code; faults go to standard error."""
+    """Run a sub-command and return the exit code; errors are printed to standard error."""
     arguments = sys.argv[1:] if argv is None else list(argv)
     options = build_parser(with_tools=arguments[:1] != ["serve"]).parse_args(arguments)
     match options.command:
@@ -42,7 +42,7 @@
 
 
 def print_versions() -> int:
-    """Print the versions of the program and of the packages that it uses."""
+    """Print the versions of runloft and of the packages that it depends on."""
     from importlib.metadata import PackageNotFoundError, version
 
     print(f"runloft {__version__}")
@@ -55,21 +55,21 @@
 
 
 def run_config(options: argparse.Namespace) -> int:
-    """Run an action on configuration files, or one on the agreement's store."""
+    """Run an action on configuration files or on the agreement's store."""
     if options.action not in AGREEMENT_ACTIONS:
         from runloft.config import commands as config_commands
 
         return config_commands.run(options)
-    # Imported here: `serve` on the platform needs no client of a store.
+    # Imported here because `serve` on the platform needs no store client.
     from runloft.agreement import commands as agreement_commands
 
-    # Logs go to standard error: what is printed may be JSON.
+    # Logs go to standard error because standard output may be JSON.
     structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))
     return agreement_commands.run(options)
 
 
 def run_lab(options: argparse.Namespace) -> int:
-    """Run an action of the laboratory; return 2 where a package is missing that it needs."""
+    """Run an action of the lab; return 2 if a package that it requires is not installed."""
     try:
         run = _load_lab_action(options.action)
     except ModuleNotFoundError as error:
@@ -80,7 +80,7 @@
 
 
 def _load_lab_action(action: str) -> Callable[[argparse.Namespace], int]:
-    """Import an action of the laboratory: nothing else needs its modules."""
+    """Import and return the function of a lab action; other sub-commands don't need its modules."""
     from runloft.lab import commands, rollouts
 
     match action:
@@ -102,7 +102,7 @@
 
 
 def run_serve(options: argparse.Namespace) -> int:
-    """Run one scheduler; return 1 where it can't start, with a line for each fault."""
+    """Run one scheduler; if it can't start, print one line for each fault and return 1."""
     configure_logging(options.verbose)
     defer_reload()
     exit_on_sigterm()
@@ -115,13 +115,13 @@
         for fault in error.faults:
             print(f"runloft: {fault}", file=sys.stderr)
         return 1
-    # What is loaded by now stays: garbage collections need not walk it while requests wait.
+    # Excludes objects that live as long as the process from garbage collection, which delays requests.
     gc.collect()
     gc.freeze()
     try:
         run_server(config, options.config)
     except StartupError as error:
-        # Prevents asyncio from reporting an event loop that was left half made, behind the line that counts.
+        # Prevents asyncio from reporting a partly initialized event loop after the error message.
         sys.unraisablehook = lambda _: None
         print(f"runloft: {options.config}: {error}", file=sys.stderr)
         return 1
@@ -129,7 +129,7 @@
 
 
 def configure_logging(verbose: bool) -> None:
-    """Log to standard error, at debug level with traces of requests where ``verbose`` is set."""
+    """Log to standard error; ``verbose`` enables the debug level and request traces."""
     trace.enabled = verbose
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG if verbose else logging.INFO),
@@ -139,20 +139,22 @@
 
 
 def load_when_readable(path: str, sleep: Callable[[float], None] = time.sleep) -> Config:
-    """Load a configuration; a file that can't be read for a moment is read again, for 2 s at most.
+    """Load a configuration; retry for up to 2 s if a temporary error prevents reading the file.
 
-    Raise ConfigError where it is at fault, or could not be read to the end.
+    Raise ConfigError if the configuration is invalid or the file still can't be read.
     """
     try:
         for _ in range(READ_RETRIES):
             try:
                 return load_config(path)
             except UnreadableConfigError as error:
-                structlog.get_logger().warning("configuration can't be read yet", faults=error.faults)
+                structlog.get_logger().warning(
+                    "configuration file can't be read, retrying", faults=error.faults
+                )
                 sleep(READ_RETRY_S)
         return load_config(path)
     except ConfigError:
         raise
-    except UNFORESEEN_ERRORS as error:
+    except UNCHECKED_VALUE_ERRORS as error:
         reason = f"can't be read as a configuration: {type(error).__name__}: {error}"
         raise ConfigError([f"{path}: {reason}"]) from error
--- a/runloft/errors.py
+++ b/runloft/errors.py
@@ -1,5 +1,5 @@
-"""The base of every exception that this package defines."""
+"""The base class of all exceptions that this package defines."""
 
 
 class RunloftError(Exception):
-    """Base class of the package's exceptions; subclasses carry what went wrong."""
+    """Base class of the package's exceptions; subclasses carry the details as attributes."""
--- a/runloft/service/__init__.py
+++ b/runloft/service/__init__.py
@@ -1,1 +1,1 @@
-"""The process: its start, its event loop, signals, reload, graceful shutdown and admin listener."""
+"""The scheduler process: start, event loop, signals, reload, graceful shutdown and admin listener."""
--- a/runloft/service/admin.py
+++ b/runloft/service/admin.py
@@ -1,4 +1,4 @@
-"""The admin listener: metrics over HTTP, in a thread of the metrics library's."""
+"""The admin listener, which serves metrics over HTTP in a thread of the metrics library."""
 
 from threading import Thread
 from wsgiref.simple_server import WSGIServer
@@ -14,7 +14,7 @@
 
 
 class AdminServer:
-    """Serves the metrics of a collector over HTTP until it is closed."""
+    """Serves a collector's metrics over HTTP until it is closed."""
 
     def __init__(self, server: WSGIServer, thread: Thread) -> None:
         self._server = server
@@ -22,7 +22,7 @@
 
     @classmethod
     def open(cls, address: ListenAddress, collector: Collector) -> "AdminServer":
-        """Listen on this address; raise ListenError where that is not possible."""
+        """Listen on an address and return the server; raise ListenError if the address can't be used."""
         registry = CollectorRegistry(auto_describe=False)
         registry.register(collector)
         try:
@@ -33,7 +33,7 @@
         return cls(server, thread)
 
     def close(self) -> None:
-        """Stop serving and close the listening socket."""
+        """Stop serving, close the listening socket and wait for the thread to end."""
         self._server.shutdown()
         self._server.server_close()
         self._thread.join(CLOSE_TIMEOUT_S)
--- a/runloft/service/errors.py
+++ b/runloft/service/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end `serve` before it serves: each names the setting, the address and the system's error."""
+"""Errors that make `serve` fail at start: each names the setting, address and system error, if any."""
 
 import errno
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 
 class StartupError(RunloftError):
-    """A scheduler can't start; ``key`` is the setting at fault, empty where none is."""
+    """The scheduler can't start; ``key`` is the setting at fault, or empty if none is."""
 
     def __init__(self, key: str, reason: str) -> None:
         super().__init__(f"{key}: {reason}" if key else reason)
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenAddress:
-    """Where to listen, and the setting that says so."""
+    """An address to listen on, and the key of the setting that defines it."""
 
     key: str
     host: str
@@ -26,7 +26,7 @@
 
 
 class ListenError(StartupError):
-    """An address of the configuration can't be listened on."""
+    """A configured address can't be listened on."""
 
     def __init__(self, address: ListenAddress, cause: OSError) -> None:
         super().__init__(
@@ -37,7 +37,7 @@
 
 
 class SystemResourceError(StartupError):
-    """The system refuses what every start needs: the event loop's descriptors, a file of the program."""
+    """A system resource that every start needs is unavailable: a file descriptor, a file of the program."""
 
     def __init__(self, cause: OSError) -> None:
         super().__init__("", f"can't start: {describe_os_error(cause)}")
@@ -46,7 +46,7 @@
 
 
 class MissingPackageError(StartupError):
-    """A package is not installed that a setting needs."""
+    """A package that a setting requires is not installed."""
 
     def __init__(self, key: str, package: str) -> None:
         super().__init__(key, f"needs the package {package}: pip install -r requirements.txt")
@@ -54,12 +54,12 @@
 
 
 class InvalidSettingError(StartupError):
-    """A setting has passed the checks of the configuration and still can't be used."""
+    """A setting that passed the checks of the configuration can't be used."""
 
 
 @contextmanager
 def packages_required_by(key: str) -> Iterator[None]:
-    """Raise MissingPackageError where an import inside fails, which only this setting needs."""
+    """Raise MissingPackageError if an import in the block, which only this setting requires, fails."""
     try:
         yield
     except ModuleNotFoundError as error:
@@ -67,8 +67,8 @@
 
 
 @contextmanager
-def value_checked_by_use(key: str) -> Iterator[None]:
-    """Raise InvalidSettingError where a value turns out to be of no use inside."""
+def invalid_setting_errors(key: str) -> Iterator[None]:
+    """Raise InvalidSettingError if the block rejects the value of this setting."""
     try:
         yield
     except (ArithmeticError, TypeError, ValueError) as error:
@@ -76,7 +76,7 @@
 
 
 def describe_os_error(error: OSError) -> str:
-    """Return the system's text, the error's symbol and number, and the file where there is one."""
+    """Return the error's text, symbol and number, and the file name if there is one."""
     text = error.strerror or str(error)
     if error.errno is not None:
         symbol = errno.errorcode.get(error.errno)
--- a/runloft/service/metrics.py
+++ b/runloft/service/metrics.py
@@ -1,7 +1,7 @@
-"""The scheduler's metrics, gathered anew for each scrape.
+"""The scheduler's metrics, collected on each scrape.
 
-A scrape runs in another thread than the event loop: whatever it reads is replaced as one object, or copied
-in one step of the interpreter, so no lock is needed.
+A scrape runs in a thread other than the event loop's. It needs no lock: the event loop replaces the objects
+that a scrape reads as a whole, and a scrape copies tables that change with a single atomic operation.
 """
 
 from collections.abc import Iterator
@@ -16,23 +16,23 @@
 from runloft.core.invariants import INVARIANTS, Violation
 from runloft.core.reducer import Core
 
-if TYPE_CHECKING:  # it brings the store's client along, which metrics need not
+if TYPE_CHECKING:  # prevents the import of the store's client, which metrics don't need
     from runloft.agreement.status import AgreementStatus
 
-MAX_ACCOUNTS_SHOWN = 20  # volumes with accounts among the metrics
+MAX_ACCOUNTS_SHOWN = 20  # volumes whose accounts are exported
 NS_PER_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class VolumeAccounts:
-    """A volume and what has been accounted for it."""
+    """A volume and the totals of its account."""
 
     volume: int
     totals: VolumeTotals
 
     @property
     def label(self) -> str:
-        """Return the value of its label."""
+        """The value of the volume's label."""
         return "others" if self.volume == OTHERS else f"{self.volume:016x}"
 
 
@@ -68,7 +68,7 @@
 
 
 def _agreement_metrics(status: "AgreementStatus") -> Iterator[Metric]:
-    """Yield the state of the agreement with the other sidecars."""
+    """Yield the metrics of the agreement with the other sidecars."""
     yield _gauge(
         "runloft_agreement_generation",
         "Generation that this sidecar serves by.",
@@ -115,7 +115,7 @@
 
 
 def _reason_metrics() -> Iterator[Metric]:
-    """Yield why requests and connections ended, and invariant violations; both label sets are bounded."""
+    """Yield the counts of events by reason and of invariant violations; both label sets are bounded."""
     yield _counter("runloft_requests_started", "Requests that were taken on.", COUNTERS.requests_started)
     reasons_family = CounterMetricFamily(
         "runloft_reasons", "Requests, attempts and connections by reason.", labels=["what", "reason"]
@@ -133,7 +133,7 @@
 
 
 def _account_metrics(ledger: Ledger) -> Iterator[Metric]:
-    """Yield the accounts of the slowest volumes: labels are bounded, whatever clients send."""
+    """Yield the accounts of the slowest volumes only, which bounds the number of labels."""
     durations = CounterMetricFamily(
         "runloft_account_seconds", "Time of requests by what it went into.", labels=["volume", "part"]
     )
@@ -143,7 +143,7 @@
     for accounts in _slowest_volumes(ledger):
         label = accounts.label
         totals = accounts.totals
-        # The event loop writes meanwhile: each table is copied in one step of the interpreter first.
+        # The event loop modifies these tables concurrently: tuple() copies each one atomically.
         for component, amount_ns in tuple(totals.components.items()):
             durations.add_metric([label, component.value], amount_ns / NS_PER_S)
         for other, amount_ns in tuple(totals.waited_for.amounts.items()):
@@ -156,7 +156,7 @@
 
 
 def _slowest_volumes(ledger: Ledger) -> list[VolumeAccounts]:
-    """Return the volumes with the longest total time, as many as are shown."""
+    """Return the ``MAX_ACCOUNTS_SHOWN`` volumes with the longest total time."""
     accounts = [VolumeAccounts(volume, totals) for volume, totals in tuple(ledger.totals.items())]
-    accounts.sort(key=lambda one: (-one.totals.total_ns, one.volume))
+    accounts.sort(key=lambda account: (-account.totals.total_ns, account.volume))
     return accounts[:MAX_ACCOUNTS_SHOWN]
--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -1,4 +1,4 @@
-"""Reload: a new configuration is read, checked, and applied as far as a running scheduler can."""
+"""Reload: reads and checks the configuration file again and applies what a running scheduler can change."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -19,19 +19,19 @@
 from runloft.service.interfaces import Configurable
 
 log = structlog.get_logger()
-READ_RETRIES = 30  # of a file that can't be read: what it says counts 4 s later
+READ_RETRIES = 30  # 3 s in total: a changed file must take effect within 4 s
 READ_RETRY_NS = 100_000_000
 FIXED_KEYS = ("name", "listen")
 FIXED_OBJECT_KEYS = ("listen", "store")
 
 
 def without_agreement(config: Config) -> Config:
-    """Return the configuration unchanged: no agreement replaces what the file says."""
+    """Return the configuration unchanged: without an agreement the file's values apply."""
     return config
 
 
 class Reload:
-    """Reads the configuration file again on each call, and applies configurations."""
+    """Applies configurations to a running scheduler; calling it reads the configuration file again."""
 
     def __init__(
         self,
@@ -50,33 +50,39 @@
         self.watch = watch
         self.post = post
         self.components = components
-        self.apply_agreement = apply_agreement  # puts what all sidecars agreed on in place of the file's
-        self.timers = timers  # for retries of a read that failed; without it there are none
+        self.apply_agreement = (
+            apply_agreement  # replaces the file's values by those that all sidecars agreed on
+        )
+        self.timers = timers  # schedule retries of failed reads; None: no retries
         self.clock = clock
         self._retry_timer: TimerHandle | None = None
 
     def __call__(self) -> None:
-        """Read the file again; one that is at fault changes nothing."""
+        """Read the file again and apply it; an invalid file changes nothing."""
         self._read(READ_RETRIES)
 
     def _read(self, retries: int) -> None:
-        """Read and apply the file; one that can't be read for a moment is read again later."""
+        """Read and apply the file; schedule a retry if a temporary error prevents reading it."""
         if self.timers is not None:
             self.timers.discard(self._retry_timer)
         self._retry_timer = None
         if self.path is None:
-            log.warning("reload ignored: the configuration came from no file")
+            log.warning("reload ignored: the configuration was not loaded from a file")
             return
         try:
             config = load_config(self.path)
         except UnreadableConfigError as error:
-            log.warning("reload postponed: the file can't be read", faults=error.faults, retries_left=retries)
+            log.warning(
+                "reload postponed: the configuration file can't be read",
+                faults=error.faults,
+                retries_left=retries,
+            )
             self._retry_later(retries)
             return
         except ConfigError as error:
             log.error("reload failed, the old configuration stands", codes=error.codes, faults=error.faults)
             return
-        except Exception:  # no file may end a scheduler that serves
+        except Exception:  # an unexpected error must not end a running scheduler
             log.exception("reload failed, the old configuration stands")
             return
         self.apply(self.apply_agreement(config))
@@ -88,10 +94,10 @@
             self._retry_timer = self.timers.add(self.clock() + READ_RETRY_NS, retry)
 
     def apply(self, requested: Config) -> None:
-        """Apply a configuration, except for the keys that only a restart can change."""
+        """Apply a configuration, except for settings that only a restart can change."""
         change = applicable_change(self.config, requested)
         if change.needs_restart:
-            log.warning("some changes need a restart", keys=change.needs_restart)
+            log.warning("changed settings not applied: restart required", keys=change.needs_restart)
         config = change.config
         self._update_watch(config)
         old = self.config
@@ -109,21 +115,21 @@
         self.watch.zones = config.zones
         self.watch.move(config.discovery)
         rev = config.initial_node_list.get("rev")
-        if isinstance(rev, int) and rev > self.watch.rev:  # the file is newer than what the watch has sent
+        if isinstance(rev, int) and rev > self.watch.rev:  # the file's node list is newer than the watch's
             self.watch.rev = rev
             self.post(node_list_update(ListKind.FULL, config.initial_node_list.get("targets"), config.zones))
 
 
 @dataclass(frozen=True, slots=True)
 class ApplicableChange:
-    """What a running scheduler can apply of a configuration, and the keys that have to wait for a restart."""
+    """The configuration that a running scheduler can apply, and the changed keys that require a restart."""
 
     config: Config
     needs_restart: list[str]
 
 
 def applicable_change(old: Config, new: Config) -> ApplicableChange:
-    """Return the new configuration with the old values of what can't change in a running scheduler."""
+    """Return the new configuration, with the old values of settings that a running scheduler can't change."""
     unchanged: dict[str, Any] = {}
     needs_restart = []
     for key in FIXED_KEYS:
@@ -153,7 +159,7 @@
 
 
 def _extends_names(old: Config, new: Config) -> bool:
-    """Return whether all classes and plans keep their numbers, by which requests and learned state go."""
+    """Return whether all classes and plans keep the numbers that open requests and learned state refer to."""
     class_names = new.class_names[: len(old.class_names)]
     plan_names = new.plan_names[: len(old.plan_names)]
     return (class_names, plan_names) == (old.class_names, old.plan_names)
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -1,4 +1,4 @@
-"""The event loop's iteration: events go to the reducer in one step, its effects to where they belong."""
+"""The event loop: passes queued events to the reducer and carries out the effects that it returns."""
 
 from collections.abc import Callable, Iterable
 
@@ -19,17 +19,17 @@
 from runloft.service.interfaces import Upstream
 
 log = structlog.get_logger()
-SLOW_ITERATION_NS = 15_000_000  # responses at their deadline are at risk from here on
-MAX_CLOCK_ERROR_NS = 500_000_000  # of the wall clock, beyond which it is unreliable
+SLOW_ITERATION_NS = 15_000_000  # longer iterations put responses near their deadline at risk
+MAX_CLOCK_ERROR_NS = 500_000_000  # beyond this the wall clock is considered unreliable
 
 
 def no_clock_error() -> int:
-    """Return 0: the wall clock is taken to be right."""
+    """Return 0: the wall clock is assumed to be correct."""
     return 0
 
 
 class Runner:
-    """Collects events, passes all of an iteration to the reducer in one step and carries out its effects."""
+    """Queues events, passes those of an iteration to the reducer in one step, and carries out its effects."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self.pools: dict[str, Upstream] = {}
         self.events: list[Event] = []
         self._wake = anyio.Event()
-        # A timer may be added between two iterations: without a wake-up it would wait for the next event.
+        # Without a wake-up, a timer added between two iterations would fire only after the next event.
         timers.on_earliest_changed = self._wake_up
 
     def _wake_up(self) -> None:
@@ -70,7 +70,7 @@
             self.process_events()
 
     def process_events(self) -> None:
-        """Run one iteration, and log it where it was late or slow."""
+        """Run one iteration; log a warning if it started late or took long."""
         started_at = self.clock()
         due = self.core.next_at(self.clock())
         self._process_events()
@@ -86,16 +86,16 @@
         self.events = []
         for event in events:
             if isinstance(event, NodeListUpdate):
-                self._announce_nodes(event)
+                self._update_nodes(event)
         self.carry_out(self.core.step(self.clock(), events))
 
-    def _announce_nodes(self, update: NodeListUpdate) -> None:
+    def _update_nodes(self, update: NodeListUpdate) -> None:
         self.core.endpoints.wall_clock_is_unreliable |= abs(self.clock_error_ns()) > MAX_CLOCK_ERROR_NS
         for pool in self.pools.values():
             pool.update_nodes(update.nodes)
 
     def carry_out(self, effects: Iterable[Effect]) -> None:
-        """Carry out the reducer's effects, in their order."""
+        """Carry out the reducer's effects in order."""
         for effect in effects:
             match effect:
                 case Dispatch():
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -1,4 +1,4 @@
-"""The scheduler process: what it is made of, its start and its end."""
+"""The scheduler process: construction of its components, start and shutdown."""
 
 import signal
 from collections.abc import AsyncIterator, Callable
@@ -25,8 +25,8 @@
     ListenAddress,
     ListenError,
     SystemResourceError,
+    invalid_setting_errors,
     packages_required_by,
-    value_checked_by_use,
 )
 from runloft.service.interfaces import Configurable, Listener, ListeningEndpoint
 from runloft.service.reload import Reload
@@ -46,15 +46,15 @@
 
 
 class StartProgress:
-    """Whether a start is complete; until then an error of the system is one of the start."""
+    """Records whether the start is complete; an OSError before that is a failure to start."""
 
     is_complete = False
 
 
 def run_server(config: Config, config_path: str | None = None) -> None:
-    """Run one scheduler in an event loop of its own, until it has shut down gracefully.
+    """Run one scheduler in its own event loop until it has shut down gracefully.
 
-    Raise StartupError where it can't start.
+    Raise StartupError if it can't start.
     """
     progress = StartProgress()
     try:
@@ -66,7 +66,7 @@
 
 
 async def serve(config: Config, config_path: str | None, progress: StartProgress) -> None:
-    """Run one scheduler until a signal stops it and all that it has accepted is answered."""
+    """Run one scheduler until a signal stops it and its graceful shutdown is complete."""
     clock = MonotonicClock()
     timers = TimerQueue()
     agreement = None
@@ -76,22 +76,22 @@
     runner = Runner(new_core(config, clock, timers), timers, clock, clock.error_ns)
     with received_signals() as received:
         await Server(config, runner, agreement).run(config_path, received, progress)
-    log.info("totals", name=config.name, violations=INVARIANTS.totals(), **COUNTERS.totals())
+    log.info("totals since start", name=config.name, violations=INVARIANTS.totals(), **COUNTERS.totals())
     log.info("stopped", name=config.name)
 
 
 def new_agreement(config: Config, clock: Callable[[], int]) -> "AgreementClient":
-    """Return the client of the agreement among sidecars; raise StartupError where it can't be made."""
+    """Return the client of the agreement among sidecars; raise StartupError if it can't be created."""
     assert config.agreement
-    # Imported here, like the object listener: only an operator's file needs it.
+    # Imported here because only an operator's file enables the agreement.
     with packages_required_by("agreement"):
         from runloft.agreement.client import AgreementClient
-    with value_checked_by_use("agreement.store"):
+    with invalid_setting_errors("agreement.store"):
         return AgreementClient(config.agreement, config, clock)
 
 
 def new_core(config: Config, clock: Callable[[], int], timers: TimerQueue) -> Core:
-    """Return the reducer with its state of the start."""
+    """Return the reducer in its initial state."""
     core = Core(config.settings, config.seed, clock(), timers, config.bounds)
     core.suspended = config.suspended_volumes
     if config.accounted_volumes:
@@ -107,7 +107,7 @@
 
 
 def object_endpoint(settings: ObjectSettings, node: NodeUpdate) -> str:
-    """Return the address of a node's object server: its entry's, or at the port of the operator's file."""
+    """Return the address of a node's object server: its entry's, else the node's host and `server_port`."""
     host = node.endpoint.rpartition(":")[0]
     return node.object_endpoint or f"{host}:{settings.server_port}"
 
@@ -115,14 +115,14 @@
 class Server:
     """One scheduler's sockets and tasks.
 
-    Whatever `run` opens it closes when it is stopped; a start that fails ends the process instead.
+    `run` closes everything that it opened, except after a failed start, which ends the process.
     """
 
     def __init__(self, config: Config, runner: Runner, agreement: "AgreementClient | None") -> None:
         self.config = config
         self.runner = runner
         self.agreement = agreement
-        self.tasks = anyio.create_task_group()  # entered once all is open: nothing runs in it before
+        self.tasks = anyio.create_task_group()  # entered once all sockets are open; no task runs before
         self.stop_requested = anyio.Event()
         self.endpoints: list[ListeningEndpoint] = []
         self.store: PlacementStore | None = None
@@ -133,10 +133,10 @@
     ) -> None:
         """Open all sockets, serve until a signal requests the stop, and shut down gracefully.
 
-        Raise StartupError where something can't be opened.
+        Raise StartupError if a socket or another resource can't be opened.
         """
         await self._open_protocols()
-        with value_checked_by_use("known.targets"):
+        with invalid_setting_errors("known.targets"):
             self.runner.post(
                 node_list_update(
                     ListKind.CACHED, self.config.initial_node_list.get("targets"), self.config.zones
@@ -162,7 +162,7 @@
             tasks.cancel_scope.cancel()
 
     async def close(self) -> None:
-        """Close all but the listening sockets, which the graceful shutdown has closed."""
+        """Close all resources except the listening sockets, which the graceful shutdown has closed."""
         for pool in self.runner.pools.values():
             pool.close()
         if self.store:
@@ -178,7 +178,7 @@
             "resp",
             RespConnection,
             node_endpoint,
-            # The other half of the descriptors is the clients'.
+            # The other half of the descriptors is for clients.
             descriptors_divisor=4 if config.objects else 2,
         )
         listener = RespListener(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
@@ -187,12 +187,12 @@
             await self._open_object_api(config.objects)
 
     async def _open_object_api(self, settings: ObjectSettings) -> None:
-        # Imported here: the platform, where it is off, needs neither its memory nor its start-up time.
+        # Imported here to save memory and start-up time on the platform, where the object API is off.
         with packages_required_by("objects"):
             from runloft.listeners.objects import ObjectListener
             from runloft.placement.store import PlacementStore
             from runloft.upstream.http_connection import HttpConnection
-        with value_checked_by_use("objects.store"):
+        with invalid_setting_errors("objects.store"):
             self.store = PlacementStore(settings.store)
         runner = self.runner
         listener = ObjectListener(
@@ -214,7 +214,7 @@
         *,
         descriptors_divisor: int,
     ) -> None:
-        """Add the connection pool of one protocol, which may use the descriptors over the divisor."""
+        """Add the connection pool of one protocol, limited to 1/``descriptors_divisor`` of the sockets."""
         runner = self.runner
         runner.pools[wire] = ConnectionPool(
             self.tasks,
@@ -230,12 +230,12 @@
         )
 
     async def _listen(self, listener: Listener, address: ListenAddress) -> None:
-        """Open a listener's socket; a predecessor may still listen there for a moment."""
+        """Open a listener's socket; retry while a predecessor still listens on the address."""
         try:
             sock = await open_listener_with_retry((address.host, address.port))
         except OSError as error:
             raise ListenError(address, error) from error
-        except (TypeError, ValueError, OverflowError) as error:  # a name that no resolver can be asked for
+        except (TypeError, ValueError, OverflowError) as error:  # the address can't be passed to the resolver
             reason = f"can't listen on {address.host}:{address.port}: {error}"
             raise InvalidSettingError(address.key, reason) from error
         self.endpoints.append(ListeningEndpoint(listener, sock))
@@ -248,7 +248,7 @@
 
     def _new_watch(self) -> Watch:
         config = self.config
-        with value_checked_by_use("known.rev"):
+        with invalid_setting_errors("known.rev"):
             rev = int(config.initial_node_list.get("rev", 0) or 0)
         return Watch(
             config.discovery,
@@ -273,7 +273,7 @@
         return reload
 
     def _open_admin(self, address: ListenAddress) -> None:
-        # Imported here: only an operator's file sets it up.
+        # Imported here because only an operator's file enables the admin listener.
         with packages_required_by("admin"):
             from runloft.service.admin import AdminServer
             from runloft.service.metrics import MetricsCollector
--- a/runloft/simulator/__init__.py
+++ b/runloft/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the pipe of the simulator: codec, translation, adapter."""
+"""The interface to the simulator, which drives schedulers over a pipe: codec, translation and adapter."""
--- a/runloft/simulator/__main__.py
+++ b/runloft/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter: ``python -m runloft.simulator``."""
+"""Entry point of ``python -m runloft.simulator``, which runs the adapter."""
 
 import sys
 
--- a/runloft/simulator/adapter.py
+++ b/runloft/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Runs many schedulers on the simulator's pipe, each apart from the others.
+"""Runs many independent schedulers that the simulator drives over a pipe.
 
 Run it as ``python -m runloft.simulator``.
 """
@@ -20,32 +20,32 @@
 
 @dataclass(slots=True)
 class PendingBatch:
-    """What a batch holds for each instance: its events, and the fault that stopped it."""
+    """The events of a batch by instance, and the faults of instances that failed."""
 
     clock_ns: int
     events: dict[int, list[contract.Event]] = field(default_factory=dict)
     faults: dict[int, str] = field(default_factory=dict)
 
     def add_fault(self, instance: int, error: Exception) -> None:
-        """Record the exception that an instance raised."""
+        """Record an exception as the fault of an instance."""
         self.faults[instance] = f"{type(error).__name__}: {error}"
 
 
 class Adapter:
-    """All instances of one process; they share nothing but this loop."""
+    """All scheduler instances of one process; they share no state."""
 
-    def __init__(self, make: Callable[[contract.Settings, int, int], Scheduler] = Scheduler) -> None:
-        self._make = make
+    def __init__(self, new_scheduler: Callable[[contract.Settings, int, int], Scheduler] = Scheduler) -> None:
+        self._new_scheduler = new_scheduler
         self._schedulers: dict[int, Scheduler] = {}
 
     def answer(self, batch: wire.Batch) -> bytes:
-        """Hand a batch's events to their schedulers and return the reply frame of their actions."""
+        """Pass a batch's events to their schedulers and return the reply frame with their actions."""
         pending = PendingBatch(batch.clock_ns)
         for record in batch.records:
             self._add_record(pending, record)
         records: list[bytes] = []
         for instance, events in pending.events.items():
-            # Any exception is the instance's fault: it is reported, and the other instances go on.
+            # Any exception is reported as the fault of this instance; the others continue.
             try:
                 records.extend(self._handle(instance, pending.clock_ns, events))
             except Exception as error:
@@ -58,21 +58,23 @@
             self._schedulers.pop(instance, None)
             pending.events.pop(instance, None)
         elif record.code == EventCode.INIT:
-            self._start(pending, record)
+            self._start_instance(pending, record)
         elif instance in self._schedulers:
             event = event_from_record(record)
             events = pending.events.setdefault(instance, [])
             if event is not None:
                 events.append(event)
         elif instance not in pending.faults:
-            raise wire.WireError(f"an event for instance {instance}, which is not running")
+            raise wire.WireError(
+                f"received event {record.code} for instance {instance}, which is not running"
+            )
 
-    def _start(self, pending: PendingBatch, record: wire.Record) -> None:
+    def _start_instance(self, pending: PendingBatch, record: wire.Record) -> None:
         seed = record.fields[0]
         text = record.tail.decode("utf-8", "replace")
         try:
             settings = settings_from_wire(wire.parse_settings(text))
-            self._schedulers[record.instance] = self._make(settings, seed, pending.clock_ns)
+            self._schedulers[record.instance] = self._new_scheduler(settings, seed, pending.clock_ns)
         except Exception as error:
             pending.add_fault(record.instance, error)
         else:
@@ -86,7 +88,7 @@
 
 
 def _encode_reply(records: list[bytes], faults: dict[int, str]) -> bytes:
-    """Return the reply frame; the texts of the faults stand in its tail."""
+    """Return the reply frame, with the texts of the faults in its tail."""
     tail = b""
     for instance, fault in faults.items():
         text = fault.encode()[:MAX_FAULT_BYTES]
@@ -96,7 +98,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Read batches and write their replies until the input ends."""
     adapter = Adapter()
     while (batch := wire.read_batch(source)) is not None:
         sink.write(adapter.answer(batch))
@@ -104,7 +106,7 @@
 
 
 def main() -> int:
-    """Serve standard input; return 0 at its end, 1 with one line on standard error for a bad frame."""
+    """Serve standard input; return 0 at its end, or print an error and return 1 for a malformed frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/runloft/simulator/translation.py
+++ b/runloft/simulator/translation.py
@@ -1,4 +1,4 @@
-"""Translation between the records of the simulator's pipe and the types of the decisions."""
+"""Translation between the wire records of the simulator and the events and actions of the scheduler."""
 
 from collections.abc import Callable
 
@@ -32,7 +32,7 @@
 
 
 def event_from_record(record: wire.Record) -> contract.Event | None:
-    """Return the event of a record, None for one that the scheduler has no use for."""
+    """Return the event of a record, or None if the scheduler does not handle records of this code."""
     decode = _DECODERS.get(record.code)
     return decode(record) if decode else None
 
@@ -112,7 +112,7 @@
 def _node_list(record: wire.Record) -> contract.NodeList:
     kind = record.fields[1]
     if kind >= len(LIST_KINDS):
-        raise wire.WireError(f"unknown kind of node list {kind}")
+        raise wire.WireError(f"unknown node list kind {kind}")
     entries = tuple(
         contract.NodeEntry(
             node=node,
@@ -143,7 +143,7 @@
 
 
 def record_from_action(instance: int, action: contract.Action) -> bytes | None:
-    """Return the record of an action, None for one that the simulator has no use for."""
+    """Return the record of an action, or None if the simulator does not handle this action."""
     match action:
         case contract.SendAttempt(request_id, node, timeout_ns):
             return wire.encode_action(ActionCode.SEND_ATTEMPT, instance, request_id, node, timeout_ns)
--- a/runloft/simulator/wire.py
+++ b/runloft/simulator/wire.py
@@ -1,6 +1,6 @@
-"""The codec of the simulator's pipe: frames of bytes to plain records and back.
+"""The codec of the simulator's wire format: decodes event frames and encodes action frames.
 
-This module knows layouts only: ``translation`` turns records into the scheduler's events.
+It handles byte layouts only; ``translation`` converts records to and from the scheduler's types.
 """
 
 import struct
@@ -73,45 +73,47 @@
 
 
 class WireError(RunloftError, ValueError):
-    """The bytes on the pipe are not a frame of this protocol."""
+    """The input is not a valid frame of the simulator's protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One event: its code, its instance, its other fields, and what the tail holds for it."""
+    """One event: its code, instance and other fields, and its content from the batch's tail."""
 
     code: int
     instance: int
     fields: tuple[Any, ...]
-    tail: Any = None  # the settings' text of INIT, the entries of NODE_LIST
+    tail: Any = None  # INIT: the settings' text; NODE_LIST: its entries
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """The events of one instant."""
+    """The events that occur at one time."""
 
     clock_ns: int
     records: list[Record]
 
 
 def read_batch(stream: BinaryIO) -> Batch | None:
-    """Return the next batch, None at a clean end of input; raise ``WireError`` for a bad frame."""
+    """Return the next batch, or None at the end of input; raise ``WireError`` for a malformed frame."""
     header = stream.read(BATCH_HEADER.size)
     if not header:
         return None
     if len(header) < BATCH_HEADER.size:
-        raise WireError("input ended inside a batch header")
+        raise WireError(f"batch header truncated: got {len(header)} of {BATCH_HEADER.size} bytes")
     clock_ns, size, count = BATCH_HEADER.unpack(header)
     if size < BATCH_HEADER.size + count * EVENT_SIZE:
-        raise WireError(f"a batch of {size} bytes cannot hold {count} events")
+        raise WireError(f"batch size {size} is too small for {count} events")
     body = stream.read(size - BATCH_HEADER.size)
     if len(body) < size - BATCH_HEADER.size:
-        raise WireError("input ended inside a batch")
+        raise WireError(
+            f"batch truncated: got {len(body)} of {size - BATCH_HEADER.size} bytes after its header"
+        )
     return Batch(clock_ns, decode_records(body, count))
 
 
 def decode_records(body: bytes, count: int) -> list[Record]:
-    """Return the records of a batch, from the bytes after its header."""
+    """Return the records of a batch; ``body`` is the bytes after its header."""
     tail_start = count * EVENT_SIZE
     tail = body[tail_start:]
     return [_decode_record(body, start, tail) for start in range(0, tail_start, EVENT_SIZE)]
@@ -133,23 +135,23 @@
 
 def _tail_slice(tail: bytes, offset: int, size: int) -> bytes:
     if offset + size > len(tail):
-        raise WireError("a record points past the tail of its batch")
+        raise WireError(f"record refers to bytes {offset} to {offset + size} of a tail of {len(tail)} bytes")
     return tail[offset : offset + size]
 
 
 def encode_action(code: ActionCode, *fields: int) -> bytes:
-    """Return one action record without text."""
+    """Return one action record, padded to ``ACTION_SIZE``."""
     return ACTION_LAYOUTS[code].pack(code, *fields).ljust(ACTION_SIZE, b"\0")
 
 
 def encode_reply(records: Iterable[bytes], tail: bytes = b"") -> bytes:
-    """Return one reply frame of action records and their tail."""
+    """Return one reply frame with action records and a tail."""
     body = list(records)
     size = REPLY_HEADER.size + len(body) * ACTION_SIZE + len(tail)
     return b"".join([REPLY_HEADER.pack(size, len(body)), *body, tail])
 
 
 def parse_settings(text: str) -> dict[str, str]:
-    """Return the path=value lines of the first message; lines of another form are ignored."""
+    """Return the ``path=value`` pairs of an INIT record's settings; lines without ``=`` are ignored."""
     pairs = (line.partition("=") for line in text.splitlines())
     return {path.strip(): value.strip() for path, separator, value in pairs if separator}
--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -21,7 +21,7 @@
 from runloft.decisions.contract import AttemptOutcome, FailRequest, Idempotency, ListKind, ShedRequest
 from runloft.service.interfaces import ListeningEndpoint
 from runloft.service.runner import Runner
-from runloft.service.shutdown import FINISH_NS, graceful_shutdown
+from runloft.service.shutdown import OPEN_REQUEST_GRACE_NS, graceful_shutdown
 from tests.support.core_harness import CoreHarness
 from tests.support.driver import MS, SECOND, Host, request_class, settings
 
@@ -137,7 +137,12 @@
     """Full fleet, day roll: for 3.2 s of each restart nobody answered; a third of all requests failed."""
     scene = Scene(deadline, interval=70 * MS)
     duration = anyio.run(scene.shut_down)
-    assert serving_ms * MS <= duration <= serving_ms * MS + FINISH_NS + 100 * MS < serving_ms * MS + KILL_NS
+    assert (
+        serving_ms * MS
+        <= duration
+        <= serving_ms * MS + OPEN_REQUEST_GRACE_NS + 100 * MS
+        < serving_ms * MS + KILL_NS
+    )
     assert scene.closed_at == pytest.approx(SECOND + 500 * MS, abs=30 * MS)
     sent = [response.sent_at for response in scene.listener.responses]
     assert max(sent) >= SECOND + serving_ms * MS - 100 * MS
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -146,7 +146,7 @@
         def handle(self, now, events):
             raise IndexError("out of range")
 
-    adapter = Adapter(make=lambda *_: Broken())
+    adapter = Adapter(new_scheduler=lambda *_: Broken())
     reply = adapter.answer(wire.read_batch(io.BytesIO(start())))
     assert reply[8] == ActionCode.FAULT and reply.endswith(b"IndexError: out of range")
 
