--- a/runloft/arguments.py
+++ b/runloft/arguments.py
@@ -8,7 +8,7 @@
 
 
 def build_parser(with_tools: bool = True) -> argparse.ArgumentParser:
-    """Return the parser; without tools, whose import would delay a scheduler's start, it has ``serve`` only."""
+    """Return the parser; without the tools, which delay a scheduler's start, it has only ``serve``."""
     parser = argparse.ArgumentParser(prog="runloft", description="A host-side I/O scheduler.")
     commands = parser.add_subparsers(dest="command", required=True)
     _add_serve_parser(commands)
--- a/tests/decisions/test_final_response.py
+++ b/tests/decisions/test_final_response.py
@@ -85,7 +85,7 @@
 def test_disconnected_client_gets_no_attempt_and_no_response():
     host = Host(settings(may_cancel=True))
     out, held = host.ask(), host.ask(shard=5)
-    actions = host.see(ClientGone(out), ClientGone(held))
+    actions = host.feed(ClientGone(out), ClientGone(held))
     assert CancelAttempt(out, 0) in actions
     host.end(out, AttemptOutcome.CANCELLED)
     host.tell(NodeEntry(11, 5))
@@ -96,6 +96,6 @@
 def test_started_stream_has_no_deadline():
     host = Host(settings(request_class(streamed=True)))
     request_id = host.ask()
-    host.see(StreamStarted(request_id, 0, 10))
+    host.feed(StreamStarted(request_id, 0, 10))
     host.wait(2000)
     assert not host.answers(request_id)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -7,7 +7,7 @@
     IdempotencyScope,
 )
 from tests.support.driver import SECOND
-from tests.support.fleet import CONNECT, Fleet
+from tests.support.fleet import CONNECT_TIMEOUT_NS, Fleet
 
 
 @pytest.mark.parametrize("load", [15.0, 27.0])
@@ -19,7 +19,7 @@
     fleet.replace(0, 1)
     before = fleet.served
     fleet.run(12, load)
-    assert fleet.nodes[1].worst <= 0.9
+    assert fleet.nodes[1].max_load <= 0.9
     assert fleet.served - before >= 25
 
 
@@ -31,10 +31,10 @@
     fleet.run(20, load)
     fleet.replace(0, 1)
     fleet.run(20, load)
-    assert fleet.nodes[1].worst <= most
+    assert fleet.nodes[1].max_load <= most
 
 
-@pytest.mark.parametrize("together", [0, CONNECT])
+@pytest.mark.parametrize("together", [0, CONNECT_TIMEOUT_NS])
 @pytest.mark.parametrize("fresh", [False, True])
 @pytest.mark.parametrize("load", [80.0, 200.0])
 @pytest.mark.parametrize("hosts", [1, 5, 20, 30, 200])
@@ -43,14 +43,14 @@
     fleet = Fleet(hosts, nodes=3, capacity=100.0, seed=5)
     if not fresh:
         fleet.run(12, load)
-    fleet.together = together
+    fleet.connect_batch_ns = together
     fleet.replace(0, 10)
     fleet.run(9, load)
     if fresh:  # every other host begins anew, just when the second node has
         fleet.replace(1, 11)
         fleet.restart(range(0, hosts, 2))
     fleet.run(9, load)
-    assert 0 < max(node.worst for node in fleet.nodes.values()) <= 0.9
+    assert 0 < max(node.max_load for node in fleet.nodes.values()) <= 0.9
 
 
 SIZES = [(40, 40, 30.0, 20.0), (200, 60, 30.0, 20.0), (230, 300, 12.0, 6.0)]
--- a/tests/decisions/test_key_order.py
+++ b/tests/decisions/test_key_order.py
@@ -28,7 +28,7 @@
 def test_key_is_paused_after_an_ambiguous_attempt(outcome):
     host = Host(settings(IN_ORDER, ambiguity_wait_ns=100 * MS, may_cancel=True))
     first, second = host.ask(key=7), host.ask(key=7)
-    host.see(ClientGone(first))
+    host.feed(ClientGone(first))
     assert not host.sends(second)  # its attempt has no outcome yet
     ended = host.now
     host.end(first, outcome)
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -25,7 +25,7 @@
     host = Host(settings(request_class(aim=100, deadline=600)))
     request_id = host.ask()
     host.now += 700 * MS
-    host.see(TimerFired(request_id), AttemptResult(request_id, 0, 10, AttemptOutcome.OK, True, 20 * MS))
+    host.feed(TimerFired(request_id), AttemptResult(request_id, 0, 10, AttemptOutcome.OK, True, 20 * MS))
     assert not host.answers(request_id)
 
 
@@ -34,7 +34,7 @@
     request_id = host.ask()
     host.end(request_id)
     host.end(request_id)
-    host.see(
+    host.feed(
         AttemptResult(999, 0, 10, AttemptOutcome.OK, True),
         ClientGone(999),
         TimerFired(999),
--- a/tests/service/test_cli.py
+++ b/tests/service/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, and the program's start and end."""
+"""The command line, and start and shutdown of the program."""
 
 import json
 import subprocess
@@ -18,7 +18,7 @@
 
 ROOT = Path(__file__).parents[2]
 READ = b"c=position-read,t=basic,d=2000,volume=0000000000000001,units=1,shard=0,hosts=1"
-ASK, ASK_2 = (b"".join(encode_command(b"IO.IN", b"%016x" % 10, b"%016x" % n, READ)) for n in (1, 2))
+REQUEST, REQUEST_2 = (b"".join(encode_command(b"IO.IN", b"%016x" % 10, b"%016x" % n, READ)) for n in (1, 2))
 
 
 def test_json_settings_flatten_to_the_simulators_lines():
@@ -81,14 +81,14 @@
 def test_each_config_fault_is_named_by_its_key(path, value, fault, capsys):
     assert main(["config", "write", "--application", "side"]) == 0
     raw = tomllib.loads(capsys.readouterr().out)
-    *way, last = path.split(".")
-    inner = raw
-    for key in way:
-        inner = inner[key]
+    *parents, last = path.split(".")
+    table = raw
+    for key in parents:
+        table = table[key]
     if value is None:
-        del inner[last]
+        del table[last]
     else:
-        inner[last] = value
+        table[last] = value
     with pytest.raises(ConfigError) as caught:
         config_from_json(raw)
     assert any(text.startswith(fault + ":") for text in caught.value.faults), caught.value.faults
@@ -98,12 +98,12 @@
     path = tmp_path / "c.json"
     path.write_text(json.dumps({"listen": "x"}))
     for words in (["serve", "--config"], ["config", "check"]):
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "runloft", *words, str(path)], capture_output=True, text=True, timeout=20
         )
-        assert done.returncode == 1
+        assert completed.returncode == 1
         for key in ("listen:", "discovery: missing", "settings.Classes:"):
-            assert f"{key}" in done.stderr and f"{path}: " in done.stderr
+            assert f"{key}" in completed.stderr and f"{path}: " in completed.stderr
 
 
 def test_version_prints_the_programs_name(capsys):
@@ -112,7 +112,7 @@
 
 
 @pytest.fixture
-def served(tmp_path):
+def running(tmp_path):
     node, discovery = RespNode(delay=0.4), Discovery()
     program = Program(config(discovery.address, [entry(node.address)]), tmp_path / "config.json")
     yield program, node, discovery
@@ -121,38 +121,38 @@
     discovery.close()
 
 
-def test_sigterm_answers_accepted_requests_and_exits_with_0(served):
-    program, _, _ = served
+def test_sigterm_answers_accepted_requests_and_exits_with_0(running):
+    program, _, _ = running
     idle, busy = program.connect(), program.connect()
-    busy.sendall(ASK)
+    busy.sendall(REQUEST)
     program.process.terminate()
-    late = program.connect()  # new connections go on being served for a while
-    late.sendall(ASK_2)
+    late = program.connect()  # new connections are still accepted for a while
+    late.sendall(REQUEST_2)
     assert busy.makefile("rb").readline() == b"$2\r\n"
     assert late.makefile("rb").readline() == b"$2\r\n"
     assert idle.recv(1) == b""
     assert program.process.wait(10) == 0
 
 
-def test_watch_starts_at_the_known_revision_and_is_reopened(served):
-    program, node, discovery = served
+def test_watch_starts_at_the_known_revision_and_is_reopened(running):
+    program, node, discovery = running
     discovery.tell(entry(node.address, state="terminating"))
     assert b"index=1" in discovery.asked[0]
     discovery.watches[0].close()
     discovery.connections[0].shutdown(2)
     with program.connect() as sock:
-        sock.sendall(ASK_2.replace(b"d=2000", b"d=0900"))
-        assert sock.recv(100).startswith(b"-BUSY ")  # it drains: nothing was sent there
+        sock.sendall(REQUEST_2.replace(b"d=2000", b"d=0900"))
+        assert sock.recv(100).startswith(b"-BUSY ")  # the node drains: nothing was sent to it
     assert not node.log
     discovery.tell(entry(node.address, "s-2"))
     with program.connect() as sock:
-        sock.sendall(ASK)
+        sock.sendall(REQUEST)
         assert sock.recv(100).startswith(b"$2\r\n")
     assert b"index=2" in discovery.asked[1]
 
 
 def test_serve_loads_no_module_of_the_tools():
-    """Day herd+vast: 28 schedulers at once were away for half a second, a fifth of it loading the tool."""
+    """28 schedulers that restarted at once were away for 0.5 s, a fifth of it for importing the tools."""
     code = "import sys; from runloft.cli import main; main(['serve', '--config', '/no']); print(*sys.modules)"
     run = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
     loaded = run.stdout.split()
--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: connected clients are served until shortly before SIGKILL; then all is answered."""
+"""Graceful shutdown: clients are served until shortly before SIGKILL; then all requests are answered."""
 
 import socket
 from dataclasses import dataclass
@@ -25,11 +25,11 @@
 from tests.support.core_harness import CoreHarness
 from tests.support.driver import MS, SECOND, Host, request_class, settings
 
-KILL_NS = 700 * MS  # PROTOCOL: SIGKILL comes so long after the longest deadline, counted as 3 s at most
+KILL_NS = 700 * MS  # from the longest deadline, which counts as 3 s at most, to the platform's SIGKILL
 
 
 class OneClientListener:
-    """Has one client, which sends a request every so often until it is closed between two requests."""
+    """A listener with one client, which sends requests at an interval until it is closed between two."""
 
     def __init__(self, scene, interval, deadline):
         self.scene = scene
@@ -77,7 +77,7 @@
 
 @dataclass
 class Response:
-    sent_at: int  # of its request
+    sent_at: int  # when its request was sent
     answered_at: int
     reply: object
 
@@ -97,7 +97,7 @@
 
 
 class Scene:
-    """A core whose node never answers, its runner and a clock that the test moves."""
+    """A core whose node never answers, its runner, and a clock that the test advances."""
 
     def __init__(self, deadline, interval):
         self.now = SECOND
@@ -111,7 +111,7 @@
         self.listener = OneClientListener(self, interval, deadline * MS)
 
     async def shut_down(self):
-        """Shut down gracefully; return the time that it took."""
+        """Shut down gracefully; return the time taken in nanoseconds."""
         started_at = self.now
         done = anyio.Event()
 
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("deadline, serving_ms", [(1000, 1000), (2500, 2500), (30_000, 3000)])
 def test_connected_clients_are_served_and_all_answered_before_sigkill(deadline, serving_ms):
-    """Full fleet, day roll: for 3.2 s of each restart nobody answered; a third of all requests failed."""
+    """In a rolling restart, no scheduler answered for 3.2 s per restart; a third of all requests failed."""
     scene = Scene(deadline, interval=70 * MS)
     duration = anyio.run(scene.shut_down)
     assert (
@@ -150,7 +150,7 @@
 
 
 def test_full_listener_accepts_its_queue_before_it_closes():
-    """A full listener accepted nothing, and the close of its socket reset what was queued there."""
+    """A full listener accepted nothing, so closing its socket reset the queued connections."""
     scene = Scene(2500, interval=70 * MS)
     scene.listener.full_until = SECOND + 1200 * MS
     anyio.run(scene.shut_down)
@@ -158,7 +158,7 @@
 
 
 def test_client_that_never_disconnects_does_not_delay_the_exit_past_sigkill():
-    """One that reads none of its responses, or goes on sending, kept the process until it was killed."""
+    """A client that read no responses or kept sending delayed the exit until SIGKILL."""
     scene = Scene(2500, interval=70 * MS)
     scene.listener.never_disconnects = True
     assert anyio.run(scene.shut_down) < 2500 * MS + KILL_NS
@@ -190,11 +190,11 @@
 def test_open_request_gets_one_response_that_fits_what_may_have_executed(idempotency, action):
     host = Host(settings(request_class(idempotency, aim=1000, deadline=9000)), at=SECOND)
     sent = host.ask()
-    queued = host.ask(shard=7)  # no node has it
+    queued = host.ask(shard=7)  # no node serves this shard
     done = host.ask()
     host.end(done)
-    host.see(contract.ShutdownStarted())
-    host.see(contract.ShutdownStarted())
+    host.feed(contract.ShutdownStarted())
+    host.feed(contract.ShutdownStarted())
     assert [type(answer) for _, answer in host.answers(sent)] == [action]
     assert [type(answer) for _, answer in host.answers(queued)] == [ShedRequest]
     assert host.answers(queued)[0][1].retry_after_ns > 0 and not host.answers(done)
--- a/tests/service/test_metrics.py
+++ b/tests/service/test_metrics.py
@@ -1,4 +1,4 @@
-"""Why requests and connections ended: traced in the log by id, as totals at the end, and as metrics."""
+"""Why requests and connections ended: in the debug log by id, in the totals at exit, and in metrics."""
 
 import re
 
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -1,4 +1,4 @@
-"""What the process may do, and a response of no stated length, as the standing tests put it."""
+"""Restrictions on the process: system calls, sockets, children; and responses without a stated length."""
 
 import shlex
 import signal
@@ -16,7 +16,7 @@
 
 ROOT = Path(__file__).parents[2]
 
-# As the bench refuses them, and as it sees sockets: by the interpreter's own audit, which sees each of them.
+# Refuses forbidden system calls and sockets as the bench does, by an audit hook, which sees every call.
 CONFINED = """
 import errno, os, sys
 REFUSED = {"os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.system", "subprocess.Popen"}
@@ -39,8 +39,8 @@
 def test_serve_uses_only_ip_sockets_and_no_forbidden_system_call(tmp_path, monkeypatch):
     node, discovery = RespNode(), Discovery()
     command = [sys.executable, "-c", CONFINED]
-    start = subprocess.Popen
-    monkeypatch.setattr(subprocess, "Popen", lambda _, **more: start(command, **more))
+    popen = subprocess.Popen
+    monkeypatch.setattr(subprocess, "Popen", lambda _, **more: popen(command, **more))
     program = Program(config(discovery.address, [entry(node.address)]), tmp_path / "config.json")
     try:
         with program.connect() as client:
@@ -59,7 +59,7 @@
 
 
 def test_deploy_files_run_command_becomes_the_only_process():
-    """No shell stays round it: signals and the library that is loaded into it meet the program itself."""
+    """The command replaces its shell, so that signals and a preloaded library reach the program itself."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     words = shlex.split(run, comments=True)
     assert words[0] == "exec" and words[-2:] == ["runloft", "serve"]
@@ -73,9 +73,9 @@
     made.close()
 
 
-@pytest.mark.parametrize("cut", [False, True])
-def test_response_without_length_is_complete_at_end_of_stream_but_not_at_a_reset(world, cut):
-    """A reset is no end: passed on as one, half an object would be taken for the whole."""
+@pytest.mark.parametrize("reset", [False, True])
+def test_response_without_length_is_complete_at_end_of_stream_but_not_at_a_reset(world, reset):
+    """A reset forwarded as an end of stream would make a truncated object look complete."""
     world.request("PUT", body=b"x")
     server = world.holder()
 
@@ -84,7 +84,7 @@
             pass
         conn.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + b"a" * 1000)
         server.held.wait(10)
-        if cut:
+        if reset:
             conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
 
     server.held.clear()
@@ -99,6 +99,6 @@
         server.held.set()
         while data := sock.recv(65536):
             got += data
-            if not cut and got.endswith(b"0\r\n\r\n"):
+            if not reset and got.endswith(b"0\r\n\r\n"):
                 break
-    assert b"Transfer-Encoding: chunked" in got and got.endswith(b"0\r\n\r\n") is not cut
+    assert b"Transfer-Encoding: chunked" in got and got.endswith(b"0\r\n\r\n") is not reset
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload on SIGHUP: what a new file changes, what needs a restart, and what must go on undisturbed."""
+"""Reload on SIGHUP: what it applies, what requires a restart, and what must continue undisturbed."""
 
 import json
 import os
@@ -44,10 +44,10 @@
         for _ in range(2):  # twice in a row: the second changes nothing
             program.reload(json.dumps(raw | {"discovery": new.address, "name": "other"}))
         until(lambda: new.watches, 3)
-        assert b"index=0 " in new.asked[0] and len(new.asked) == 1  # its numbers are its own: all of its list
+        assert b"index=0 " in new.asked[0] and len(new.asked) == 1  # index 0 requests the full list
         assert client.recv(100) == b"$2\r\nok\r\n"
         assert any("restart" in line and "name" in line for line in program.log)
-        client.sendall(command(b"0000000000000002"))  # open while the program winds down
+        client.sendall(command(b"0000000000000002"))  # still open during the shutdown
         until(lambda: len(node.log) > 1 or node.lock.locked())
         program.process.send_signal(signal.SIGTERM)
         program.reload(json.dumps(raw))
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("where", ["loading", "its file was read"])
 def test_reload_during_the_start_is_applied(tmp_path, where):
-    """Before the receiver SIGHUP ended the process, or was dropped: it watched the old discovery for good."""
+    """An early SIGHUP ended the process or was lost, and the old discovery was watched from then on."""
     old, new = Discovery(), Discovery()
     path, fresh = tmp_path / "config.json", tmp_path / "fresh.json"
     path.write_text(json.dumps(config(old.address, [])))
@@ -105,11 +105,11 @@
 
 def changed(path, value):
     raw = config("127.0.0.1:1", [], "127.0.0.1:2")
-    *way, last = path.split(".")
-    inner = raw
-    for key in way:
-        inner = inner[int(key) if key.isdigit() else key]
-    inner[last] = value
+    *parents, last = path.split(".")
+    table = raw
+    for key in parents:
+        table = table[int(key) if key.isdigit() else key]
+    table[last] = value
     return config_from_json(raw)
 
 
@@ -140,7 +140,7 @@
     fresh, bounds = settings(max_attempts=1), replace(harness.core.bounds, requests=2)
     assert harness.step(Reconfigured(fresh, bounds)) == []
     assert isinstance(harness.scheduler.events[-1], NewSettings) and harness.core.settings is fresh
-    assert harness.receive()[1][0].reply == Shed()  # by the new bound
+    assert harness.receive()[1][0].reply == Shed()  # exceeds the new bound
     assert harness.step(AttemptFinished(1, AttemptOutcome.OK, b"v"))[0].sink is sink
 
 
@@ -152,11 +152,11 @@
         host.scheduler.nodes[10],
         settings(plan=PlanSettings(reserve=5.0), slow_start_ns=7, overload_window_ns=9),
     )
-    host.see(NewSettings(fresh))
-    store = host.scheduler.volumes[1]
+    host.feed(NewSettings(fresh))
+    volume = host.scheduler.volumes[1]
     assert host.scheduler.nodes[10] is node and node.in_flight
     assert (node.slow_start.served.window_ns, node.slow_start.sent.window_ns) == (7, 9)
-    assert store.plan.reserve == 5.0 and store.max_reserve_tokens < 1000
+    assert volume.plan.reserve == 5.0 and volume.max_reserve_tokens < 1000
 
 
 @pytest.mark.parametrize("rev, posted_kinds", [(9, [ListKind.FULL]), (4, []), (None, [])])
@@ -168,8 +168,8 @@
         def __init__(self):
             self.moves = []
 
-        def move(self, where):
-            self.moves.append(where)
+        def move(self, address):
+            self.moves.append(address)
 
     watch = Watch()
     path = tmp_path / "config.json"
@@ -179,7 +179,7 @@
     reload = Reload(str(path), config_from_json(raw), watch, posted.append, ())
     reload()
     assert [event.kind for event in posted] == posted_kinds and reload.watch.rev == (9 if posted_kinds else 5)
-    path.write_text("[" * 100_000)  # too deep to be read: the old one stands
+    path.write_text("[" * 100_000)  # nested too deeply to parse: the old configuration stays in use
     before = reload.config
     reload()
     assert reload.config is before and len(watch.moves) == 1
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("rev, posted_kinds", [(9, [ListKind.FULL]), (4, [])])
 def test_moving_to_another_discovery_restores_no_older_node_list(tmp_path, rev, posted_kinds):
-    """The watch asks for the whole list there; the file's is held against what the old one had told."""
+    """The new discovery sends its full list; the file's revision is compared with the old discovery's."""
 
     async def run():
         path = tmp_path / "config.json"
@@ -196,7 +196,7 @@
         watch = Watch(("127.0.0.1", 1), 5, (), posted.append, TimerQueue(), lambda: 0)
         path.write_text(json.dumps(raw | {"discovery": "127.0.0.1:3", "known": raw["known"] | {"rev": rev}}))
         reload = Reload(str(path), config_from_json(raw), watch, posted.append, ())
-        for _ in range(2):  # again before the new one has said anything
+        for _ in range(2):  # the second before the new discovery has sent anything
             reload()
             assert [event.kind for event in posted] == posted_kinds and (watch.index, watch.address[1]) == (
                 0,
@@ -207,13 +207,13 @@
 
 
 def test_dispatch_without_a_free_descriptor_waits_and_reports_no_node_failure():
-    deadlines, posted = TimerQueue(), []
+    timers, posted = TimerQueue(), []
     conf = config_from_json(config("127.0.0.1:1", []) | {"limits": {"sockets": 32}})
-    link = ConnectionPool(
-        None, posted.append, deadlines, lambda: 0, conf, connection_type=None, permit=None, begin_attempt=None
+    pool = ConnectionPool(
+        None, posted.append, timers, lambda: 0, conf, connection_type=None, permit=None, begin_attempt=None
     )
-    link.max_connections = 0
-    link.dispatch(Dispatch(1, NodeUpdate("s-1", "127.0.0.1:2", 0), None, SECOND))
-    assert posted == [] and list(link.waiting) == [1] and len(deadlines) == 1
-    link.abandon(1)
-    assert not link.waiting and not len(deadlines)
+    pool.max_connections = 0
+    pool.dispatch(Dispatch(1, NodeUpdate("s-1", "127.0.0.1:2", 0), None, SECOND))
+    assert posted == [] and list(pool.waiting) == [1] and len(timers) == 1
+    pool.abandon(1)
+    assert not pool.waiting and not len(timers)
--- a/tests/service/test_signals.py
+++ b/tests/service/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals: SIGTERM at any moment ends the program with exit code 0, and none is lost beside another."""
+"""Signals: SIGTERM at any time ends the program with exit code 0; concurrent signals are all handled."""
 
 import json
 import os
@@ -15,9 +15,9 @@
 import os, signal, sys
 from runloft import cli
 from runloft.service import server
-def hooked(call, stop):
+def hooked(call, trigger):
     def inner(*args, **more):
-        if stop is None or args[:1] == (stop,):
+        if trigger is None or args[:1] == (trigger,):
             os.kill(os.getpid(), signal.SIGTERM)
         return call(*args, **more)
     return inner
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("where", ["start", "end"])
 def test_sigterm_exits_with_0_before_serving_and_during_the_shutdown(tmp_path, where):
-    """Before and after the time in which signals were received, their default action ended the process."""
+    """SIGTERM before the receiver opened or after it closed ended the process by its default action."""
     discovery, node = Discovery(), RespNode()
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(discovery.address, [entry(node.address)])))
@@ -58,7 +58,7 @@
 
 
 def test_sighup_and_sigterm_at_the_same_time_are_both_handled(tmp_path):
-    discovery, moved, node = Discovery(), Discovery(), RespNode(delay=0.3)
+    discovery, new_discovery, node = Discovery(), Discovery(), RespNode(delay=0.3)
     raw = config(discovery.address, [entry(node.address)])
     program = Program(raw, tmp_path / "config.json")
     try:
@@ -66,14 +66,14 @@
             sock.sendall(read_command(0))
             until(lambda: node.connections)
             program.process.send_signal(signal.SIGSTOP)
-            program.path.write_text(json.dumps(raw | {"discovery": moved.address}))
+            program.path.write_text(json.dumps(raw | {"discovery": new_discovery.address}))
             program.process.send_signal(signal.SIGHUP)
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGCONT)
             assert sock.recv(100) == OK
-            until(lambda: moved.asked)
+            until(lambda: new_discovery.asked)
         assert program.process.wait(15) == 0
     finally:
         program.close()
-        for server in (discovery, moved, node):
+        for server in (discovery, new_discovery, node):
             server.close()
--- a/tests/service/test_startup_errors.py
+++ b/tests/service/test_startup_errors.py
@@ -1,4 +1,4 @@
-"""A start that fails ends with exit code 1 and one line that names what, which setting, address and errno."""
+"""A failed start exits with code 1 and prints one line with the setting, the address and the errno."""
 
 import errno
 import json
@@ -24,7 +24,7 @@
 
 @dataclass
 class FailedStart:
-    """What a start that failed left behind; ``lines`` without those of single retries."""
+    """The result of a failed start; ``lines`` excludes log lines of retries and of opened listeners."""
 
     exit_code: int
     seconds: float
@@ -45,7 +45,7 @@
             if descriptors is not None:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, *(["-c", code] if code else ["-m", "runloft"]), "serve"],
             env=os.environ | {"ROUTER_CONFIG": str(path)},
             stderr=subprocess.PIPE,
@@ -53,10 +53,10 @@
             timeout=30,
             preexec_fn=limit_descriptors,
         )
-        lines = done.stderr.replace(str(path), "CONFIG").splitlines()
+        lines = completed.stderr.replace(str(path), "CONFIG").splitlines()
         faults = [line for line in lines if RETRY not in line and "serving" not in line]
         retries = sum(RETRY in line for line in lines)
-        return FailedStart(done.returncode, time.monotonic() - started_at, faults, retries)
+        return FailedStart(completed.returncode, time.monotonic() - started_at, faults, retries)
 
     start.path = path
     return start
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("descriptors", [5, 6])
 def test_descriptors_exhausted_at_the_start_are_named(start, descriptors):
-    """5: the event loop finds none, 6: the signal receiver's module can't be opened."""
+    """With 5, the event loop has none left; with 6, the module of the signal receiver can't be opened."""
     failed = start(platform_config(), descriptors)
     (line,) = failed.lines
     assert line.startswith(f"runloft: CONFIG: can't start: {TOO_MANY_FILES}")
@@ -191,7 +191,7 @@
 
 
 def test_an_unwritable_folder_of_the_local_snapshot_does_not_end_the_start(tmp_path):
-    """It is logged; `serve` goes on without a snapshot, so this is no way out."""
+    """The error is logged, and `serve` continues without a snapshot."""
     path = tmp_path / "config.json"
     agreement = {"store": "redis://127.0.0.1:9/0", "directory": "/proc/none"}
     path.write_text(json.dumps(platform_config(agreement=agreement)))
--- a/tests/service/test_transient_failures.py
+++ b/tests/service/test_transient_failures.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, at the start and on a reload, are retried."""
+"""System calls that fail temporarily at start or on reload are retried."""
 
 import errno
 import json
@@ -25,19 +25,19 @@
     rev = 5
     zones = ()
 
-    def move(self, where):
+    def move(self, address):
         pass
 
 
 def fail_reads(monkeypatch, times, number=errno.EIO):
-    """Let reading a configuration fail so often."""
-    failures = [times]
+    """Make the next ``times`` reads of a configuration file fail."""
+    failures_left = [times]
     real = loading.read_file
 
     def read(path):
-        if failures[0]:
-            failures[0] -= 1
-            raise OSError(number, "for a moment")
+        if failures_left[0]:
+            failures_left[0] -= 1
+            raise OSError(number, "temporary")
         return real(path)
 
     monkeypatch.setattr(loading, "read_file", read)
@@ -67,7 +67,7 @@
 
 
 def test_start_retries_reading_its_config_file(tmp_path, monkeypatch):
-    """EIO or ENFILE in that moment ended the start with 1: seen in the soak as a failed start."""
+    """A temporary EIO or ENFILE ended the start with exit code 1: seen in the soak as a failed start."""
     path, _ = write_config(tmp_path)
     fail_reads(monkeypatch, 3)
     slept = []
@@ -79,79 +79,79 @@
 
 
 def test_reload_retries_reading_its_config_file(tmp_path, monkeypatch):
-    """The reload was dropped: the old discovery was still watched when the new one had taken over."""
+    """A reload that failed to read the file was dropped, so the replaced discovery was still watched."""
     path, before = write_config(tmp_path, discovery="127.0.0.1:9", limits={"memory_mb": 64})
     now = [0]
-    deadlines = TimerQueue()
+    timers = TimerQueue()
     posted = []
-    reload = Reload(str(path), before, Watch(), posted.append, (), timers=deadlines, clock=lambda: now[0])
+    reload = Reload(str(path), before, Watch(), posted.append, (), timers=timers, clock=lambda: now[0])
     fail_reads(monkeypatch, 2)
     reload()
-    assert not posted and len(deadlines) == 1
+    assert not posted and len(timers) == 1
     for _ in range(2):
         now[0] += READ_RETRY_NS
-        for item in deadlines.pop_due(now[0]):
-            item()
-    assert [type(event) for event in posted] == [Reconfigured] and not len(deadlines)
-    # A reload in the meantime replaces the one that waits, and retries come to an end.
+        for callback in timers.pop_due(now[0]):
+            callback()
+    assert [type(event) for event in posted] == [Reconfigured] and not len(timers)
+    # Another reload replaces the pending retry, and the number of retries is limited.
     fail_reads(monkeypatch, 1000)
     reload()
     reload()
-    assert len(deadlines) == 1
+    assert len(timers) == 1
     for _ in range(READ_RETRIES + 1):
         now[0] += READ_RETRY_NS
-        for item in deadlines.pop_due(now[0]):
-            item()
-    assert not len(deadlines) and len(posted) == 1
+        for callback in timers.pop_due(now[0]):
+            callback()
+    assert not len(timers) and len(posted) == 1
 
 
-class Pause:
-    def __init__(self, busy):
-        self.busy = busy
+class RecordingPause:
+    def __init__(self, predecessor):
+        self.predecessor = predecessor
         self.slept = []
 
     async def __call__(self, seconds):
         self.slept.append(seconds)
         if len(self.slept) == 3:
-            self.busy.close()
+            self.predecessor.close()
 
 
 def test_start_retries_an_address_in_use():
-    """Its predecessor listens for half a second after SIGTERM; the address in use ended the new one."""
+    """A predecessor listens for 0.5 s after SIGTERM; its successor failed because the address was in use."""
 
-    async def story():
-        busy = socket.create_server(("127.0.0.1", 0))
-        pause = Pause(busy)
-        listener = await listening.open_listener_with_retry(busy.getsockname(), pause)
+    async def scenario():
+        predecessor = socket.create_server(("127.0.0.1", 0))
+        pause = RecordingPause(predecessor)
+        listener = await listening.open_listener_with_retry(predecessor.getsockname(), pause)
         assert len(pause.slept) == 3
         listener.close()
 
-    anyio.run(story)
+    anyio.run(scenario)
 
 
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_start_retries_exhausted_descriptors_but_not_forbidden_addresses(monkeypatch, number):
-    async def story():
-        real, left = listening.open_listener, [2]
+    async def scenario():
+        real, failures_left = listening.open_listener, [2]
 
-        def open_slowly(where):
-            if left[0]:
-                left[0] -= 1
-                raise OSError(number, "for a moment")
-            return real(where)
+        def fail_twice(address):
+            if failures_left[0]:
+                failures_left[0] -= 1
+                raise OSError(number, "temporary")
+            return real(address)
 
-        monkeypatch.setattr(listening, "open_listener", open_slowly)
+        monkeypatch.setattr(listening, "open_listener", fail_twice)
 
         async def pause(_):
             pass
 
         (await listening.open_listener_with_retry(("127.0.0.1", 0), pause)).close()
 
-        def forbidden(where):
-            raise OSError(errno.EACCES, "for good")
+        def forbidden(address):
+            raise OSError(errno.EACCES, "permanent")
 
         monkeypatch.setattr(listening, "open_listener", forbidden)
         with pytest.raises(OSError):
             await listening.open_listener_with_retry(("127.0.0.1", 0), pause)
 
-    anyio.run(story)
+    anyio.run(scenario)
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec on the layouts of the protocol, and the adapter as a process."""
+"""The codec against the protocol's byte layouts, and the adapter as a process."""
 
 import io
 import struct
@@ -13,7 +13,7 @@
 from runloft.simulator.adapter import Adapter
 from runloft.simulator.wire import ActionCode, EventCode
 
-SETUP = b"""Classes.count=1
+SETTINGS = b"""Classes.count=1
 Classes.0.Target=100000000
 Classes.0.HardLimit=600000000
 Classes.0.Effect=dedup
@@ -37,20 +37,20 @@
 
 
 def start(instance: int = 3) -> bytes:
-    init = struct.pack(">BIQII", EventCode.INIT, instance, 1, 0, len(SETUP)).ljust(wire.EVENT_SIZE, b"\0")
+    init = struct.pack(">BIQII", EventCode.INIT, instance, 1, 0, len(SETTINGS)).ljust(wire.EVENT_SIZE, b"\0")
     entry = wire.NODE_ENTRY.pack(0, 0, 0x03124A07, 0, 0, 0, 1.0)
-    members = struct.pack(">BIIBII", EventCode.NODE_LIST, instance, 1, 2, len(SETUP), 1)
-    return batch(init, members.ljust(wire.EVENT_SIZE, b"\0"), tail=SETUP + entry)
+    node_list = struct.pack(">BIIBII", EventCode.NODE_LIST, instance, 1, 2, len(SETTINGS), 1)
+    return batch(init, node_list.ljust(wire.EVENT_SIZE, b"\0"), tail=SETTINGS + entry)
 
 
-ARRIVAL = record(
+REQUEST_RECORD = record(
     "01 00000003 000125ec5d3a91c4 40000000 01 91f03b7c55d20a64 0000 00"
     "000000000e4e1c00 40400000 2b8e6401d9f37c10 00000000"
 )
 
 
 def test_an_arrival_is_read_field_by_field():
-    read = wire.read_batch(io.BytesIO(batch(ARRIVAL)))
+    read = wire.read_batch(io.BytesIO(batch(REQUEST_RECORD)))
     (got,) = read.records
     assert (read.clock_ns, got.code, got.instance) == (5, EventCode.REQUEST, 3)
     assert got.fields == (
@@ -68,11 +68,11 @@
 
 
 def test_an_outcome_is_read_field_by_field():
-    line = record(
+    result = record(
         "04 00000003 000125ec5d3a91c4 00 03124a07 00c8 00000000011a49a0 01 0056 0003"
         "02 40e00000 40400000 00000000 00000000"
     )
-    (got,) = wire.decode_records(line, 1)
+    (got,) = wire.decode_records(result, 1)
     assert got.fields == (0x125EC5D3A91C4, 0, 0x03124A07, 200, 18_500_000, 1, 86, 3, 2, 7.0, 3.0, 0.0, 0.0)
 
 
@@ -88,15 +88,15 @@
 def test_actions_have_the_layouts_of_the_protocol():
     send = wire.encode_action(ActionCode.SEND_ATTEMPT, 3, 0x125EC5D3A91C4, 0x03124A07, 80_000_000)
     assert send.hex() == "0000000003000125ec5d3a91c403124a070000000004c4b400" + 14 * "0"
-    wake = wire.encode_action(ActionCode.TIMER, 3, 0x213362490, 0x4D)
-    assert wake.hex() == "04000000030000000213362490000000000000004d" + 22 * "0"
-    refuse = wire.encode_action(ActionCode.SHED_REQUEST, 3, 0x612620E6F2B19, 250_000_000)
-    assert refuse.hex() == "0100000003000612620e6f2b19000000000ee6b280" + 22 * "0"
+    timer = wire.encode_action(ActionCode.TIMER, 3, 0x213362490, 0x4D)
+    assert timer.hex() == "04000000030000000213362490000000000000004d" + 22 * "0"
+    shed = wire.encode_action(ActionCode.SHED_REQUEST, 3, 0x612620E6F2B19, 250_000_000)
+    assert shed.hex() == "0100000003000612620e6f2b19000000000ee6b280" + 22 * "0"
     assert wire.encode_reply([]).hex() == "0000000800000000"
 
 
 def test_settings_are_translated_and_unknown_keys_passed_over():
-    got = settings_from_wire(wire.parse_settings(SETUP.decode()))
+    got = settings_from_wire(wire.parse_settings(SETTINGS.decode()))
     assert (
         got.classes[0].idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         and got.classes[0].idempotency_scope is IdempotencyScope.SHARD
@@ -111,13 +111,13 @@
 
 
 def test_the_process_exchanges_batches_and_ends_with_its_input():
-    done = run(batch() + start() + batch(ARRIVAL, clock=9))
-    assert (done.returncode, done.stderr) == (0, b"")
+    completed = run(batch() + start() + batch(REQUEST_RECORD, clock=9))
+    assert (completed.returncode, completed.stderr) == (0, b"")
     empty = bytes.fromhex("0000000800000000")
-    assert done.stdout.startswith(empty + empty)
-    size, count = wire.REPLY_HEADER.unpack(done.stdout[16:24])
-    codes = [done.stdout[24 + n * wire.ACTION_SIZE] for n in range(count)]
-    assert size == len(done.stdout) - 16 and sorted(codes) == [
+    assert completed.stdout.startswith(empty + empty)
+    size, count = wire.REPLY_HEADER.unpack(completed.stdout[16:24])
+    codes = [completed.stdout[24 + n * wire.ACTION_SIZE] for n in range(count)]
+    assert size == len(completed.stdout) - 16 and sorted(codes) == [
         ActionCode.SEND_ATTEMPT,
         ActionCode.TIMER,
         ActionCode.TIMER,
@@ -125,20 +125,20 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "frame",
     [
-        batch(ARRIVAL)[:-3],
+        batch(REQUEST_RECORD)[:-3],
         b"\0" * 7,
         wire.BATCH_HEADER.pack(5, 20, 9) + b"\0" * 4,
         batch(record("63 00000003")),
         batch(record("07 00000003 00000029 02 00000000 00000002")),
-        batch(ARRIVAL),
+        batch(REQUEST_RECORD),
     ],
 )
-def test_a_bad_frame_ends_the_process_with_one_line(bad):
-    done = run(bad)
-    assert done.returncode != 0 and done.stdout == b""
-    assert done.stderr.startswith(b"runloft: ") and done.stderr.count(b"\n") == 1
+def test_a_bad_frame_ends_the_process_with_one_line(frame):
+    completed = run(frame)
+    assert completed.returncode != 0 and completed.stdout == b""
+    assert completed.stderr.startswith(b"runloft: ") and completed.stderr.count(b"\n") == 1
 
 
 def test_an_exception_in_the_decisions_is_reported_as_a_fault():
@@ -154,5 +154,5 @@
 def test_a_stopped_instance_is_forgotten_within_the_batch():
     adapter = Adapter()
     adapter.answer(wire.read_batch(io.BytesIO(start())))
-    reply = adapter.answer(wire.read_batch(io.BytesIO(batch(ARRIVAL, record("00 00000003")))))
+    reply = adapter.answer(wire.read_batch(io.BytesIO(batch(REQUEST_RECORD, record("00 00000003")))))
     assert reply == wire.encode_reply([])
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -1,4 +1,4 @@
-"""A driver that feeds hand-written events to a scheduler and records its actions."""
+"""A driver that feeds events to a scheduler and records its actions."""
 
 import heapq
 
@@ -49,7 +49,7 @@
 
 
 class Host:
-    """One scheduler with a clock, a node list and numbered requests."""
+    """One scheduler with a clock, a node list, and requests that are numbered from 1."""
 
     def __init__(self, conf: Settings, nodes=(NODE,), at: int = 0) -> None:
         self.now = at
@@ -60,10 +60,10 @@
         self.attempts: dict[int, int] = {}
         self.nodes: dict[int, int] = {}
         self.open: set[int] = set()
-        self.see(NodeList(ListKind.CACHED, tuple(nodes)))
+        self.feed(NodeList(ListKind.CACHED, tuple(nodes)))
 
-    def see(self, *events: Event) -> list[Action]:
-        """Feed events to the scheduler at the present time; return its actions."""
+    def feed(self, *events: Event) -> list[Action]:
+        """Feed events to the scheduler at the current time; return its actions."""
         actions = self.scheduler.handle(self.now, list(events))
         for action in actions:
             self.log.append((self.now, action))
@@ -76,43 +76,43 @@
         return actions
 
     def wait(self, milliseconds: float) -> list[Action]:
-        """Advance the clock, firing timers when they are due; return the actions."""
+        """Advance the clock and fire the timers that become due; return the actions."""
         end = self.now + int(milliseconds * MS)
         actions = []
         while self.timers and self.timers[0][0] <= end:
             at, token = heapq.heappop(self.timers)
             self.now = max(self.now, at)
-            actions += self.see(TimerFired(token))
+            actions += self.feed(TimerFired(token))
         self.now = end
         return actions
 
     def ask(self, **more) -> int:
-        """Let a request arrive; return its id."""
+        """Feed the arrival of a request; return its id."""
         request_id = self.next_id
         self.next_id += 1
-        index = more.get("request_class", 0)
-        left = more.pop("left", self.scheduler.settings.classes[index].deadline_ns // MS)
+        class_index = more.get("request_class", 0)
+        time_left_ms = more.pop("left", self.scheduler.settings.classes[class_index].deadline_ns // MS)
         fields = {"request_class": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0} | more
-        self.see(Request(id=request_id, time_left_ns=int(left * MS), **fields))
+        self.feed(Request(id=request_id, time_left_ns=int(time_left_ms * MS), **fields))
         return request_id
 
     def end(
         self, request_id: int, outcome=AttemptOutcome.OK, latency: float = 10, attempt=None
     ) -> list[Action]:
-        """Let an attempt of a request end, by default the last one; return the actions."""
+        """Feed the result of an attempt, by default the request's last one; return the actions."""
         number = self.attempts[request_id] if attempt is None else attempt
         complete = outcome is AttemptOutcome.OK
         self.open.discard(request_id)
         node = self.nodes[request_id]
-        return self.see(AttemptResult(request_id, number, node, outcome, complete, int(latency * MS)))
+        return self.feed(AttemptResult(request_id, number, node, outcome, complete, int(latency * MS)))
 
     def end_all(self, outcome=AttemptOutcome.OK, latency: float = 10) -> None:
-        """Let all attempts in flight end, and those that are sent then."""
+        """End all attempts in flight, including those that are sent as a result."""
         while self.open:
             self.end(min(self.open), outcome, latency)
 
     def serve(self, count: int, latency: float = 10, **more) -> None:
-        """Let the node serve some requests, one after another, so that its rate is known."""
+        """Let the node serve ``count`` requests, one after another, so that its rate is known."""
         for _ in range(count):
             request_id = self.ask(**more)
             for _ in range(500):
@@ -124,11 +124,11 @@
             self.wait(1)
 
     def tell(self, *entries: NodeEntry, kind=ListKind.DELTA) -> list[Action]:
-        """Update the node list; return the actions."""
-        return self.see(NodeList(kind, entries))
+        """Feed an update of the node list; return the actions."""
+        return self.feed(NodeList(kind, entries))
 
     def sends(self, request_id: int | None = None, seen: int = 0) -> list[tuple[int, SendAttempt]]:
-        """Return when and how one request or all were sent, without the first ``seen`` actions."""
+        """Return times and attempts sent, of one request or all, without the first ``seen`` log entries."""
         return [
             (at, action)
             for at, action in self.log[seen:]
@@ -136,7 +136,7 @@
         ]
 
     def answers(self, request_id: int) -> list[tuple[int, Action]]:
-        """Return when and how a request got its final response."""
+        """Return the times and actions by which the scheduler shed or failed a request."""
         return [
             (at, action)
             for at, action in self.log
@@ -149,7 +149,7 @@
 
 
 def send_flood(host: Host, milliseconds: int, outcome=AttemptOutcome.ERROR, **more) -> int:
-    """Send a request every 5 ms, let each attempt end at once; return how many were sent."""
+    """Feed a request every 5 ms and end each attempt at once; return the number of attempts."""
     before = len(host.sends())
     for _ in range(milliseconds // 5):
         host.ask(**more)
