--- a/runloft/service/admin.py
+++ b/runloft/service/admin.py
@@ -33,7 +33,7 @@
         return cls(server, thread)
 
     def close(self) -> None:
-        """Stop serving, close the listening socket and wait for the thread to end."""
+        """Stop serving, close the listening socket and wait up to ``CLOSE_TIMEOUT_S`` for the thread."""
         self._server.shutdown()
         self._server.server_close()
         self._thread.join(CLOSE_TIMEOUT_S)
--- a/runloft/service/interfaces.py
+++ b/runloft/service/interfaces.py
@@ -46,7 +46,7 @@
         """Accept the connections queued by the kernel; return False if some may still be queued."""
 
     def stop(self, last: bool = False) -> None:
-        """Close idle connections; with `last`, close all others once their open requests are answered."""
+        """Close connections as they become idle; with `last`, those of clients that keep sending too."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -50,10 +50,8 @@
         self.watch = watch
         self.post = post
         self.components = components
-        self.apply_agreement = (
-            apply_agreement  # replaces the file's values by those that all sidecars agreed on
-        )
-        self.timers = timers  # schedule retries of failed reads; None: no retries
+        self.apply_agreement = apply_agreement  # replaces the file's values by those agreed on
+        self.timers = timers  # for retries of failed reads; None: no retries
         self.clock = clock
         self._retry_timer: TimerHandle | None = None
 
