--- a/runloft/discovery/__init__.py
+++ b/runloft/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The node list: watched at the discovery agent, decoded and handed on as ``NodeListUpdate`` events."""
+"""The watch on the discovery agent's node list, which posts ``NodeListUpdate`` events."""
--- a/runloft/discovery/call_race.py
+++ b/runloft/discovery/call_race.py
@@ -1,4 +1,4 @@
-"""Hedged watch calls: several are in flight until the first of them is answered."""
+"""Hedged watch calls: several are in flight until the first one is answered."""
 
 import anyio
 import structlog
@@ -12,9 +12,9 @@
 
 
 class CallRace:
-    """Calls in flight side by side; ``answered`` is the first that got an answer.
+    """Concurrent watch calls; ``answered`` is the first one that received a response.
 
-    The race closes all calls that it runs but the answered one, which its caller closes.
+    The race closes all other calls; the caller closes the answered one.
     """
 
     def __init__(self, deadlines: TimerQueue, clock: Clock) -> None:
@@ -25,12 +25,12 @@
         self._changed = anyio.Event()
 
     async def run(self, call: WatchCall, timeout_ns: int) -> None:
-        """Open a call; close it unless it is the first that is answered."""
+        """Open a call; close it unless it is the first one that is answered."""
         try:
             await call.open(timeout_ns)
             self.answered = self.answered or call
         except WATCH_ERRORS as error:
-            log.info("call to discovery failed", error=repr(error))
+            log.info("watch request to discovery failed", error=repr(error))
         finally:
             if self.answered is not call:
                 call.close()
@@ -38,7 +38,7 @@
             self._changed.set()
 
     async def wait(self, seconds: float, failed_calls: int | None = None) -> None:
-        """Wait until a call is answered, ``seconds`` have passed or so many calls have failed."""
+        """Wait until a call is answered, ``seconds`` have passed or ``failed_calls`` calls have failed."""
         ends_at = self.clock() + int(seconds * NANOSECONDS_PER_SECOND)
         while not self._is_decided(failed_calls) and self.clock() < ends_at:
             changed = self._changed = anyio.Event()
--- a/runloft/discovery/errors.py
+++ b/runloft/discovery/errors.py
@@ -8,19 +8,19 @@
 
 
 class MessageError(RunloftError, ValueError):
-    """The bytes of a watch can't become a message."""
+    """A message of the watch is malformed, cut off or too long."""
 
 
 class WatchStatusError(RunloftError, OSError):
     """Discovery at ``peer`` answered a watch request with an HTTP status other than 200."""
 
     def __init__(self, status: int, peer: SocketAddress) -> None:
-        super().__init__(f"discovery at {peer[0]}:{peer[1]} answered {status}")
+        super().__init__(f"discovery at {peer[0]}:{peer[1]} returned HTTP status {status}, expected 200")
         self.status = status
         self.peer = peer
 
 
-# What discovery may do to a watch; whatever it is, the watch is opened again.
+# Errors caused by the connection to discovery or by the data received from it; the watch is reopened then.
 WATCH_ERRORS = (
     ArithmeticError,
     OSError,
--- a/runloft/discovery/node_list.py
+++ b/runloft/discovery/node_list.py
@@ -1,4 +1,4 @@
-"""Node lists: what a watch event says, and its entries as the scheduler's ``NodeListUpdate``."""
+"""Conversion of watch messages and their node entries to the scheduler's ``NodeListUpdate``."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """One message of a watch: a complete list, or what has changed since the one before."""
+    """One message of a watch: a complete list, or the changes since the previous message."""
 
-    rev: int | None  # the list's version, None where the message names none
+    rev: int | None  # the list's version, None if the message has none
     kind: ListKind
-    entries: Any  # as they came; ``node_list_update`` decodes each on its own
+    entries: Any  # not validated yet; ``node_list_update`` converts each entry separately
 
     @classmethod
     def from_json(cls, message: JsonObject) -> "WatchEvent":
-        """Return the event of a message; raise TypeError, ValueError or OverflowError for a bad version."""
+        """Return the event for a message; raise TypeError, ValueError or OverflowError for a bad version."""
         rev = int(message["rev"]) if "rev" in message else None
         kind = ListKind.FULL if message.get("all") else ListKind.DELTA
         return cls(rev, kind, message.get("targets"))
@@ -37,16 +37,16 @@
 def node_list_update(
     kind: ListKind, entries: Any, zones: tuple[str, ...], last_data_at: int = 0
 ) -> NodeListUpdate:
-    """Return the update that a list's entries stand for; invalid entries are skipped and logged.
+    """Return the update for a list's entries; invalid entries are skipped and logged.
 
-    ``last_data_at`` is when data last came from discovery before this list, 0 where that is unknown.
+    ``last_data_at`` is the time of the last data from discovery before this list, or 0 if it is unknown.
     """
     nodes = []
     for entry in entries or ():
         try:
             nodes.append(_node_update(entry, zones))
         except (ArithmeticError, AttributeError, KeyError, TypeError, ValueError) as error:
-            log.warning("node entry skipped", error=repr(error))
+            log.warning("invalid node entry skipped", error=repr(error))
     return NodeListUpdate(kind, tuple(nodes), last_data_at)
 
 
--- a/runloft/discovery/watch.py
+++ b/runloft/discovery/watch.py
@@ -1,6 +1,7 @@
-"""Discovery's watch: kept open, with backoff, from the last version seen.
+"""The watch on discovery's node list.
 
-A watch lasts until its connection ends or falls silent; then it is opened again.
+A watch lasts until its connection ends or is silent for too long; then it is reopened, with backoff, from
+the last received version.
 """
 
 from collections.abc import Callable
@@ -25,21 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchTimings:
-    """How long an agent may take; a slow one's answer is waited for beside new calls."""
+    """Timeouts of watch calls; a slow call stays open while further calls are made."""
 
-    answer_s: float  # until the next call is made beside one without an answer
-    call_timeout_ns: int  # until a call without an answer is closed
+    hedge_delay_s: float  # time without a response after which the next call is made
+    call_timeout_ns: int  # time without a response after which a call is closed
     max_backoff_s: float
 
 
-# The agent is on this machine and answers at once; what it has when it is back counts at once.
-SUBSCRIBED = WatchTimings(answer_s=0.4, call_timeout_ns=2_500_000_000, max_backoff_s=0.2)
-# Where lists are polled, calls are served in turn.
-POLLED = WatchTimings(answer_s=2.0, call_timeout_ns=4_000_000_000, max_backoff_s=1.0)
+# The agent runs on this machine and answers at once; its changes take effect as soon as it is back.
+SUBSCRIBED_TIMINGS = WatchTimings(hedge_delay_s=0.4, call_timeout_ns=2_500_000_000, max_backoff_s=0.2)
+# An agent whose lists are polled serves one call after the other.
+POLLED_TIMINGS = WatchTimings(hedge_delay_s=2.0, call_timeout_ns=4_000_000_000, max_backoff_s=1.0)
 
 
 class Watch:
-    """The watch of one scheduler; ``run`` opens and closes its calls."""
+    """A scheduler's watch on the node list; ``run`` opens and closes its calls."""
 
     def __init__(
         self,
@@ -54,24 +55,24 @@
         self.address = address
         self.rev = rev
         self.zones = zones
-        self.timings = POLLED if polled else SUBSCRIBED
+        self.timings = POLLED_TIMINGS if polled else SUBSCRIBED_TIMINGS
         self.post = post
         self.deadlines = deadlines
         self.clock = clock
-        self.has_moved = False  # and nothing has come from there yet
-        self._last_data_at = 0  # when a call that has ended last got data; 0: never
+        self.has_moved = False  # the address changed and no event was received from the new one yet
+        self._last_data_at = 0  # time of the last data on calls that have ended, 0 if there was none
         self._iteration = anyio.CancelScope()
 
     def move(self, address: SocketAddress) -> None:
-        """Watch at another address from now on, without waiting for the calls to the old one."""
+        """Switch to another address and cancel the calls to the old one."""
         if address != self.address:
             self.address = address
-            self.has_moved = True  # another discovery has versions of its own
+            self.has_moved = True  # another discovery agent numbers its versions independently
             self._iteration.cancel()
 
     @property
     def index(self) -> int:
-        """The version from which on changes are wanted; 0, the complete list, of another discovery."""
+        """The version after which to request changes; 0, for the complete list, after a change of address."""
         return 0 if self.has_moved else self.rev
 
     async def run(self) -> None:
@@ -84,7 +85,7 @@
                 backoff_s = MIN_BACKOFF_S
 
     async def _watch_once(self, backoff_s: float) -> float:
-        """Watch until the call ends and back off; return the backoff to begin with next time."""
+        """Watch until the call ends, then back off; return the backoff that the next call starts with."""
         call = await self._answered_call(backoff_s)
         rev_before = self.rev
         started_at = self.clock()
@@ -93,7 +94,7 @@
                 async for event in events:
                     self._apply(event, call)
         except WATCH_ERRORS as error:
-            log.info("watch ended", error=repr(error), rev=self.rev)
+            log.info("discovery watch ended by an error", error=repr(error), rev=self.rev)
         finally:
             call.close()
             self._last_data_at = call.last_data_at or self._last_data_at
@@ -103,7 +104,7 @@
         return backoff_s
 
     def _apply(self, event: WatchEvent, call: WatchCall) -> None:
-        """Take over the version of an event, and post its nodes."""
+        """Record an event's version and post its nodes."""
         if event.rev is not None:
             self.rev = event.rev
         self.has_moved = False
@@ -114,10 +115,10 @@
         return min(backoff_s * 2, self.timings.max_backoff_s)
 
     async def _answered_call(self, backoff_s: float) -> WatchCall:
-        """Return the first call that is answered, which the caller closes; hedge it while none is.
+        """Make hedged calls until one is answered and return that one, which the caller closes.
 
-        An agent that is silent may never answer a call that it accepted meanwhile, so the next one has to
-        come soon; one that is slow answers a call later than that, so earlier ones are not closed at once.
+        An agent that was down may never answer a call that it accepted before, so the next call is made
+        soon; a slow agent answers later than that, so earlier calls stay open.
         """
         race = CallRace(self.deadlines, self.clock)
         try:
@@ -127,10 +128,10 @@
                     try:
                         call = WatchCall(self.address, self.index, self.deadlines, self.clock)
                     except OSError as error:
-                        log.warning("no socket for a call to discovery", error=str(error))
+                        log.warning("creating a socket for a watch request failed", error=str(error))
                     else:
                         group.start_soon(race.run, call, self.timings.call_timeout_ns)
-                        await race.wait(self.timings.answer_s, failed_calls + 1)
+                        await race.wait(self.timings.hedge_delay_s, failed_calls + 1)
                     await race.wait(backoff_s)
                     backoff_s = self._next_backoff_s(backoff_s)
                 group.cancel_scope.cancel()
--- a/runloft/discovery/watch_call.py
+++ b/runloft/discovery/watch_call.py
@@ -1,4 +1,4 @@
-"""One watch request to the discovery agent, over HTTP/1.1, and its long-lived response."""
+"""One watch request to the discovery agent over HTTP/1.1, with its long-lived response."""
 
 from collections.abc import AsyncGenerator
 from functools import partial
@@ -15,17 +15,17 @@
 from runloft.net.socket_state import close
 from runloft.net.timing import Clock
 
-# What is missed counts as notified 6 s after a watch fell silent, or after discovery could be reached again:
-# the silence, the longest backoff before the next call and that call have to fit in.
-SILENCE_TIMEOUT_NS = 2_500_000_000  # an empty line comes every 2 s
+# A missed change counts as notified 6 s after the watch fell silent or discovery became reachable again.  The
+# silence timeout, the longest backoff before the next call and that call have to fit into this time.
+SILENCE_TIMEOUT_NS = 2_500_000_000  # discovery sends an empty line every 2 s
 RECEIVE_BYTES = 65536
 HTTP_OK = 200
 
 
 class WatchCall:
-    """A watch request: sent, answered after some time, then followed to its end.
+    """A watch request and its response, which is read until it ends.
 
-    The call owns its socket: it is open from the start, and ``close`` closes it.
+    The call owns its socket, which is created with the call; ``close`` closes it.
     """
 
     def __init__(self, address: SocketAddress, index: int, deadlines: TimerQueue, clock: Clock) -> None:
@@ -36,11 +36,11 @@
         self.sock = new_client_socket()
         self.protocol = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_MESSAGE_BYTES)
         self._silence_timer: TimerHandle | None = None
-        self.last_data_at = 0  # 0: never
-        self.previous_data_at = 0  # when data came before the last; 0: never
+        self.last_data_at = 0  # 0 before the first data
+        self.previous_data_at = 0  # time of the data before the last, 0 if there was none
 
     async def open(self, timeout_ns: int) -> None:
-        """Send the request and wait for the first data; the call is closed where none comes in time."""
+        """Send the request and wait for the first data; the call is closed if none arrives in time."""
         self._restart_silence_timer(timeout_ns)
         await connect(self.sock, self.address)
         request = h11.Request(
@@ -57,7 +57,7 @@
         await anyio.wait_readable(self.sock)
 
     async def events(self) -> AsyncGenerator[WatchEvent, None]:
-        """Yield the watch events up to the end of the response."""
+        """Yield the watch events until the response ends."""
         self._restart_silence_timer(SILENCE_TIMEOUT_NS)
         decoder = MessageDecoder()
         while True:
@@ -84,6 +84,6 @@
         self._silence_timer = self.deadlines.add(self.clock() + timeout_ns, partial(close, self.sock))
 
     def close(self) -> None:
-        """End the call and close its socket."""
+        """Cancel the silence timer and close the socket."""
         self.deadlines.discard(self._silence_timer)
         close(self.sock)
--- a/runloft/net/__init__.py
+++ b/runloft/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, buffers and the RESP2 codec: what listeners and upstream connections share."""
+"""Sockets, buffers and the RESP2 codec, shared by listeners and upstream connections."""
--- a/runloft/net/buffers.py
+++ b/runloft/net/buffers.py
@@ -1,15 +1,15 @@
-"""Receive and send buffers of one connection, and the time at which received bytes arrived."""
+"""Receive and send buffers of a connection, and the arrival times of received bytes."""
 
 import socket
 from collections import deque
 from itertools import islice
 
-MAX_CHUNKS_PER_WRITE = 64  # in one sendmsg
-MIN_GROWTH_BYTES = 4096  # of a receive buffer
+MAX_CHUNKS_PER_WRITE = 64
+MIN_GROWTH_BYTES = 4096
 
 
 class ReceiveBuffer:
-    """A bounded receive buffer that is parsed in place: ``data[start:end]`` is what is unread."""
+    """A bounded receive buffer that is parsed in place: ``data[start:end]`` are the unparsed bytes."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -18,20 +18,20 @@
         self.end = 0
 
     def receive(self, sock: socket.socket) -> int:
-        """Read once and return the number of bytes, 0 at the end of the stream.
+        """Read once and return the number of bytes read, 0 at the end of the stream.
 
-        Raise BlockingIOError where nothing is there, BufferError where a message is longer than the limit.
+        Raise BlockingIOError if nothing can be read yet, BufferError if a message exceeds the limit.
         """
         if self.start == self.end:
             self.start = self.end = 0
         elif self.start and self.end == len(self.data):
-            unread = self.end - self.start
-            self.data[:unread] = self.data[self.start : self.end]
+            unparsed = self.end - self.start
+            self.data[:unparsed] = self.data[self.start : self.end]
             self.start = 0
-            self.end = unread
+            self.end = unparsed
         if self.end == len(self.data):
             if self.end >= self.limit:
-                raise BufferError("a message is longer than the buffer may be")
+                raise BufferError(f"message exceeds the receive buffer's limit of {self.limit} bytes")
             self.data.extend(bytes(min(max(MIN_GROWTH_BYTES, len(self.data) * 3), self.limit - self.end)))
         with memoryview(self.data) as view:
             count = sock.recv_into(view[self.end :])
@@ -39,21 +39,21 @@
         return count
 
     def reserve(self, size: int) -> None:
-        """Allocate space for ``size`` bytes from the start of the unread data, and no more than that."""
+        """Allocate space for exactly ``size`` bytes from the start of the unparsed data, if less is there."""
         missing = self.start + size - len(self.data)
         if missing > 0:
             self.data.extend(bytes(missing))
 
     def is_filled(self) -> bool:
-        """Return whether the last read used all free space: the socket may hold more."""
+        """Return whether the last read used all free space, so that the socket may hold more."""
         return self.end == len(self.data)
 
     def is_full(self) -> bool:
-        """Return whether nothing more fits until some of the unread data is consumed."""
+        """Return whether the unparsed data has reached the limit."""
         return self.end - self.start >= self.limit
 
     def shrink(self) -> None:
-        """Release the memory once all is consumed: most connections are idle most of the time."""
+        """Release the memory if all data is parsed, since most connections are idle most of the time."""
         if self.start == self.end and self.data:
             self.data = bytearray()
             self.start = 0
@@ -61,7 +61,7 @@
 
 
 class SendBuffer:
-    """Bytes that are still to be written, by gathered writes that may be partial."""
+    """Unsent bytes, written by gathered writes that may be partial."""
 
     def __init__(self) -> None:
         self.chunks: deque[memoryview] = deque()
@@ -75,7 +75,7 @@
                 self.size += len(chunk)
 
     def flush(self, sock: socket.socket) -> bool:
-        """Write as much as the socket takes; return whether nothing is left."""
+        """Write as much as the socket accepts; return whether all bytes are written."""
         while self.chunks:
             try:
                 count = sock.sendmsg(list(islice(self.chunks, MAX_CHUNKS_PER_WRITE)))
@@ -91,20 +91,20 @@
 
 
 class ArrivalTimes:
-    """Arrival times of the received bytes of a stream that are not consumed yet."""
+    """Arrival times of a stream's received bytes that are not parsed yet."""
 
     def __init__(self) -> None:
         self._received_bytes = 0
-        self._arrivals: deque[tuple[int, int]] = deque()  # bytes received up to then; arrival time
+        self._arrivals: deque[tuple[int, int]] = deque()  # (total bytes received, arrival time)
 
     def add(self, count: int, at: int) -> None:
         """Record that ``count`` bytes arrived at ``at``."""
         self._received_bytes += count
         self._arrivals.append((self._received_bytes, at))
 
-    def of_byte_before(self, unread: int, default: int) -> int:
-        """Return when the byte arrived that ``unread`` bytes follow, and drop all earlier entries."""
-        position = self._received_bytes - unread
+    def of_byte_before(self, unparsed: int, default: int) -> int:
+        """Return the arrival time of the byte before the last ``unparsed`` bytes; drop earlier entries."""
+        position = self._received_bytes - unparsed
         arrivals = self._arrivals
         while arrivals and arrivals[0][0] < position:
             arrivals.popleft()
--- a/runloft/net/connecting.py
+++ b/runloft/net/connecting.py
@@ -1,4 +1,4 @@
-"""Outgoing connections; the caller closes what it opens here."""
+"""Outgoing connections; the caller closes the sockets opened here."""
 
 import os
 import socket
@@ -12,7 +12,7 @@
 
 
 class ConnectError(RunloftError, OSError):
-    """A connection to ``peer`` could not be established; ``errno`` says why."""
+    """A connection to ``peer`` could not be established; ``errno`` gives the cause."""
 
     def __init__(self, number: int, peer: SocketAddress) -> None:
         super().__init__(number, os.strerror(number))
@@ -23,7 +23,7 @@
 
 
 def new_client_socket() -> socket.socket:
-    """Return a non-blocking socket that is about to connect."""
+    """Return a non-blocking socket for ``connect``."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     set_no_delay(sock)
@@ -31,13 +31,13 @@
 
 
 async def connect(sock: socket.socket, peer: SocketAddress) -> None:
-    """Connect to ``peer`` and wait until that is done; raise OSError where it fails."""
-    # Prevents a lost wake-up: who waited on a closed socket of the same number wakes first, and takes back
-    # its own registration.
+    """Connect to ``peer`` and wait for the result; raise OSError if it fails."""
+    # Prevents a lost wake-up if this socket reuses a closed one's descriptor: the task that waited on the
+    # closed socket has to run first, since it removes the registration for that descriptor.
     await anyio.lowlevel.checkpoint()
     try:
         sock.connect(peer)
-    except (BlockingIOError, InterruptedError):  # in progress, also where a signal interrupted the call
+    except (BlockingIOError, InterruptedError):  # in progress, even if a signal interrupted the call
         await anyio.wait_writable(sock)
         error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error_number:
--- a/runloft/net/listening.py
+++ b/runloft/net/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets; the caller closes what it opens here."""
+"""Listening sockets; the caller closes the sockets opened here."""
 
 import errno
 import socket
@@ -17,7 +17,7 @@
 
 
 def open_listener(address: SocketAddress, backlog: int = BACKLOG) -> socket.socket:
-    """Return a non-blocking socket that listens at this address only."""
+    """Return a non-blocking socket that listens on ``address``."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -33,9 +33,9 @@
 async def open_listener_with_retry(
     address: SocketAddress, pause: Callable[[float], Awaitable[object]] = anyio.sleep
 ) -> socket.socket:
-    """Return a listening socket; retry for up to 3 s while an error may be temporary.
+    """Return a listening socket; retry for up to 3 s after errors that may be temporary.
 
-    A predecessor listens at the same address for half a second after its shutdown began.
+    A previous process listens on the same address for half a second after its shutdown begins.
     """
     for _ in range(MAX_LISTEN_ATTEMPTS):
         try:
@@ -43,6 +43,6 @@
         except OSError as error:
             if error.errno in PERMANENT_LISTEN_ERRORS:
                 raise
-            log.warning("can't listen yet", error=str(error))
+            log.warning("opening a listening socket failed, will retry", error=str(error))
             await pause(LISTEN_RETRY_INTERVAL_S)
     return open_listener(address)
--- a/runloft/net/memory_budget.py
+++ b/runloft/net/memory_budget.py
@@ -1,10 +1,10 @@
-"""A memory budget that several connections share."""
+"""A memory budget shared by several connections."""
 
 import anyio
 
 
 class MemoryBudget:
-    """Bytes that many tasks share: a task waits until its share is free, and its socket fills up."""
+    """Bytes of memory shared by many tasks; while a task waits for its share, its socket's buffer fills."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -12,19 +12,19 @@
         self._changed = anyio.Event()
 
     def resize(self, capacity: int) -> None:
-        """Set another capacity; ``free`` is negative while more than that is in use."""
+        """Set the capacity; ``free`` is negative while more than the new capacity is in use."""
         self.free += capacity - self.capacity
         self.capacity = capacity
         self._changed.set()
 
     async def acquire(self, size: int) -> None:
-        """Wait until ``size`` bytes are free, and take them."""
+        """Wait until ``size`` bytes are free, then reserve them."""
         while size > self.free:
             self._changed = anyio.Event()
             await self._changed.wait()
         self.free -= size
 
     def release(self, size: int) -> None:
-        """Return ``size`` bytes."""
+        """Return ``size`` bytes to the budget."""
         self.free += size
         self._changed.set()
--- a/runloft/net/resp2/__init__.py
+++ b/runloft/net/resp2/__init__.py
@@ -1,4 +1,4 @@
-"""RESP2, parsed in place from a buffer: commands of clients and replies of storage nodes."""
+"""RESP2: parsing of clients' commands and storage nodes' replies in place, and encoding."""
 
 from runloft.net.resp2.commands import ParsedCommand, parse_command
 from runloft.net.resp2.encoding import encode_bulk_string, encode_command
--- a/runloft/net/resp2/commands.py
+++ b/runloft/net/resp2/commands.py
@@ -1,4 +1,4 @@
-"""Commands of clients: arrays of bulk strings."""
+"""Clients' commands, which are arrays of bulk strings."""
 
 from typing import NamedTuple
 
@@ -6,16 +6,16 @@
 
 
 class ParsedCommand(NamedTuple):
-    """A command's words, and where in the buffer it ends."""
+    """A command's words, and the position of its end in the buffer."""
 
     words: list[bytes]
     end: int
 
 
 def parse_command(data: bytearray, start: int, end: int) -> ParsedCommand | None:
-    """Return the command that begins at ``start``; None while it is not complete.
+    """Return the command that begins at ``start``, or None if it is incomplete.
 
-    Raise RespError where it can't become an array of bulk strings.
+    Raise RespError if it is not an array of bulk strings.
     """
     if start >= end:
         return None
--- a/runloft/net/resp2/parsing.py
+++ b/runloft/net/resp2/parsing.py
@@ -1,13 +1,13 @@
-"""RESP2 values, read one after the other from a buffer."""
+"""A reader of RESP2 values from a buffer."""
 
 from dataclasses import dataclass
 
 from runloft.errors import RunloftError
 
-MAX_BULK = 64 << 10  # bytes of a bulk string, where the caller sets no other limit
-MAX_LINE = 1024  # bytes up to the end of a line
-MAX_ITEMS = 16  # of an array
-MAX_DEPTH = 4  # of nested arrays
+MAX_BULK = 64 << 10  # default limit of a bulk string's length, in bytes
+MAX_LINE = 1024  # bytes
+MAX_ITEMS = 16  # per array
+MAX_DEPTH = 4  # levels of nested arrays
 MAX_LENGTH_DIGITS = 12
 BULK_STRING = b"$"[0]
 ARRAY = b"*"[0]
@@ -18,16 +18,16 @@
 
 
 class RespError(RunloftError, ValueError):
-    """The framing is lost: nothing that follows on the connection can be parsed."""
+    """The bytes are not valid RESP2; nothing after them on the connection can be parsed."""
 
 
 class IncompleteError(RunloftError):
-    """The buffer ends before the value does."""
+    """The buffer ends before the end of the value."""
 
 
 @dataclass(frozen=True, slots=True)
 class SimpleValue:
-    """A simple string, an error or an integer, by its type byte."""
+    """A simple string, an error or an integer, as its type byte tells."""
 
     type_byte: int
     text: bytes
@@ -37,7 +37,7 @@
 
 
 class ValueReader:
-    """Reads values from ``data[position:end]``; ``position`` moves behind each value that is complete."""
+    """Reads values from ``data[position:end]``; ``position`` advances past each complete value."""
 
     __slots__ = ("data", "end", "position")
 
@@ -49,7 +49,7 @@
     def read(self, depth: int = 0, max_bulk: int = MAX_BULK) -> Value:
         """Return the next value.
 
-        Raise IncompleteError while it is not complete, RespError where it can't become a value.
+        Raise IncompleteError if it is incomplete, RespError if it is invalid.
         """
         data = self.data
         start = self.position
@@ -95,7 +95,7 @@
 
 
 def parse_length(data: bytearray, start: int, stop: int) -> int:
-    """Return the number in ``data[start:stop]``; raise RespError where it is none."""
+    """Return the number in ``data[start:stop]``; raise RespError if it is not a valid length."""
     text = data[start:stop]
     if len(text) > MAX_LENGTH_DIGITS or not text.lstrip(b"-").isdigit():
         raise RespError("invalid length")
--- a/runloft/net/resp2/replies.py
+++ b/runloft/net/resp2/replies.py
@@ -1,4 +1,4 @@
-"""Replies of storage nodes: a value with its load report, or an error."""
+"""Storage nodes' replies: a value or an error, with the node's load report."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -17,15 +17,15 @@
 )
 
 ERROR = b"-"[0]
-ARRAY_HEAD = b"*3\r\n"  # value, usage, and one item that is ignored
-IGNORED_ITEMS_AND_USAGE = 2
-REUSABLE_ERRORS = (b"BUSY", b"ERR")  # behind these the connection carries the next request
-MAX_FIGURE_DIGITS = 9
+ARRAY_HEAD = b"*3\r\n"  # value, usage and an ignored item
+ITEMS_AFTER_VALUE = 2
+REUSABLE_ERRORS = (b"BUSY", b"ERR")  # codes after which the connection is reused
+MAX_NUMBER_DIGITS = 9
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A value or the code of an error, and the load report's text if it can be read."""
+    """A value or an error code, and the text of the load report if the reply has one."""
 
     value: bytes = b""
     error: bytes | None = None
@@ -33,7 +33,7 @@
 
 
 class ParsedReply(NamedTuple):
-    """A reply, where in the buffer it ends, and whether the connection is in step behind it."""
+    """A reply, the position of its end in the buffer, and whether its connection can be reused."""
 
     reply: Reply
     end: int
@@ -41,14 +41,14 @@
 
 
 class LoadReport(NamedTuple):
-    """A node's figures on its own load: percent in use, None if it named none, and units used elsewhere."""
+    """A node's load: percent in use, None if not reported, and units used by other sidecars."""
 
     used_percent: int | None
     elsewhere_units: int
 
 
 def reply_size(data: bytearray, start: int, end: int) -> int:
-    """Return the bytes up to the end of a reply's value, once its head is there; 0 before."""
+    """Return the size of a reply up to the end of its value, or 0 while its head is incomplete."""
     value_start = start + len(ARRAY_HEAD)
     line_end = data.find(END_OF_LINE, value_start + 1, min(end, start + MAX_LINE))
     if line_end <= 0 or end <= value_start:
@@ -57,10 +57,10 @@
 
 
 def parse_reply(data: bytearray, start: int, end: int, max_bulk: int = MAX_BULK) -> ParsedReply | None:
-    """Return the reply that begins at ``start``; None while it is not complete.
+    """Return the reply that begins at ``start``, or None if it is incomplete.
 
-    Raise RespError where it is not a storage node's reply.  An error behind the value spoils only what is
-    behind it: the value stands, and the connection is not reusable.
+    Raise RespError if it is not a storage node's reply.  If only the items after the value are invalid, the
+    value is returned and the connection is not reusable.
     """
     if start >= end:
         return None
@@ -78,7 +78,7 @@
     assert isinstance(error, SimpleValue)
     code, _, message = error.text.partition(b" ")
     if not code.isalpha() or not code.isupper():
-        raise RespError("an error without its word")
+        raise RespError("expected an upper-case error code")
     reply = Reply(error=code, usage=message.rpartition(b" ")[2])
     return ParsedReply(reply, reader.position, code in REUSABLE_ERRORS)
 
@@ -86,18 +86,18 @@
 def _parse_value(data: bytearray, start: int, end: int, max_bulk: int) -> ParsedReply:
     value_start = start + len(ARRAY_HEAD)
     if not ARRAY_HEAD.startswith(bytes(data[start : min(end, value_start)])):
-        raise RespError("not an array of three")
+        raise RespError("expected an array of 3 items")
     if end <= value_start:
         raise IncompleteError
     if data[value_start] != BULK_STRING:
-        raise RespError("the value is no bulk string")
+        raise RespError("expected a bulk string as value")
     reader = ValueReader(data, value_start, end)
     value = reader.read(max_bulk=max_bulk)
     if not isinstance(value, bytes):
-        raise RespError("the value is null")
+        raise RespError("expected a value, got null")
     items: list[Value] = []
     try:
-        while len(items) < IGNORED_ITEMS_AND_USAGE:
+        while len(items) < ITEMS_AFTER_VALUE:
             items.append(reader.read(depth=1))
     except RespError:
         return ParsedReply(Reply(value), end, False)
@@ -106,10 +106,10 @@
 
 
 def parse_load_report(text: bytes | None) -> LoadReport:
-    """Return the figures of a text such as ``used=37,cost=4``; what is not understood is ignored."""
-    figures: dict[bytes, int] = {}
+    """Return the load report in a text such as ``used=37,cost=4``; other pairs are ignored."""
+    values: dict[bytes, int] = {}
     for pair in (text or b"").split(b","):
         name, _, number = pair.strip().partition(b"=")
-        if number.isdigit() and len(number) <= MAX_FIGURE_DIGITS:
-            figures[name] = int(number)
-    return LoadReport(figures.get(b"used"), figures.get(b"cost", 0))
+        if number.isdigit() and len(number) <= MAX_NUMBER_DIGITS:
+            values[name] = int(number)
+    return LoadReport(values.get(b"used"), values.get(b"cost", 0))
--- a/runloft/net/socket_state.py
+++ b/runloft/net/socket_state.py
@@ -1,4 +1,4 @@
-"""Options of open sockets, what the kernel knows of them, and closing."""
+"""Options, state and closing of open sockets."""
 
 import select
 import socket
@@ -8,25 +8,25 @@
 
 import anyio
 
-TCP_INFO_LAST_DATA_RECEIVED = slice(52, 56)  # of struct tcp_info: tcpi_last_data_recv, milliseconds
+TCP_INFO_LAST_DATA_RECEIVED = slice(52, 56)  # tcpi_last_data_recv in struct tcp_info, in milliseconds
 NANOSECONDS_PER_MS = 1_000_000
 
 
 def set_no_delay(sock: socket.socket) -> None:
-    """Send small writes at once; where that can't be set, the connection is used all the same."""
+    """Set TCP_NODELAY, so that small writes are sent at once; ignore a failure to set it."""
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def close(sock: socket.socket) -> None:
-    """Close now; tasks that wait on the socket get ClosedResourceError."""
+    """Close the socket; tasks that wait on it get ClosedResourceError."""
     if sock.fileno() >= 0:
         anyio.notify_closing(sock)
         sock.close()
 
 
 def is_idle_and_alive(sock: socket.socket) -> bool:
-    """Return whether nothing is there to be read: no byte, no end of the stream, no error."""
+    """Return whether the socket has nothing to read: no byte, no end of the stream and no error."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
@@ -37,15 +37,15 @@
 
 
 def half_closed(socks: Iterable[socket.socket]) -> set[int]:
-    """Return the descriptors of those whose peer ended its sending, whatever is still to be read."""
+    """Return the descriptors of sockets whose peer has shut down its sending side, even if data is unread."""
     poll = select.poll()
     for sock in socks:
         poll.register(sock, select.POLLRDHUP)
-    return {number for number, _ in poll.poll(0)}
+    return {descriptor for descriptor, _ in poll.poll(0)}
 
 
 def data_age_ns(sock: socket.socket) -> int:
-    """Return how long ago the last data arrived, by the kernel (tcp(7), TCP_INFO); 0: unknown."""
+    """Return the time since the kernel received the last data (TCP_INFO in tcp(7)), or 0 if it is unknown."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA_RECEIVED.stop)
     except OSError:
@@ -54,7 +54,7 @@
 
 
 def nothing_to_read(sock: socket.socket) -> bool:
-    """Return whether the socket holds no byte that a close would lose."""
+    """Return whether the socket has no unread byte, which a close would discard."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except OSError:
--- a/runloft/net/timing.py
+++ b/runloft/net/timing.py
@@ -1,4 +1,4 @@
-"""Waiting with a time limit; the limits are items of the one timer queue like all others."""
+"""Time limits and pauses, which use the same timer queue as all other timers."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -13,7 +13,7 @@
 
 @contextmanager
 def within(deadlines: TimerQueue, clock: Clock, seconds: float) -> Iterator[None]:
-    """Raise TimeoutError where the body takes longer."""
+    """Raise TimeoutError if the body takes longer than ``seconds``."""
     with anyio.CancelScope() as scope:
         timer = deadlines.add(clock() + int(seconds * NANOSECONDS_PER_SECOND), scope.cancel)
         try:
@@ -21,11 +21,11 @@
         finally:
             deadlines.discard(timer)
     if scope.cancelled_caught:
-        raise TimeoutError("it took too long")
+        raise TimeoutError(f"not finished within {seconds:g} s")
 
 
 async def pause(deadlines: TimerQueue, clock: Clock, seconds: float) -> None:
-    """Wait for ``seconds`` of this clock."""
+    """Wait for ``seconds`` by ``clock``."""
     elapsed = anyio.Event()
     deadlines.add(clock() + int(seconds * NANOSECONDS_PER_SECOND), elapsed.set)
     await elapsed.wait()
--- a/runloft/placement/__init__.py
+++ b/runloft/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placements: which shard holds an object or an upload, in a store that all sidecars share."""
+"""Placements: the shard of each object and upload, in a store shared by all sidecars."""
--- a/runloft/placement/store.py
+++ b/runloft/placement/store.py
@@ -1,6 +1,6 @@
-"""The placement store: object and upload to shard, kept in Redis for all sidecars.
+"""The placement store, which maps objects and uploads to shards in a Redis shared by all sidecars.
 
-Each placement is one key.  Its value is the shard, a space, and the size in bytes, -1 where it is unknown.
+Each placement is one key.  Its value is the shard, a space and the size in bytes, or -1 if it is unknown.
 """
 
 from collections.abc import Iterator
@@ -15,13 +15,13 @@
 from runloft.errors import RunloftError
 
 MAX_CONNECTIONS = 16
-UPLOAD_TTL_S = 7 * 24 * 3600  # an upload that nobody completes or aborts is forgotten by then
+UPLOAD_TTL_S = 7 * 24 * 3600  # expires uploads that are neither completed nor aborted
 DEFAULT_TIMEOUT_S = 1.0
 UNKNOWN_SIZE = -1
 
 
 class StoreUnavailableError(RunloftError):
-    """The store does not answer, or not with a placement; nothing can be routed."""
+    """The store is unreachable or returned an invalid placement, so the request can't be routed."""
 
     def __init__(self, message: str, key: str) -> None:
         super().__init__(message)
@@ -30,17 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The shard that holds an object or an upload, and an object's size in bytes where it is known."""
+    """The shard of an object or an upload, and an object's size in bytes if it is known."""
 
     shard: int
     size: int = UNKNOWN_SIZE
 
 
 class PlacementStore:
-    """A client of the store, with a connection pool of its own that ``close`` closes."""
+    """A client of the store with its own connection pool, which ``close`` closes."""
 
     def __init__(self, url: str, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
-        # Blocking: a burst waits for a connection, instead of finding the store unavailable.
+        # In a burst, requests wait for a free connection instead of failing as if the store were unavailable.
         pool = redis.asyncio.BlockingConnectionPool.from_url(
             url,
             protocol=2,
@@ -48,7 +48,7 @@
             socket_connect_timeout=timeout_s,
             max_connections=MAX_CONNECTIONS,
             timeout=timeout_s,
-            # No retries of its own: the client gets 503 and retries.
+            # The Redis client does not retry: the S3 client receives 503 and retries.
             retry=Retry(NoBackoff(), 0),
         )
         self._redis = redis.asyncio.Redis.from_pool(pool)
@@ -64,7 +64,7 @@
         return f"runloft:upload:{volume}:{upload}:{key}"
 
     async def get(self, name: str) -> Placement | None:
-        """Return the placement of a key, None where it has none; raise StoreUnavailableError."""
+        """Return the placement of a key, None if it has none; raise StoreUnavailableError."""
         with _unavailable_errors(name):
             value = await self._redis.get(name)
         if value is None:
@@ -74,10 +74,12 @@
             shard, _, size = text.partition(" ")
             return Placement(int(shard), int(size or UNKNOWN_SIZE))
         except ValueError as error:
-            raise StoreUnavailableError(f"{name} holds no place", name) from error
+            raise StoreUnavailableError(
+                f"invalid placement at key {name}, expected SHARD SIZE", name
+            ) from error
 
     async def put(self, name: str, placement: Placement, upload: bool = False) -> None:
-        """Store a placement, an upload's for a limited time; raise StoreUnavailableError."""
+        """Store a placement, with an expiry for an upload; raise StoreUnavailableError."""
         with _unavailable_errors(name):
             ttl_s = UPLOAD_TTL_S if upload else None
             await self._redis.set(name, f"{placement.shard} {placement.size}", ex=ttl_s)
@@ -94,7 +96,7 @@
 
 @contextmanager
 def _unavailable_errors(key: str) -> Iterator[None]:
-    """Raise the client's and the network's errors as StoreUnavailableError."""
+    """Raise Redis and network errors as StoreUnavailableError."""
     try:
         yield
     except (RedisError, OSError, TimeoutError) as error:
--- a/runloft/upstream/__init__.py
+++ b/runloft/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Upstream connections: a pool for each wire, with one attempt at a time on each connection."""
+"""Upstream connections: one pool per wire protocol, one attempt at a time per connection."""
--- a/runloft/upstream/connection.py
+++ b/runloft/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a node: its lifetime, its reading loop, and the attempt that it carries."""
+"""One connection to a node: its lifetime, its read loop and the attempt in flight on it."""
 
 import socket
 from collections.abc import Callable
@@ -28,14 +28,14 @@
 
 
 class Peer(NamedTuple):
-    """A node and the endpoint at which it is connected to."""
+    """A node and the endpoint that connections to it use."""
 
     node_uid: str
     endpoint: str
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its pool."""
+    """The part of the pool that a connection uses."""
 
     task_group: anyio.abc.TaskGroup
     deadlines: TimerQueue
@@ -49,28 +49,28 @@
     reply_memory: MemoryBudget
 
     def permitted_wait_ns(self, attempt: int) -> int:
-        """Return how long an attempt may be waited for whose first byte would leave now; 0: not at all."""
+        """Return how long to wait for an attempt that is written now, or 0 if it may not be written."""
 
     def remove_attempt(self, attempt: int) -> None:
-        """Record that no connection carries this attempt any more."""
+        """Remove an attempt that is no longer in flight on a connection."""
 
     def add_idle(self, connection: "UpstreamConnection") -> None:
-        """Offer the connection to further attempts."""
+        """Add the connection to the idle connections, from which attempts take theirs."""
 
     def remove_idle(self, connection: "UpstreamConnection") -> None:
-        """Offer the connection to no further attempt, and stop its timer."""
+        """Remove the connection from the idle connections and cancel its timer."""
 
     def remove_connection(self, connection: "UpstreamConnection") -> None:
-        """Record that the connection is closed."""
+        """Remove a closed connection from the pool."""
 
     def retry_after_local_error(self, effect: Dispatch) -> None:
-        """Send the attempt on another connection after a short wait."""
+        """Dispatch the attempt on another connection after a short delay."""
 
 
 class UpstreamConnection:
-    """A connection to a node that carries at most one attempt; each wire has a subclass.
+    """A connection to a node with at most one attempt in flight; each wire protocol has a subclass.
 
-    The connection owns its socket: ``close`` closes it, once, and posts the outcome of the attempt on it.
+    The connection owns its socket: ``close`` closes it once and posts the outcome of the attempt in flight.
     """
 
     _numbers = count(1)
@@ -86,39 +86,39 @@
         self.current: Dispatch | None = None  # the attempt in flight
         self.connected = False
         self.closed = False
-        self.timer: TimerHandle | None = None  # of connecting, a stalled reply, or idleness
+        self.timer: TimerHandle | None = None  # connect, stall or idle timeout
         self.idle_since = 0
 
-    # What a wire defines.
+    # Implemented by the subclass of each wire protocol.
 
     def max_inbox_bytes(self) -> int:
-        """Return how many bytes may be read and not parsed yet."""
+        """Return the maximum number of received bytes that are not parsed yet."""
         raise NotImplementedError
 
     def encode_attempt(self, effect: Dispatch, wait_ns: int) -> list[bytes]:
-        """Return an attempt that is waited for ``wait_ns`` as chunks for a gathered write.
+        """Return an attempt that the pool waits ``wait_ns`` for, as chunks for a gathered write.
 
-        Raise ValueError where this wire can't express it.
+        Raise ValueError if the protocol can't express the request.
         """
         raise NotImplementedError
 
     async def process_received(self) -> None:
-        """Parse what has been received; raise ValueError where the protocol does not allow it."""
+        """Parse the received bytes; raise ValueError if they violate the protocol."""
         raise NotImplementedError
 
     def process_eof(self) -> None:
-        """Process the end of the node's sending."""
+        """Process the end of the node's stream."""
 
-    # The attempt.
+    # Attempts.
 
     def start(self, effect: Dispatch) -> None:
-        """Carry an attempt; its first byte leaves once the connection is established."""
+        """Assign an attempt to this connection; it is written once the connection is established."""
         self.current = effect
         if self.connected:
             self._start_attempt(effect)
 
     def _start_attempt(self, effect: Dispatch) -> None:
-        """Write an attempt, if its first byte may still leave."""
+        """Write the attempt, or withdraw it if it may no longer be sent."""
         pool = self.pool
         wait_ns = pool.permitted_wait_ns(effect.attempt)
         if not wait_ns:
@@ -127,8 +127,8 @@
         try:
             chunks = self.encode_attempt(effect, wait_ns)
         except ValueError as error:
-            log.warning("attempt can't be written", node=self.peer.node_uid, error=str(error))
-            self.connected = False  # nothing of it has left
+            log.warning("request can't be encoded for its node", node=self.peer.node_uid, error=str(error))
+            self.connected = False  # makes the outcome CONNECT_FAILED: no byte of the attempt was sent
             self.close()
             return
         if trace.enabled:
@@ -138,13 +138,13 @@
         self.writer.write(chunks)
 
     def _request_written(self) -> None:
-        """Post that an attempt's last byte has left, where accounts are kept."""
+        """Post that the attempt's last byte was written, if accounts are kept."""
         if self.pool.reports_written_requests and self.current is not None:
             self.pool.post(RequestWritten(self.current.attempt))
 
     def finish_attempt(self, event: AttemptFinished | AttemptWithdrawn, reusable: bool = True) -> None:
-        """Post an attempt's end; the connection waits for the next one, or closes."""
-        # Prevents a crossed response: behind the rest of this request, the next one would get its response.
+        """Post the end of the attempt; keep the connection idle if it is reusable, else close it."""
+        # If bytes of this request are unsent, a response to them would be taken for the next request's.
         reusable = reusable and not self.writer.has_unsent
         self.current = None
         pool = self.pool
@@ -161,14 +161,18 @@
         pool.post(event)
 
     def broken_outcome(self) -> AttemptOutcome:
-        """Return the outcome of an attempt whose connection broke: it never ran before its last byte left."""
+        """Return the outcome of an attempt whose connection broke.
+
+        A node executes a request only after it has received the last byte, so a request with unsent bytes
+        counts as a failed connect.
+        """
         written = self.connected and not self.writer.has_unsent
         return AttemptOutcome.RESET if written else AttemptOutcome.CONNECT_FAILED
 
-    # Its lifetime.
+    # Lifetime.
 
     async def run(self) -> None:
-        """Connect, then read until the connection is over."""
+        """Connect, then read until the connection is closed."""
         pool = self.pool
         if self.closed:
             return
@@ -184,21 +188,23 @@
             await self._read()
         except (OSError, ValueError, BufferError, anyio.ClosedResourceError) as error:
             if not self.closed and not isinstance(error, OSError):
-                log.warning("node connection broken", node=self.peer.node_uid, error=str(error))
-        except Exception:  # prevents an end of the program by what a node sends: it ends its connection only
-            log.exception("node connection", node=self.peer.node_uid)
+                log.warning(
+                    "node connection closed after an error", node=self.peer.node_uid, error=str(error)
+                )
+        except Exception:  # limits the effect of unexpected bytes from a node to this connection
+            log.exception("unexpected exception in a node connection", node=self.peer.node_uid)
         finally:
             self.close()
 
     async def _connect(self) -> bool:
-        """Connect; return False where this machine could not: the attempt waits for another connection."""
+        """Connect; return False after a local error, when the attempt is left to be retried by the pool."""
         try:
             await connect(self.sock, parse_address(self.peer.endpoint))
         except OSError as error:
             effect = self.current
             if self.closed or effect is None or error.errno not in LOCAL_CONNECT_ERRORS:
                 raise
-            log.warning("connecting failed on this machine", error=str(error))
+            log.warning("connecting to a node failed with a local error, will retry", error=str(error))
             self.current = None
             self.pool.remove_attempt(effect.attempt)
             self.close(NodeCloseReason.CONNECT_FAILED)
@@ -218,12 +224,12 @@
             await self.process_received()
 
     def abandon_attempt(self, reason: NodeCloseReason) -> None:
-        """Close, and post nothing of the attempt."""
+        """Close the connection without posting an outcome for its attempt."""
         self.current = None
         self.close(reason)
 
     def close(self, reason: NodeCloseReason = NodeCloseReason.BROKEN) -> None:
-        """Close, and post the outcome of the attempt on it."""
+        """Close the connection and post the outcome of the attempt in flight, if there is one."""
         if self.closed:
             return
         self.closed = True
--- a/runloft/upstream/errors.py
+++ b/runloft/upstream/errors.py
@@ -4,7 +4,7 @@
 
 from runloft.errors import RunloftError
 
-# What connect(2) reports of this machine: it says nothing of the node, which has not seen a packet.
+# Errors of connect(2) with a local cause: no packet reached the node, so they say nothing about its health.
 LOCAL_CONNECT_ERRORS = frozenset(
     (
         errno.EACCES,
@@ -23,7 +23,7 @@
 
 
 class UpstreamProtocolError(RunloftError, ValueError):
-    """A node sent bytes that its protocol does not allow."""
+    """A node sent bytes that violate its protocol."""
 
     def __init__(self, message: str, peer: str) -> None:
         super().__init__(message)
@@ -31,7 +31,7 @@
 
 
 class UnwritableRequestError(RunloftError, ValueError):
-    """A request can't be expressed on this wire."""
+    """A request can't be encoded in this wire protocol."""
 
     def __init__(self, message: str, peer: str) -> None:
         super().__init__(message)
--- a/runloft/upstream/http_connection.py
+++ b/runloft/upstream/http_connection.py
@@ -1,4 +1,4 @@
-"""Upstream connections to object servers over HTTP/1.1: requests complete, responses streamed."""
+"""Upstream connections to object servers over HTTP/1.1, with buffered requests and streamed responses."""
 
 from functools import partial
 
@@ -15,14 +15,14 @@
 
 RECEIVE_BUFFER_BYTES = 64 << 10
 MAX_HEAD_BYTES = 32 << 10
-STALL_TIMEOUT_NS = 30_000_000_000  # a response that does not progress for so long is over
+STALL_TIMEOUT_NS = 30_000_000_000  # maximum time without received data within a response
 FIRST_SERVER_ERROR = 500
 SERVICE_UNAVAILABLE = 503
 METHODS_WITH_LENGTH = (b"PUT", b"POST")
 
 
 class HttpConnection(UpstreamConnection):
-    """A connection to an object server; one request at a time."""
+    """A connection to an object server."""
 
     protocol: h11.Connection | None = None
     stream: ResponseStream | None = None
@@ -30,11 +30,11 @@
     error_outcome: AttemptOutcome | None = None
 
     def max_inbox_bytes(self) -> int:
-        """Return the size of the receive buffer; the parser takes all that is read at once."""
+        """Return the size of the receive buffer, which the parser empties after each read."""
         return RECEIVE_BUFFER_BYTES
 
     def encode_attempt(self, effect: Dispatch, wait_ns: int) -> list[bytes]:
-        """Return the request, head and body, as chunks."""
+        """Return the request's head and body as chunks."""
         payload = effect.payload
         assert isinstance(payload, HttpPayload)
         if self.protocol is None:
@@ -58,11 +58,11 @@
             raise UnwritableRequestError(str(error), self.peer.endpoint) from error
 
     async def process_received(self) -> None:
-        """Feed the parser and process its events; wait while the client reads too slowly."""
+        """Feed the parser and process its events; wait while the stream's buffer is full."""
         inbox = self.inbox
         protocol = self.protocol
         if protocol is None or self.current is None:
-            raise UpstreamProtocolError("an answer that nothing asked for", self.peer.endpoint)
+            raise UpstreamProtocolError("received a response without a request", self.peer.endpoint)
         protocol.receive_data(bytes(memoryview(inbox.data)[inbox.start : inbox.end]))
         inbox.start = inbox.end
         inbox.shrink()
@@ -77,7 +77,7 @@
             await self.stream.wait_writable()
 
     def _process_events(self, protocol: h11.Connection) -> bool:
-        """Process the parser's events; return whether the response, or the connection, is over."""
+        """Process the parser's events; return whether the response is complete or the connection closed."""
         while (event := protocol.next_event()) is not h11.NEED_DATA:
             if isinstance(event, h11.Response):
                 self._response_started(event)
@@ -92,14 +92,14 @@
         return False
 
     def process_eof(self) -> None:
-        """Complete a response that has no length of its own."""
+        """Complete a response whose body ends with the connection."""
         if self.protocol and self.current:
             try:
                 self.protocol.receive_data(b"")
                 if isinstance(self.protocol.next_event(), h11.EndOfMessage):
                     self._response_complete(self.protocol)
             except h11.ProtocolError:
-                return  # it is incomplete, which close() posts
+                return  # an incomplete response: close() posts the outcome
 
     def _restart_stall_timer(self) -> None:
         pool = self.pool
@@ -107,14 +107,15 @@
         on_timeout = partial(self.close, NodeCloseReason.STALLED)
         self.stall_timer = pool.deadlines.add(pool.clock() + STALL_TIMEOUT_NS, on_timeout)
 
-    def _response_started(self, head: h11.Response) -> None:
+    def _response_started(self, response: h11.Response) -> None:
         assert self.current is not None
-        if head.status_code >= FIRST_SERVER_ERROR:
-            # 503: rejected unseen, as by a full or draining server; others may have been executed.
-            is_full = head.status_code == SERVICE_UNAVAILABLE
+        if response.status_code >= FIRST_SERVER_ERROR:
+            # With 503 a full or draining server has not executed the request; with other errors it may have.
+            is_full = response.status_code == SERVICE_UNAVAILABLE
             self.error_outcome = AttemptOutcome.FULL if is_full else AttemptOutcome.ERROR
             return
-        self.stream = ResponseStream(head.status_code, list(head.headers.raw_items()))  # names as written
+        # raw_items() preserves the case of the header names.
+        self.stream = ResponseStream(response.status_code, list(response.headers.raw_items()))
         self.pool.post(StreamStarted(self.current.attempt, self.stream))
 
     def _response_complete(self, protocol: h11.Connection) -> None:
@@ -124,7 +125,7 @@
         if stream:
             stream.finish(True)
         event = AttemptFinished(self.current.attempt, self.error_outcome or AttemptOutcome.OK, stream)
-        # Prevents a crossed response: what came behind this one may not answer the next request.
+        # Bytes after this response would otherwise be taken as the response to the next request.
         reusable = protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
         reusable = reusable and not protocol.trailing_data[0]
         if reusable:
@@ -132,7 +133,7 @@
         self.finish_attempt(event, reusable)
 
     def close(self, reason: NodeCloseReason = NodeCloseReason.BROKEN) -> None:
-        """Close; the reader of an incomplete response learns that it broke."""
+        """Close the connection and mark an incomplete response stream as broken."""
         if self.closed:
             return
         self.pool.deadlines.discard(self.stall_timer)
--- a/runloft/upstream/payloads.py
+++ b/runloft/upstream/payloads.py
@@ -1,4 +1,4 @@
-"""What an attempt writes, on each wire."""
+"""Request payloads of each wire protocol."""
 
 from dataclasses import dataclass
 
@@ -10,13 +10,16 @@
 
 
 def wait_ms(wait_ns: int) -> int:
-    """Return a wait as wires carry it: whole milliseconds, at least one."""
+    """Return a wait in the unit that requests carry: whole milliseconds, at least 1."""
     return max(1, wait_ns // NANOSECONDS_PER_MS)
 
 
 @dataclass(frozen=True, slots=True)
 class RespPayload:
-    """A command as its client wrote it; only the wait in its attributes is replaced."""
+    """A command as its client sent it, with the wait in its attributes replaced on each attempt.
+
+    ``before_wait`` and ``after_wait`` are the parts of the attributes around the wait's number.
+    """
 
     words: tuple[bytes, ...]
     before_wait: bytes
@@ -25,18 +28,18 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Return the memory that it occupies, in bytes: its words, bodies above all."""
+        """Return the memory of the words in bytes, with an allowance for overhead."""
         return sum(map(len, self.words)) + COMMAND_OVERHEAD_BYTES
 
     def encode_attempt(self, wait_ns: int) -> list[bytes]:
-        """Return the command as chunks, for an attempt that is waited for ``wait_ns``."""
+        """Return the command as chunks for an attempt that the pool waits ``wait_ns`` for."""
         attributes = self.before_wait + b"%d" % wait_ms(wait_ns) + self.after_wait
         return resp2.encode_command(*self.words[:3], attributes, *self.words[3:])
 
 
 @dataclass(frozen=True, slots=True)
 class HttpPayload:
-    """A request to an object server; its body is kept complete, so that it can be retried."""
+    """A request to an object server; the whole body is kept in memory for retries."""
 
     method: bytes
     target: bytes
@@ -46,5 +49,5 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Return the memory that it occupies, in bytes: its body and an allowance for the head."""
+        """Return the memory of the body in bytes, with an allowance for the head."""
         return len(self.body) + HEAD_OVERHEAD_BYTES
--- a/runloft/upstream/pool.py
+++ b/runloft/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The connections to all nodes that speak one wire: which is reused, which is opened, which attempts wait."""
+"""A pool of connections to the nodes of one wire protocol, and the attempts that wait for a connection."""
 
 from collections.abc import Callable
 from functools import partial
@@ -18,19 +18,19 @@
 from runloft.upstream.connection import Peer, UpstreamConnection
 
 log = structlog.get_logger()
-IDLE_FRACTION = 0.7  # of the time after which a node closes an idle connection: ours closes well before
+IDLE_FRACTION = 0.7  # of the nodes' idle timeout, so that the pool closes idle connections before they do
 MAX_REPLY_BYTES = 4 << 20
-REPLY_MEMORY_DIVISOR = 8  # the longest reply takes this part of the spare memory, where that is less
-REPLIES_MEMORY_DIVISOR = 3  # long replies that are half read take this part of the spare memory, together
-MIN_IDLE_BEFORE_REUSE_NS = 3_000_000  # a second copy of a reply, or noise behind it, arrives within this time
-RESERVED_DESCRIPTORS = 32  # for all but clients and nodes: listener, watch, log, signals
-POOL_FULL_RETRY_NS = 5_000_000  # until a connection may be free
-LOCAL_ERROR_RETRY_NS = 20_000_000  # until connecting is retried that failed on this machine
+MAX_REPLY_DIVISOR = 8  # of the spare memory: the size limit of one reply if below MAX_REPLY_BYTES
+REPLY_BUDGET_DIVISOR = 3  # of the spare memory: the shared budget for long replies that are partly received
+MIN_IDLE_BEFORE_REUSE_NS = 3_000_000  # extra bytes after a reply, such as a second copy, arrive by then
+RESERVED_DESCRIPTORS = 32  # for listeners, the watch, logs and signals: all but client and node connections
+POOL_FULL_RETRY_NS = 5_000_000
+LOCAL_ERROR_RETRY_NS = 20_000_000
 DEFAULT_CONNECT_TIMEOUT_NS = 1_000_000_000
 
 
 class ConnectionPool:
-    """All connections to nodes that speak one wire.
+    """All connections to the nodes of one wire protocol.
 
     The pool opens connections and runs each as a task of ``task_group``; ``close`` closes them all.
     """
@@ -61,24 +61,24 @@
         self.reply_memory = MemoryBudget(0)
         self.configure(config)
         self.idle: dict[Peer, list[UpstreamConnection]] = {}
-        self.in_flight: dict[int, UpstreamConnection] = {}  # by attempt
+        self.in_flight: dict[int, UpstreamConnection] = {}  # connections by attempt
         self.open: set[UpstreamConnection] = set()
-        self.waiting: dict[int, TimerHandle] = {}  # attempts that wait for a connection
+        self.waiting: dict[int, TimerHandle] = {}  # by attempt: timers of those that wait for a connection
 
     def configure(self, config: Config) -> None:
-        """Apply the timeouts, the limits and the memory of a configuration from now on."""
+        """Apply the timeouts, connection limit and memory limits of a configuration."""
         self.connect_timeout_ns = config.settings.connect_timeout_ns or DEFAULT_CONNECT_TIMEOUT_NS
         self.idle_timeout_ns = int(config.idle_timeout_ns * IDLE_FRACTION)
         self.max_connections = max(1, (config.max_sockets - RESERVED_DESCRIPTORS) // self.descriptors_divisor)
         self.reports_written_requests = config.accounted_volumes > 0
-        self.max_reply_bytes = min(MAX_REPLY_BYTES, config.spare_bytes // REPLY_MEMORY_DIVISOR)
-        self.reply_memory.resize(config.spare_bytes // REPLIES_MEMORY_DIVISOR)
+        self.max_reply_bytes = min(MAX_REPLY_BYTES, config.spare_bytes // MAX_REPLY_DIVISOR)
+        self.reply_memory.resize(config.spare_bytes // REPLY_BUDGET_DIVISOR)
 
     # Attempts.
 
     def dispatch(self, effect: Dispatch, may_wait_for_idle: bool = True) -> None:
-        """Write an attempt on an idle connection, or on a new one."""
-        # Prevents a connection to a node for an attempt that was given up while it waited here.
+        """Start an attempt on an idle connection or on a new one, or retry later if neither is available."""
+        # Avoids opening a connection for an attempt that may no longer be sent after its wait in the pool.
         if self.waiting.pop(effect.attempt, None) and not self.permitted_wait_ns(effect.attempt):
             self.post(AttemptWithdrawn(effect.attempt))
             return
@@ -88,17 +88,17 @@
             self._start(connection, effect)
             return
         if may_wait_for_idle and (idle := self.idle.get(peer)):
-            # Ready sooner than a new one, at less cost for the node.
+            # An idle connection becomes reusable sooner than a new one opens, at less cost for the node.
             self._dispatch_later(effect, idle[0].idle_since + MIN_IDLE_BEFORE_REUSE_NS + 1)
             return
-        # Prevents a wrong belief about the node: no descriptor left here says nothing about it.
+        # Retry instead of failing the attempt: a lack of descriptors here must not count against the node.
         if len(self.open) >= self.max_connections and not self._evict_idle():
             self._dispatch_later(effect, self.clock() + POOL_FULL_RETRY_NS)
             return
         try:
             connection = self.connection_type(self, peer)
         except OSError as error:
-            log.warning("no socket for a node connection", node=peer.node_uid, error=str(error))
+            log.warning("creating a node connection's socket failed", node=peer.node_uid, error=str(error))
             self._dispatch_later(effect, self.clock() + POOL_FULL_RETRY_NS)
             return
         self.open.add(connection)
@@ -110,10 +110,10 @@
         connection.start(effect)
 
     def permitted_wait_ns(self, attempt: int) -> int:
-        """Return how long an attempt may be waited for whose first byte would leave now; 0: it may not leave.
+        """Return how long to wait for an attempt that is written now, or 0 if it may not be written.
 
-        A client that was not seen just now is looked at first: an event loop that was delayed acts on a
-        node's failure before it reads that the client has disconnected.
+        If the permit asks for it, check first whether the client has disconnected: after a delay, the event
+        loop may handle a node's failure before it reads the end of the client's stream.
         """
         permit = self.permit(attempt, self.clock())
         refusal = permit.refusal
@@ -127,19 +127,19 @@
         return permit.wait_ns
 
     def retry_after_local_error(self, effect: Dispatch) -> None:
-        """Connect anew after a short wait: what failed here says nothing of the node."""
+        """Dispatch the attempt again after a short delay: a local error does not count against the node."""
         self._dispatch_later(effect, self.clock() + LOCAL_ERROR_RETRY_NS)
 
     def _dispatch_later(self, effect: Dispatch, at: int) -> None:
-        """Dispatch again at ``at``, unless the attempt is given up before."""
+        """Dispatch the attempt at ``at`` unless it is abandoned before."""
         self.waiting[effect.attempt] = self.deadlines.add(at, partial(self.dispatch, effect, False))
 
     def remove_attempt(self, attempt: int) -> None:
-        """Record that no connection carries this attempt any more."""
+        """Remove an attempt that is no longer in flight on a connection."""
         self.in_flight.pop(attempt, None)
 
     def abandon(self, attempt: int) -> None:
-        """Close the connection of an attempt, now."""
+        """Close the connection of an attempt, or stop its wait for a connection."""
         self.deadlines.discard(self.waiting.pop(attempt, None))
         connection = self.in_flight.pop(attempt, None)
         if connection is not None:
@@ -148,15 +148,15 @@
     # Connections.
 
     def _take_idle(self, peer: Peer) -> UpstreamConnection | None:
-        """Return the connection that was used last and may be reused: the others age and time out.
+        """Return the most recently used reusable connection, so that surplus ones time out.
 
-        One that still may get bytes that nobody asked for is not reused yet.
+        Connections that became idle only just now are skipped: unexpected bytes may still arrive on them.
         """
         idle_since_limit = self.clock() - MIN_IDLE_BEFORE_REUSE_NS
         for connection in reversed(list(self.idle.get(peer, ()))):
             if connection.idle_since > idle_since_limit:
                 continue
-            # Prevents a reset of the attempt by a node that died while the connection was idle.
+            # The node may have closed or reset the connection, or sent unexpected bytes, while it was idle.
             if is_idle_and_alive(connection.sock):
                 self.remove_idle(connection)
                 return connection
@@ -164,11 +164,11 @@
         return None
 
     def add_idle(self, connection: UpstreamConnection) -> None:
-        """Offer the connection to further attempts."""
+        """Add the connection to the idle connections, from which attempts take theirs."""
         self.idle.setdefault(connection.peer, []).append(connection)
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Offer the connection to no further attempt, and stop its timer."""
+        """Remove the connection from the idle connections and cancel its timer."""
         self.deadlines.discard(connection.timer)
         connections = self.idle.get(connection.peer, [])
         if connection in connections:
@@ -177,7 +177,7 @@
             self.idle.pop(connection.peer, None)
 
     def remove_connection(self, connection: UpstreamConnection) -> None:
-        """Record that the connection is closed."""
+        """Remove a closed connection from the pool."""
         self.open.discard(connection)
 
     def _evict_idle(self) -> bool:
@@ -189,7 +189,7 @@
         return False
 
     def update_nodes(self, nodes: tuple[NodeUpdate, ...]) -> None:
-        """Close idle connections to nodes that have moved or are leaving."""
+        """Close idle connections to nodes whose endpoint has changed or that are not ready."""
         for node in nodes:
             for peer, connections in list(self.idle.items()):
                 is_stale = peer.endpoint != self.endpoint(node) or node.state is not NodeState.READY
@@ -198,7 +198,7 @@
                         connection.close(NodeCloseReason.NODE_CHANGED)
 
     def close(self) -> None:
-        """Close all connections; nothing is posted of the attempts on them."""
+        """Close all connections without posting outcomes for their attempts."""
         for timer in self.waiting.values():
             self.deadlines.discard(timer)
         for connection in list(self.open):
--- a/runloft/upstream/request_writer.py
+++ b/runloft/upstream/request_writer.py
@@ -1,4 +1,4 @@
-"""Writing of requests on one connection, by gathered writes that may be partial."""
+"""Writes requests to one connection, continuing after partial writes."""
 
 import socket
 from collections.abc import Callable
@@ -10,10 +10,10 @@
 
 
 class RequestWriter:
-    """The unsent bytes of a connection; a task of the group writes what the socket does not take at once.
+    """Buffers a connection's unsent bytes; a task writes those that the socket does not accept at once.
 
-    ``on_written`` is called when the last byte has left, ``on_failed`` where the socket fails.  The socket
-    belongs to the connection, which closes it.
+    ``on_written`` is called after the last byte is written, ``on_failed`` if writing fails.  The connection
+    owns the socket and closes it.
     """
 
     __slots__ = ("_on_failed", "_on_written", "_sock", "_task_group", "buffer", "is_waiting")
@@ -26,7 +26,7 @@
         on_failed: Callable[[], None],
     ) -> None:
         self.buffer = SendBuffer()
-        self.is_waiting = False  # a task waits until the socket is writable
+        self.is_waiting = False  # whether a task waits for the socket to become writable
         self._sock = sock
         self._task_group = task_group
         self._on_written = on_written
@@ -34,11 +34,11 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Return whether bytes of a request have not left yet."""
+        """Return whether a request has unsent bytes."""
         return bool(self.buffer.chunks)
 
     def write(self, chunks: list[bytes]) -> None:
-        """Write what the socket takes now, and the rest in a task."""
+        """Write what the socket accepts now, and the rest in a task."""
         self.buffer.push(*chunks)
         try:
             complete = self.buffer.flush(self._sock)
--- a/runloft/upstream/resp_connection.py
+++ b/runloft/upstream/resp_connection.py
@@ -1,4 +1,4 @@
-"""Upstream connections that speak RESP2: one command, one reply."""
+"""Upstream connections to storage nodes over RESP2, with one reply per command."""
 
 from functools import partial
 
@@ -10,8 +10,8 @@
 from runloft.upstream.errors import UpstreamProtocolError
 from runloft.upstream.payloads import RespPayload
 
-UNRESERVED_REPLY_BYTES = 16 << 10  # of a reply, that take nothing of the memory budget
-STALL_TIMEOUT_NS = 250_000_000  # a reply that has begun and brings no byte for so long is never complete
+UNRESERVED_REPLY_BYTES = 16 << 10  # size up to which a reply needs no share of the memory budget
+STALL_TIMEOUT_NS = 250_000_000  # maximum time without received data within a reply
 NODE_FULL = b"BUSY"
 
 
@@ -19,7 +19,7 @@
     """A connection to a storage node."""
 
     def max_inbox_bytes(self) -> int:
-        """Return the bytes of the longest reply and its frame."""
+        """Return the size of the longest reply with its framing."""
         return self.pool.max_reply_bytes + UNRESERVED_REPLY_BYTES
 
     def encode_attempt(self, effect: Dispatch, wait_ns: int) -> list[bytes]:
@@ -29,11 +29,11 @@
         return payload.encode_attempt(wait_ns)
 
     async def process_received(self) -> None:
-        """Parse a reply once it is complete; the first complete one stands, whatever comes behind it."""
+        """Parse the reply once it is complete; if bytes follow it, discard them and close the connection."""
         inbox = self.inbox
         pool = self.pool
         if self.current is None:
-            raise UpstreamProtocolError("a reply that nothing asked for", self.peer.endpoint)
+            raise UpstreamProtocolError("received a reply without a command", self.peer.endpoint)
         parsed = resp2.parse_reply(inbox.data, inbox.start, inbox.end, pool.max_reply_bytes)
         pool.deadlines.discard(self.timer)
         if parsed is None:
@@ -46,7 +46,7 @@
         self.finish_attempt(event, reusable)
 
     async def _wait_for_remaining(self) -> None:
-        """Reserve memory for the rest of a reply, and close where it stops half-way."""
+        """Reserve memory for the rest of a reply and start the stall timeout."""
         inbox = self.inbox
         pool = self.pool
         size = resp2.reply_size(inbox.data, inbox.start, inbox.end)
@@ -54,12 +54,12 @@
             await self._reserve_reply_memory(size + UNRESERVED_REPLY_BYTES)
         self.timer = None
         if not self.closed:
-            # Prevents the loss of the request's time: a reply that stops half-way would use all of it.
+            # Without this timeout a reply that stalls would use up the request's time for a retry.
             on_timeout = partial(self.close, NodeCloseReason.STALLED)
             self.timer = pool.deadlines.add(pool.clock() + STALL_TIMEOUT_NS, on_timeout)
 
     async def _reserve_reply_memory(self, size: int) -> None:
-        """Prevent many long replies from filling memory at once: the rest of this one waits in its socket."""
+        """Wait for memory for a long reply; until then its remaining bytes stay in the socket's buffer."""
         await self.pool.reply_memory.acquire(size)
         if self.closed:
             self.pool.reply_memory.release(size)
@@ -69,7 +69,7 @@
 
 
 def attempt_finished(attempt: int, reply: resp2.Reply) -> AttemptFinished:
-    """Return the event that a node's reply stands for."""
+    """Return the event for a node's reply."""
     load = resp2.parse_load_report(reply.usage)
     if reply.error is None:
         outcome = AttemptOutcome.OK
--- a/runloft/upstream/response_stream.py
+++ b/runloft/upstream/response_stream.py
@@ -1,15 +1,15 @@
-"""A streamed response between the connection that reads it and the client that gets it."""
+"""A streamed response between the node connection that reads it and the client that receives it."""
 
 from collections import deque
 
 import anyio
 
-RawHeader = tuple[bytes, bytes]  # name as the node wrote it, value; h11's form
-READ_AHEAD_BYTES = 256 << 10  # of a response, buffered for a client that reads slowly
+RawHeader = tuple[bytes, bytes]  # name with its original case, and value, as h11 returns them
+READ_AHEAD_BYTES = 256 << 10  # buffered bytes above which the node connection stops reading
 
 
 class ResponseStream:
-    """A response in transit: a head, then chunks of the body under back-pressure."""
+    """A response's status, headers and buffered body chunks, with back-pressure on the writer."""
 
     def __init__(self, status: int, headers: list[RawHeader]) -> None:
         self.status = status
@@ -22,26 +22,26 @@
         self._writable = anyio.Event()
 
     def put(self, chunk: bytes) -> None:
-        """Append a chunk."""
+        """Append a body chunk."""
         self.chunks.append(chunk)
         self.buffered_bytes += len(chunk)
         self._readable.set()
 
     def finish(self, complete: bool) -> None:
-        """End the stream; ``complete``: nothing of the body is missing."""
+        """End the stream; ``complete`` tells whether the whole body was received."""
         self.complete = self.complete or complete
         self.broken = self.broken or not complete
         self._readable.set()
         self._writable.set()
 
     async def wait_writable(self) -> None:
-        """Wait until the reader has taken enough, or the stream broke."""
+        """Wait until the buffer is below its limit or the stream is broken."""
         while self.buffered_bytes > READ_AHEAD_BYTES and not self.broken:
             self._writable = anyio.Event()
             await self._writable.wait()
 
     async def next_chunk(self) -> bytes | None:
-        """Return the next chunk; None at the end, complete or not."""
+        """Return the next chunk, or None at the end of a complete or broken stream."""
         while not self.chunks:
             if self.complete or self.broken:
                 return None
--- a/tests/service/test_startup_errors.py
+++ b/tests/service/test_startup_errors.py
@@ -17,7 +17,7 @@
 from runloft.service.errors import ListenAddress, ListenError, MissingPackageError, packages_required_by
 from tests.support.standins import config, entry
 
-RETRY = "can't listen yet"
+RETRY = "opening a listening socket failed, will retry"
 ADDRESS_IN_USE = f"Address already in use (EADDRINUSE, errno {errno.EADDRINUSE})"
 TOO_MANY_FILES = f"Too many open files (EMFILE, errno {errno.EMFILE})"
 
--- a/tests/upstream/test_errors.py
+++ b/tests/upstream/test_errors.py
@@ -32,7 +32,7 @@
 def test_status_error_names_peer_and_status_and_reopens_the_watch():
     error = WatchStatusError(503, PEER)
     assert (error.status, error.peer) == (503, PEER)
-    assert str(error) == "discovery at 127.0.0.1:9 answered 503"
+    assert str(error) == "discovery at 127.0.0.1:9 returned HTTP status 503, expected 200"
     assert isinstance(error, WATCH_ERRORS)
 
 
