--- a/tests/lab/scale/datapath/test_client_load.py
+++ b/tests/lab/scale/datapath/test_client_load.py
@@ -5,7 +5,7 @@
 import sys
 from contextlib import contextmanager
 
-from tests.support.standins import Listener, words_of
+from tests.support.standins import Listener, read_words
 
 
 @contextmanager
@@ -30,7 +30,7 @@
     cut = False
 
     def serve(self, conn, lines):
-        while words := words_of(lines):
+        while words := read_words(lines):
             if words[0] == b"PING":
                 conn.sendall(b"+PONG\r\n")
                 return
--- a/tests/listeners/test_exchanges.py
+++ b/tests/listeners/test_exchanges.py
@@ -16,7 +16,7 @@
 
 from runloft.net.resp2 import encode_command
 from tests.support.lab import Redis
-from tests.support.standins import Discovery, Program, config, entry, words_of
+from tests.support.standins import Discovery, Program, config, entry, read_words
 
 FILES = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
 
@@ -64,7 +64,7 @@
             client.sock.sendall(b"".join(encode_command(*words)))
         elif mark == "N>$":
             node = node or Side(listening_socket.accept()[0])
-            got = [word.decode() for word in words_of(node.lines)]
+            got = [word.decode() for word in read_words(node.lines)]
             wanted = rest.split()
             fits = len(got) == len(wanted) and all(map(fnmatch.fnmatchcase, got, map(escaped, wanted)))
             assert fits, f"line {number}: {got!r}, wanted {wanted!r}"
--- a/tests/listeners/test_object_api.py
+++ b/tests/listeners/test_object_api.py
@@ -108,18 +108,18 @@
 def test_a_silent_node_is_504_and_a_failing_node_502(world):
     world.request("PUT", body=b"x")
     server = world.holder()
-    server.held.clear()
+    server.may_respond.clear()
     began = time.monotonic()
     status, _, _ = world.request("GET", headers={"X-Expires-In-Ms": "400"})
     assert status == 504 and time.monotonic() - began < 3
-    server.held.set()
-    server.act = lambda *_: (500, {}, b"")
+    server.may_respond.set()
+    server.handle = lambda *_: (500, {}, b"")
     assert world.request("GET")[0] == 502
 
 
 def test_a_full_node_is_503_with_retry_after(world):
     world.request("PUT", body=b"x")
-    world.holder().act = lambda *_: (503, {}, b"")
+    world.holder().handle = lambda *_: (503, {}, b"")
     status, headers, _ = world.request("GET", headers={"X-Expires-In-Ms": "900"})
     assert status == 503 and int(headers["Retry-After"]) >= 1
 
@@ -146,7 +146,7 @@
     world.request("PUT", body=b"x")
     place = next(n for n, s in enumerate(world.servers) if s.objects)
     half = HalfServer()
-    world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, objects=half.address))
+    world.discovery.send_nodes(entry("127.0.0.1:9", f"s-{place}", place, objects=half.address))
     until(lambda: world.request("HEAD", "/volumes/tracks/objects/none")[0] == 404)
     time.sleep(0.1)
     return half
@@ -196,7 +196,7 @@
     assert world.request("PUT", target % 1, b"one;")[0] == 200
     old = world.holder()
     place = world.servers.index(old)
-    world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, "terminating", objects=old.address))
+    world.discovery.send_nodes(entry("127.0.0.1:9", f"s-{place}", place, "terminating", objects=old.address))
     time.sleep(0.3)
     results = []
     waiting = threading.Thread(target=lambda: results.append(world.request("PUT", target % 2, b"two;")[0]))
@@ -205,7 +205,7 @@
     assert not results and len(old.log) == 2  # it waits: the draining node gets no new request
     new = ObjectServer()
     new.uploads = old.uploads  # the shard's data moves on with its new holder
-    world.discovery.tell(entry("127.0.0.1:9", "s-new", place, objects=new.address))
+    world.discovery.send_nodes(entry("127.0.0.1:9", "s-new", place, objects=new.address))
     waiting.join(10)
     assert results == [200] and [t for _, _, t in new.log] == [target % 2]
     assert world.request("POST", f"{ITEM}?uploadId={upload}", b"<x/>")[0] == 200
@@ -217,7 +217,7 @@
     world.request("PUT", body=b"x")
     old = world.holder()
     place = world.servers.index(old)
-    world.discovery.tell(entry("127.0.0.1:9", f"s-{place}", place, "terminated", objects=old.address))
+    world.discovery.send_nodes(entry("127.0.0.1:9", f"s-{place}", place, "terminated", objects=old.address))
     time.sleep(0.3)
     before = len(old.log)
     status, headers, _ = world.request("GET", headers={"X-Expires-In-Ms": "600"})
@@ -228,7 +228,7 @@
     """After 64 KiB that were read ahead its close went unseen, and its request ran to its end."""
     world.request("PUT", body=b"x")
     server, reached, held = world.holder(), threading.Event(), threading.Event()
-    server.held = SimpleNamespace(wait=lambda seconds: reached.set() or held.wait(seconds))
+    server.may_respond = SimpleNamespace(wait=lambda seconds: reached.set() or held.wait(seconds))
     with socket.create_connection(("127.0.0.1", world.program.ports["ObjectListener"])) as client:
         client.sendall(b"GET %s HTTP/1.1\r\nHost: x\r\n\r\n" % ITEM.encode() + b"x" * (90 << 10))
         assert reached.wait(5)
@@ -249,7 +249,7 @@
     place = world.servers.index(old)
     cold = ObjectServer()
     cold.objects = old.objects
-    world.discovery.tell(
+    world.discovery.send_nodes(
         entry("127.0.0.1:9", f"s-{place}", place, "terminated"),
         entry("127.0.0.1:9", "s-cold", place, boot_ms=int(time.time() * 1000), objects=cold.address),
     )
@@ -313,13 +313,13 @@
 
 def test_an_object_requested_before_sigterm_is_served(world):
     world.request("PUT", body=b"data")
-    world.holder().held.clear()
+    world.holder().may_respond.clear()
     conn = world.http()
     conn.request("GET", ITEM)
     until(lambda: len(world.holder().connections) >= 1)
     world.program.process.terminate()
     time.sleep(0.7)  # past the time in which new connections are taken
-    world.holder().held.set()
+    world.holder().may_respond.set()
     answer = conn.getresponse()
     assert (answer.status, answer.read()) == (200, b"data")
     assert world.program.process.wait(10) == 0
--- a/tests/net/test_connecting.py
+++ b/tests/net/test_connecting.py
@@ -1,4 +1,4 @@
-"""Connecting on real sockets."""
+"""Connecting with real sockets."""
 
 import contextlib
 import errno
@@ -12,43 +12,43 @@
 
 
 def test_waiter_on_a_closed_socket_does_not_take_the_wakeup_of_a_reused_descriptor():
-    """Two sockets of one number in one turn of the loop: the first waiter took the second one's wake-up."""
+    """With one descriptor for two sockets in a loop iteration, the first waiter took the second's wake-up."""
 
     async def run():
-        full, go, done = socket.socket(), anyio.Event(), []
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
+        full_listener, first_closed, results = socket.socket(), anyio.Event(), []
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
         fillers = [new_client_socket() for _ in range(4)]
         for filler in fillers:
-            filler.connect_ex(full.getsockname())
+            filler.connect_ex(full_listener.getsockname())
         first = new_client_socket()
 
-        async def wait():
+        async def connect_first():
             try:
-                await connect(first, full.getsockname())
+                await connect(first, full_listener.getsockname())
             except (OSError, anyio.ClosedResourceError):
-                done.append("closed")
+                results.append("closed")
 
-        async def follow(live):
-            await go.wait()
+        async def connect_second(listener):
+            await first_closed.wait()
             second = new_client_socket()
-            assert second.fileno() == number
+            assert second.fileno() == descriptor
             with anyio.move_on_after(2):
-                await connect(second, live.getsockname())
-                done.append("connected")
+                await connect(second, listener.getsockname())
+                results.append("connected")
             second.close()
 
-        with socket.create_server(("127.0.0.1", 0)) as live:
-            number = first.fileno()
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            descriptor = first.fileno()
             async with anyio.create_task_group() as group:
-                group.start_soon(wait)
-                group.start_soon(follow, live)
+                group.start_soon(connect_first)
+                group.start_soon(connect_second, listener)
                 await anyio.wait_all_tasks_blocked()
-                go.set()
+                first_closed.set()
                 close(first)
-        for sock in (full, *fillers):
+        for sock in (full_listener, *fillers):
             sock.close()
-        assert sorted(done) == ["closed", "connected"]
+        assert sorted(results) == ["closed", "connected"]
 
     anyio.run(run)
 
@@ -59,9 +59,9 @@
         sock = new_client_socket()
 
         class Interrupted:
-            def connect(self, where):
+            def connect(self, peer):
                 with contextlib.suppress(BlockingIOError):
-                    sock.connect(where)
+                    sock.connect(peer)
                 raise InterruptedError
 
             def __getattr__(self, name):
--- a/tests/net/test_memory_budget.py
+++ b/tests/net/test_memory_budget.py
@@ -1,4 +1,4 @@
-"""The memory budget that connections share."""
+"""The memory budget shared by connections."""
 
 import anyio
 
@@ -7,20 +7,20 @@
 
 def test_acquire_waits_until_enough_memory_is_free():
     async def run():
-        budget, taken = MemoryBudget(10), []
+        budget, acquired = MemoryBudget(10), []
 
-        async def take(size):
+        async def acquire(size):
             await budget.acquire(size)
-            taken.append(size)
+            acquired.append(size)
 
         async with anyio.create_task_group() as group:
             for size in (8, 5, 2):
-                group.start_soon(take, size)
+                group.start_soon(acquire, size)
             await anyio.wait_all_tasks_blocked()
-            assert taken == [8, 2]
+            assert acquired == [8, 2]
             budget.release(8)
             await anyio.wait_all_tasks_blocked()
-            assert taken == [8, 2, 5]
+            assert acquired == [8, 2, 5]
             budget.resize(4)
             assert budget.free == -3
 
--- a/tests/net/test_resp2_replies.py
+++ b/tests/net/test_resp2_replies.py
@@ -1,4 +1,4 @@
-"""Replies of storage nodes, parsed from a buffer."""
+"""Parsing of storage nodes' replies."""
 
 import pytest
 
@@ -6,13 +6,11 @@
 from runloft.net.resp2 import MAX_BULK, Reply, RespError, parse_reply, reply_size
 
 VALUE = b"*3\r\n$2\r\nok\r\n"
-
-
-MORE = 400_000  # longer than a client's value may be
+LONG_VALUE_BYTES = 400_000  # exceeds the limit of a client's value
 
 
 @pytest.mark.parametrize(
-    "text, reply, clean",
+    "text, reply, is_reusable",
     [
         (VALUE + b"$7\r\nused=53\r\n$-1\r\n", Reply(b"ok", usage=b"used=53"), True),
         (VALUE + b"$-1\r\n$-1\r\n", Reply(b"ok"), True),
@@ -22,15 +20,19 @@
         (b"-BUSY\r\n", Reply(error=b"BUSY", usage=b""), True),
         (b"-ERR failed used=3\r\n", Reply(error=b"ERR", usage=b"used=3"), True),
         (b"-SYNTAX\r\n", Reply(error=b"SYNTAX", usage=b""), False),
-        (b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (MORE, b"v" * MORE), Reply(b"v" * MORE), True),
+        (
+            b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (LONG_VALUE_BYTES, b"v" * LONG_VALUE_BYTES),
+            Reply(b"v" * LONG_VALUE_BYTES),
+            True,
+        ),
     ],
 )
-def test_reply_is_parsed_and_says_whether_its_connection_is_reusable(text, reply, clean):
+def test_reply_is_parsed_and_says_whether_its_connection_is_reusable(text, reply, is_reusable):
     data = bytearray(text)
-    assert parse_reply(data, 0, len(data), 1 << 20) == (reply, len(data), clean)
+    assert parse_reply(data, 0, len(data), 1 << 20) == (reply, len(data), is_reusable)
     for end in range(0, len(data) - 1, max(1, len(data) // 50)):
-        piece = parse_reply(data, 0, end, 1 << 20)
-        assert piece is None
+        parsed = parse_reply(data, 0, end, 1 << 20)
+        assert parsed is None
 
 
 @pytest.mark.parametrize(
@@ -44,8 +46,8 @@
 
 
 def test_size_of_a_long_reply_is_known_from_its_head_and_only_that_is_reserved():
-    data = bytearray(b"*3\r\n$%d\r\nvv" % MORE)
-    assert [reply_size(data, 0, end) for end in (3, 6, len(data))] == [0, 0, MORE + 15]
-    inbox = ReceiveBuffer(4 * MORE)
-    inbox.reserve(MORE)
-    assert len(inbox.data) == MORE > MAX_BULK
+    data = bytearray(b"*3\r\n$%d\r\nvv" % LONG_VALUE_BYTES)
+    assert [reply_size(data, 0, end) for end in (3, 6, len(data))] == [0, 0, LONG_VALUE_BYTES + 15]
+    inbox = ReceiveBuffer(4 * LONG_VALUE_BYTES)
+    inbox.reserve(LONG_VALUE_BYTES)
+    assert len(inbox.data) == LONG_VALUE_BYTES > MAX_BULK
--- a/tests/placement/test_placement_store.py
+++ b/tests/placement/test_placement_store.py
@@ -1,4 +1,4 @@
-"""The placement store against a stand-in of Redis."""
+"""The placement store against a stand-in for Redis."""
 
 import anyio
 import pytest
@@ -39,23 +39,23 @@
 def test_burst_waits_for_a_free_connection():
     async def check(store, server):
         await store.put("k", Placement(1))
-        got = []
+        placements = []
 
         async def get():
-            got.append(await store.get("k"))
+            placements.append(await store.get("k"))
 
         async with anyio.create_task_group() as group:
             for _ in range(100):
                 group.start_soon(get)
-        assert got == [Placement(1)] * 100 and len(server.connections) <= 16
+        assert placements == [Placement(1)] * 100 and len(server.connections) <= 16
 
     run(check)
 
 
-@pytest.mark.parametrize("what", ["closed", "nonsense"])
-def test_unreadable_store_is_unavailable(what):
+@pytest.mark.parametrize("fault", ["closed", "invalid placement"])
+def test_unreadable_store_is_unavailable(fault):
     async def check(store, server):
-        if what == "closed":
+        if fault == "closed":
             server.close()
         else:
             server.data[b"k"] = b"no place"
--- a/tests/placement/test_stored_placements.py
+++ b/tests/placement/test_stored_placements.py
@@ -1,4 +1,4 @@
-"""Placements of objects and uploads as version 9c33a60 stored them: read, and written back byte for byte."""
+"""Placements in the form that version 9c33a60 stored are read, and written back byte for byte."""
 
 import anyio
 import pytest
@@ -6,7 +6,7 @@
 from runloft.placement.store import Placement, PlacementStore
 from tests.support.lab import Redis
 
-# The key, the text of the record, and what it says; as 9c33a60 wrote them.
+# Key, stored text, placement and whether it is an upload's, as 9c33a60 wrote them.
 OBJECT_KEY = "runloft:object:tracks:a b/é"
 UPLOAD_KEY = "runloft:upload:tracks:0123456789abcdef:a b/é"
 RECORDS = [
@@ -15,7 +15,7 @@
     (OBJECT_KEY, b"0 0", Placement(0, 0), False),
     (UPLOAD_KEY, b"63 -1", Placement(63), True),
 ]
-UPLOAD_MS = 604_800_000
+UPLOAD_TTL_MS = 604_800_000
 
 
 @pytest.mark.parametrize("key, text, placement, is_upload", RECORDS)
@@ -43,8 +43,8 @@
     try:
         anyio.run(main)
         assert keys.data == {key.encode(): text}
-        lasts = {key.encode(): keys.now_ms + UPLOAD_MS} if is_upload else {}
-        assert keys.expires == lasts
+        expires = {key.encode(): keys.now_ms + UPLOAD_TTL_MS} if is_upload else {}
+        assert keys.expires == expires
     finally:
         server.close()
 
--- a/tests/service/test_cli.py
+++ b/tests/service/test_cli.py
@@ -136,19 +136,19 @@
 
 def test_watch_starts_at_the_known_revision_and_is_reopened(served):
     program, node, discovery = served
-    discovery.tell(entry(node.address, state="terminating"))
-    assert b"index=1" in discovery.asked[0]
+    discovery.send_nodes(entry(node.address, state="terminating"))
+    assert b"index=1" in discovery.request_lines[0]
     discovery.watches[0].close()
     discovery.connections[0].shutdown(2)
     with program.connect() as sock:
         sock.sendall(ASK_2.replace(b"d=2000", b"d=0900"))
         assert sock.recv(100).startswith(b"-BUSY ")  # it drains: nothing was sent there
     assert not node.log
-    discovery.tell(entry(node.address, "s-2"))
+    discovery.send_nodes(entry(node.address, "s-2"))
     with program.connect() as sock:
         sock.sendall(ASK)
         assert sock.recv(100).startswith(b"$2\r\n")
-    assert b"index=2" in discovery.asked[1]
+    assert b"index=2" in discovery.request_lines[1]
 
 
 def test_serve_loads_no_module_of_the_tools():
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -83,11 +83,11 @@
         while lines.readline().strip():
             pass
         conn.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + b"a" * 1000)
-        server.held.wait(10)
+        server.may_respond.wait(10)
         if cut:
             conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
 
-    server.held.clear()
+    server.may_respond.clear()
     server.serve = serve
     for conn in server.connections:
         conn.shutdown(socket.SHUT_RDWR)
@@ -96,7 +96,7 @@
         got = b""
         while b"a" * 1000 not in got:
             got += sock.recv(65536)
-        server.held.set()
+        server.may_respond.set()
         while data := sock.recv(65536):
             got += data
             if not cut and got.endswith(b"0\r\n\r\n"):
--- a/tests/service/test_signals.py
+++ b/tests/service/test_signals.py
@@ -71,7 +71,7 @@
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGCONT)
             assert sock.recv(100) == OK
-            until(lambda: moved.asked)
+            until(lambda: moved.request_lines)
         assert program.process.wait(15) == 0
     finally:
         program.close()
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what runloft talks with, from the public specifications; each is a thread."""
+"""Stand-ins for runloft's peers, each in a thread, from the public specifications; and runloft's process."""
 
 import contextlib
 import json
@@ -12,15 +12,16 @@
 import threading
 import time
 
+# Name, latency objective and deadline in milliseconds, and whether the class writes.
 CLASSES = [("position-read", 400, 2500, False), ("report-write", 600, 5000, True)]
 MS = 1_000_000
 
 
 class Listener:
-    """A listening stand-in; each connection is served in a thread of its own."""
+    """A listening stand-in that serves each connection in its own thread."""
 
-    def __init__(self, where=("127.0.0.1", 0)):
-        self.sock = socket.create_server(where)
+    def __init__(self, bind_address=("127.0.0.1", 0)):
+        self.sock = socket.create_server(bind_address)
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
         self.connections = []
         threading.Thread(target=self._accept, daemon=True).start()
@@ -32,9 +33,9 @@
             except OSError:
                 return
             self.connections.append(conn)
-            threading.Thread(target=self._guarded, args=(conn,), daemon=True).start()
+            threading.Thread(target=self._serve_connection, args=(conn,), daemon=True).start()
 
-    def _guarded(self, conn):
+    def _serve_connection(self, conn):
         try:
             with conn, conn.makefile("rb") as lines:
                 self.serve(conn, lines)
@@ -43,34 +44,34 @@
 
     def close(self):
         with contextlib.suppress(OSError):
-            self.sock.shutdown(socket.SHUT_RDWR)  # wakes the thread that accepts
+            self.sock.shutdown(socket.SHUT_RDWR)  # wakes the accepting thread
         self.sock.close()
         for conn in self.connections:
             with contextlib.suppress(OSError):
                 conn.shutdown(socket.SHUT_RDWR)
 
 
-def words_of(lines):
-    """Read a RESP2 command."""
+def read_words(lines):
+    """Read a RESP2 command and return its words."""
     head = lines.readline()
     if not head:
-        raise OSError("closed")
-    out = []
+        raise OSError("connection closed")
+    words = []
     for _ in range(int(head[1:])):
         size = int(lines.readline()[1:])
-        out.append(lines.read(size + 2)[:-2])
-    return out
+        words.append(lines.read(size + 2)[:-2])
+    return words
 
 
 class Discovery(Listener):
-    """The agent: a watch to which tests add lines."""
+    """A discovery agent; tests send node lists on its watches."""
 
-    def __init__(self, where=("127.0.0.1", 0)):
-        self.rev, self.watches, self.asked = 1, [], []
-        super().__init__(where)
+    def __init__(self, bind_address=("127.0.0.1", 0)):
+        self.rev, self.watches, self.request_lines = 1, [], []
+        super().__init__(bind_address)
 
     def serve(self, conn, lines):
-        self.asked.append(lines.readline())
+        self.request_lines.append(lines.readline())
         while lines.readline().strip():
             pass
         conn.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -78,7 +79,7 @@
         while lines.readline():
             pass
 
-    def tell(self, *targets, full=False, indent=None):
+    def send_nodes(self, *targets, full=False, indent=None):
         self.rev += 1
         line = json.dumps({"rev": self.rev, "all": full, "targets": targets}, indent=indent).encode() + b"\n"
         until(lambda: self.watches)
@@ -86,12 +87,12 @@
 
 
 class ObjectServer(Listener):
-    """Keeps objects and assembles uploads, in S3's terms."""
+    """An object server with S3's operations on objects and multipart uploads."""
 
     def __init__(self, delay=0.0, lock=None):
         self.objects, self.uploads, self.log = {}, {}, []
-        self.delay, self.lock, self.held = delay, lock or threading.Lock(), threading.Event()
-        self.held.set()
+        self.delay, self.lock, self.may_respond = delay, lock or threading.Lock(), threading.Event()
+        self.may_respond.set()
         super().__init__()
 
     def serve(self, conn, lines):
@@ -102,16 +103,16 @@
                 name, _, value = line.partition(b":")
                 headers[name.lower()] = value.strip()
             body = lines.read(int(headers.get(b"content-length", 0)))
-            self.held.wait(20)
+            self.may_respond.wait(20)
             with self.lock:
                 time.sleep(self.delay)
                 self.log.append((time.time(), method.decode(), target.decode()))
-                status, extra, out = self.act(method.decode(), target.decode(), headers, body)
-            head = [b"HTTP/1.1 %d X" % status, b"Content-Length: %d" % len(out)]
-            head += [f"{n}: {v}".encode() for n, v in extra.items()]
-            conn.sendall(b"\r\n".join(head) + b"\r\n\r\n" + (b"" if method == b"HEAD" else out))
+                status, extra_headers, content = self.handle(method.decode(), target.decode(), headers, body)
+            head = [b"HTTP/1.1 %d X" % status, b"Content-Length: %d" % len(content)]
+            head += [f"{n}: {v}".encode() for n, v in extra_headers.items()]
+            conn.sendall(b"\r\n".join(head) + b"\r\n\r\n" + (b"" if method == b"HEAD" else content))
 
-    def act(self, method, target, headers, body):
+    def handle(self, method, target, headers, body):
         path, _, query = target.partition("?")
         upload = (re.search(r"uploadId=(\w+)", query) or [None, None])[1]
         if upload and method == "POST" and "uploads" in query:
@@ -141,20 +142,20 @@
         if method == "DELETE":
             del self.objects[path]
             return 204, {}, b""
-        wanted = re.fullmatch(rb"bytes=(\d*)-(\d*)", headers.get(b"range", b""))
-        if wanted and headers.get(b"if-range", b'"e1"') == b'"e1"':
-            first, last = wanted[1], wanted[2]
+        byte_range = re.fullmatch(rb"bytes=(\d*)-(\d*)", headers.get(b"range", b""))
+        if byte_range and headers.get(b"if-range", b'"e1"') == b'"e1"':
+            first, last = byte_range[1], byte_range[2]
             start = int(first) if first else max(0, len(data) - int(last))
             stop = min(int(last) + 1 if first and last else len(data), len(data))
             if start >= stop:
                 return 416, {"Content-Range": f"bytes */{len(data)}"}, b""
-            span = f"bytes {start}-{stop - 1}/{len(data)}"
-            return 206, {"ETag": '"e1"', "Content-Range": span}, data[start:stop]
+            content_range = f"bytes {start}-{stop - 1}/{len(data)}"
+            return 206, {"ETag": '"e1"', "Content-Range": content_range}, data[start:stop]
         return 200, {"ETag": '"e1"', "Accept-Ranges": "bytes"}, data
 
 
 class RespNode(Listener):
-    """A storage node that serves at once, one at a time."""
+    """A storage node that serves one request at a time, each after ``delay`` seconds."""
 
     def __init__(self, delay=0.0, lock=None):
         self.log, self.delay, self.lock = [], delay, lock or threading.Lock()
@@ -162,7 +163,7 @@
 
     def serve(self, conn, lines):
         while True:
-            words = words_of(lines)
+            words = read_words(lines)
             with self.lock:
                 time.sleep(self.delay)
                 self.log.append((time.time(), words[2]))
@@ -184,9 +185,9 @@
 
 def settings(**extra):
     classes = [
-        {"Name": n, "Target": aim * MS, "HardLimit": d * MS, "Effect": "retryable", "Group": "all"}
+        {"Name": n, "Target": target * MS, "HardLimit": d * MS, "Effect": "retryable", "Group": "all"}
         | {"Importance": 2.0, "LateValue": 0.1}
-        for n, aim, d, _ in CLASSES
+        for n, target, d, _ in CLASSES
     ]
     return {
         "Classes": classes,
@@ -233,7 +234,7 @@
 
 
 class Program:
-    """runloft as the platform starts it."""
+    """A runloft process, started as the platform starts it."""
 
     def __init__(self, raw, path, env=None, descriptors=None, verbose=False):
         self.path = path
@@ -242,7 +243,7 @@
         self.process = subprocess.Popen(
             command, stderr=subprocess.PIPE, text=True, env=os.environ | {"ROUTER_CONFIG": str(path)}
         )
-        if descriptors:  # as the platform limits them
+        if descriptors:  # the platform's limit
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
         self.ports, self.log = {}, []
         for line in self.process.stderr:
@@ -278,15 +279,15 @@
 
 
 def reset(sock):
-    """Close with a reset in place of an end."""
+    """Close the connection with a reset (SO_LINGER with a timeout of 0)."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     sock.close()
 
 
 def until(check, seconds=8.0):
-    """Wait for something that must become true."""
-    end = time.monotonic() + seconds
-    while not (got := check()):
-        assert time.monotonic() < end, "it did not come true"
+    """Wait until ``check()`` is true and return its value; fail after ``seconds``."""
+    ends_at = time.monotonic() + seconds
+    while not (value := check()):
+        assert time.monotonic() < ends_at, f"condition not met within {seconds} s"
         time.sleep(0.005)
-    return got
+    return value
--- a/tests/support/upstream_scene.py
+++ b/tests/support/upstream_scene.py
@@ -1,4 +1,4 @@
-"""Core, runner and connection pool with a node on a real socket and a clock that the test moves."""
+"""Core, runner and connection pool with a node on a real socket and a clock controlled by the test."""
 
 import socket
 
@@ -25,7 +25,7 @@
 
 ID = b"9b1f03aa5c7e2d41"
 
-OTHER = b"9b1f03aa5c7e2d42"
+OTHER_ID = b"9b1f03aa5c7e2d42"
 
 BUSY = b"-BUSY\r\n"
 
@@ -45,15 +45,15 @@
 
 
 async def until(check):
-    """Let the tasks run until something has become true."""
+    """Run the tasks until ``check()`` is true and return its value."""
     with anyio.fail_after(10):
         while not (got := check()):
             await anyio.sleep(0.001)
     return got
 
 
-class Scene:
-    """Core, runner and pool; a connection is established only once ``may_connect`` is set."""
+class UpstreamHarness:
+    """Core, runner and pool; connects wait until ``may_connect`` is set."""
 
     def __init__(self, monkeypatch, group, **extra):
         self.now = 100 * SECOND
@@ -83,20 +83,21 @@
         monkeypatch.setattr(connection, "connect", delayed_connect)
         self.update_node()
 
-    def update_node(self, kind=ListKind.FULL, **more):
-        node = NodeUpdate(**{"uid": "s-1", "endpoint": self.node_address, "shard": 0} | more)
+    def update_node(self, kind=ListKind.FULL, **fields):
+        node = NodeUpdate(**{"uid": "s-1", "endpoint": self.node_address, "shard": 0} | fields)
         self.runner.post(NodeListUpdate(kind, (node,)))
         self.runner.process_events()
 
-    def receive_request(self, deadline=2000, id_=ID, *body):
+    def receive_request(self, deadline_ms=2000, id_=ID, *body):
         sink = ResponseSink()
         payload = RespPayload((b"IO.IN", b"7f3a9c21e0b4d655", id_, *body), b"d=", b"")
-        self.runner.post(RequestReceived(sink, RequestSpec(0, 0, 1, 1.0, deadline * MS, 0, payload, id=id_)))
+        spec = RequestSpec(0, 0, 1, 1.0, deadline_ms * MS, 0, payload, id=id_)
+        self.runner.post(RequestReceived(sink, spec))
         self.runner.process_events()
         return sink
 
-    def process_events(self, after=0):
-        self.now += after * MS
+    def process_events(self, after_ms=0):
+        self.now += after_ms * MS
         self.runner.process_events()
 
     async def accept_at_node(self):
@@ -112,19 +113,19 @@
         self.listener.close()
 
 
-def play(monkeypatch, story, **extra):
+def run_scenario(monkeypatch, scenario, **extra):
     async def run():
         async with anyio.create_task_group() as group:
-            scene = Scene(monkeypatch, group, **extra)
+            harness = UpstreamHarness(monkeypatch, group, **extra)
             try:
-                await story(scene)
+                await scenario(harness)
             finally:
-                scene.close()
+                harness.close()
             group.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-LIMITS = {"Limits": settings()["Limits"] | {"Cancel": False}}
+NO_CANCELLATION = {"Limits": settings()["Limits"] | {"Cancel": False}}
 
 NOT_IDEMPOTENT = {"Classes": [c | {"Effect": "fragile"} for c in settings()["Classes"]]}
--- a/tests/support/watch_agent.py
+++ b/tests/support/watch_agent.py
@@ -1,4 +1,4 @@
-"""A discovery agent on a real socket, and a watch of it by a clock that the test moves."""
+"""A discovery agent on a real socket, and a watch on it with a clock controlled by the test."""
 
 import contextlib
 import json
@@ -11,7 +11,7 @@
 
 
 class Agent:
-    """Discovery on a real socket, its calls noted by the clock that the test moves."""
+    """A discovery agent on a real socket that records the time and target of each call."""
 
     def __init__(self):
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -21,7 +21,7 @@
         self.clients = []
         self.answer = b""
 
-    def look(self, now):
+    def poll(self, now):
         try:
             client, _ = self.sock.accept()
         except BlockingIOError:
@@ -36,19 +36,19 @@
             sock.close()
 
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-LINE = json.dumps({"rev": 42, "all": False, "targets": []}).encode() + b"\n"
+EMPTY_DELTA = json.dumps({"rev": 42, "all": False, "targets": []}).encode() + b"\n"
 
-EMPTY = b"1\r\n\n\r\n"
+EMPTY_LINE_CHUNK = b"1\r\n\n\r\n"
 
-NOTIFIED_AFTER_S = 6.0  # PROTOCOL: from then on what is missed counts as notified
-DRAIN_GRACE_S = 1.0  # STANDING: for so long requests may be sent to a node that drains
+NOTIFIED_AFTER_S = 6.0  # time after which a missed change counts as notified, by the protocol
+DRAIN_GRACE_S = 1.0  # time for which requests may still be sent to a draining node
 SLOW_CALL_S = 2.0
 
 
-def watched(agents, seconds, polled=False, then=lambda now, watch: None):
-    """Let a watch run by a clock of its own, in steps of 10 ms."""
+def run_watch(agents, seconds, polled=False, on_step=lambda now, watch: None):
+    """Run a watch with its own clock in steps of 10 ms; return the events that it posted."""
 
     async def run():
         now, deadlines, posted = 0.0, TimerQueue(), []
@@ -60,11 +60,11 @@
                     await anyio.sleep(0)
                 await anyio.sleep(0.0003)
                 for agent in agents:
-                    agent.look(now)
-                then(now, watch)
+                    agent.poll(now)
+                on_step(now, watch)
                 now += 0.01
-                for item in deadlines.pop_due(int(now * 1e9)):
-                    item()
+                for callback in deadlines.pop_due(int(now * 1e9)):
+                    callback()
             group.cancel_scope.cancel()
         return posted
 
@@ -76,20 +76,20 @@
 
 
 class SlowAgent(Agent):
-    """Answers each call so much later; a crowded one takes the next call only then."""
+    """Answers each call after ``delay`` seconds; if ``sequential``, it accepts the next call only then."""
 
-    def __init__(self, delay, crowded=False):
+    def __init__(self, delay, sequential=False):
         super().__init__()
-        self.delay, self.crowded, self.due, self.free_at = delay, crowded, [], 0.0
+        self.delay, self.sequential, self.pending, self.free_at = delay, sequential, [], 0.0
 
-    def look(self, now):
-        if not self.crowded or now >= self.free_at:
+    def poll(self, now):
+        if not self.sequential or now >= self.free_at:
             before = len(self.clients)
-            super().look(now)
+            super().poll(now)
             if len(self.clients) > before:
                 self.free_at = now + self.delay
-                self.due.append((self.free_at, self.clients[-1]))
-        while self.due and self.due[0][0] <= now:
-            _, client = self.due.pop(0)
+                self.pending.append((self.free_at, self.clients[-1]))
+        while self.pending and self.pending[0][0] <= now:
+            _, client = self.pending.pop(0)
             with contextlib.suppress(OSError):
-                client.sendall(HEAD + b"%x\r\n%s\r\n" % (len(LINE), LINE))
+                client.sendall(RESPONSE_HEAD + b"%x\r\n%s\r\n" % (len(EMPTY_DELTA), EMPTY_DELTA))
--- a/tests/upstream/test_connect_failures.py
+++ b/tests/upstream/test_connect_failures.py
@@ -1,4 +1,4 @@
-"""What a connection that can't be established means for its attempt and its node."""
+"""Effects of a failed connect on the attempt and on the node's state."""
 
 import errno
 
@@ -15,79 +15,79 @@
 from tests.support.upstream_scene import (
     BUSY,
     ID,
-    play,
+    run_scenario,
     until,
 )
 
 
 def test_connect_timeout_reports_that_nothing_was_executed(monkeypatch):
-    """One in fifty on the long day, others up to 1.5 s late: by those nothing of the request may leave."""
+    """If the connect completes after its timeout, no byte of the request may be sent on that connection."""
 
-    async def story(scene):
-        scene.receive_request()
+    async def scenario(harness):
+        harness.receive_request()
         await anyio.wait_all_tasks_blocked()
-        scene.process_events(240)
-        assert len(scene.pool.open) == 1 and not scene.runner.events
-        scene.process_events(20)
-        await until(lambda: scene.runner.events)
-        assert scene.runner.events[0].outcome is AttemptOutcome.CONNECT_FAILED
-        assert not scene.pool.open and not scene.pool.in_flight
-        scene.process_events()
-        scene.process_events(100)
-        assert [attempt.request.attempt_count for attempt in scene.core.attempts.values()] == [2]
-        scene.may_connect.set()  # late
-        conn = await scene.accept_at_node()
-        assert ID in await scene.read_at_node(conn)
-        scene.listener.setblocking(False)
+        harness.process_events(240)
+        assert len(harness.pool.open) == 1 and not harness.runner.events
+        harness.process_events(20)
+        await until(lambda: harness.runner.events)
+        assert harness.runner.events[0].outcome is AttemptOutcome.CONNECT_FAILED
+        assert not harness.pool.open and not harness.pool.in_flight
+        harness.process_events()
+        harness.process_events(100)
+        assert [attempt.request.attempt_count for attempt in harness.core.attempts.values()] == [2]
+        harness.may_connect.set()  # after the timeout
+        conn = await harness.accept_at_node()
+        assert ID in await harness.read_at_node(conn)
+        harness.listener.setblocking(False)
         with pytest.raises(BlockingIOError):
-            scene.listener.accept()
+            harness.listener.accept()
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("number", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EAGAIN])
 def test_local_connect_error_does_not_count_against_the_node(monkeypatch, number):
-    """All nodes at once were taken for refusing: their presumed slow start cost 114 of 5,556 requests."""
-
-    async def story(scene):
-        real, left = connection.connect, [2]
-
-        async def failing(sock, where):
-            if left[0]:
-                left[0] -= 1
-                raise OSError(number, "for a moment")
-            await real(sock, where)
-
-        monkeypatch.setattr(connection, "connect", failing)
-        scene.may_connect.set()
-        sink = scene.receive_request()
-        for tries in (1, 2):
-            await until(lambda tries=tries: left[0] == 2 - tries and scene.pool.waiting)
-            assert scene.core.attempts and not scene.pool.open
-            scene.process_events(LOCAL_ERROR_RETRY_NS // MS)
-        conn = await scene.accept_at_node()
-        assert await scene.read_at_node(conn)
-        node = scene.core.scheduler.nodes[1]
+    """All nodes were taken for unreachable; the slow start assumed for them cost 114 of 5,556 requests."""
+
+    async def scenario(harness):
+        real_connect, failures_left = connection.connect, [2]
+
+        async def failing_connect(sock, peer):
+            if failures_left[0]:
+                failures_left[0] -= 1
+                raise OSError(number, "temporary local error")
+            await real_connect(sock, peer)
+
+        monkeypatch.setattr(connection, "connect", failing_connect)
+        harness.may_connect.set()
+        sink = harness.receive_request()
+        for attempt in (1, 2):
+            await until(lambda attempt=attempt: failures_left[0] == 2 - attempt and harness.pool.waiting)
+            assert harness.core.attempts and not harness.pool.open
+            harness.process_events(LOCAL_ERROR_RETRY_NS // MS)
+        conn = await harness.accept_at_node()
+        assert await harness.read_at_node(conn)
+        node = harness.core.scheduler.nodes[1]
         assert not (node.slow_start.unreachable_at or node.slow_start.connect_failing_since)
         assert not (node.outlier.error_rate or node.backoff.until)
         conn.sendall(BUSY)
-        await until(lambda: scene.runner.events)
-        scene.process_events()
-        assert not sink.replies  # one attempt of three is used
+        await until(lambda: harness.runner.events)
+        harness.process_events()
+        assert not sink.replies  # only one of three attempts is used
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
 def test_attempt_waiting_after_a_local_error_ends_when_its_client_disconnects(monkeypatch):
-    async def story(scene):
-        async def failing(sock, where):
-            raise OSError(errno.EADDRNOTAVAIL, "for good")
-
-        monkeypatch.setattr(connection, "connect", failing)
-        sink = scene.receive_request()
-        await until(lambda: scene.pool.waiting)
-        scene.runner.post(ClientDisconnected(sink))
-        scene.process_events()
-        assert not (scene.pool.waiting or scene.pool.open or scene.core.attempts)
-
-    play(monkeypatch, story)
+    async def scenario(harness):
+        async def failing_connect(sock, peer):
+            raise OSError(errno.EADDRNOTAVAIL, "permanent local error")
+
+        monkeypatch.setattr(connection, "connect", failing_connect)
+        sink = harness.receive_request()
+        await until(lambda: harness.pool.waiting)
+        harness.runner.post(ClientDisconnected(sink))
+        harness.process_events()
+        assert not (harness.pool.waiting or harness.pool.open or harness.core.attempts)
+
+    run_scenario(monkeypatch, scenario)
--- a/tests/upstream/test_connection_reuse.py
+++ b/tests/upstream/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Which connections are reused, and that none is leaked."""
+"""Reuse of connections, and no leaks of connections or attempts."""
 
 import contextlib
 import socket
@@ -17,122 +17,127 @@
 from tests.support.upstream_scene import (
     BUSY,
     ID,
-    OTHER,
+    OTHER_ID,
     VALUE,
     ResponseSink,
-    play,
+    run_scenario,
     until,
 )
 
 
 def test_connection_with_unsent_bytes_of_a_request_is_not_reused(monkeypatch):
-    """A node that answers before it has read all: what follows on the connection would answer the rest."""
+    """If a node replies before it has read the whole request, its next reply may belong to the remainder."""
 
-    async def story(scene):
-        scene.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        scene.may_connect.set()
-        body = b"x" * (8 << 20)  # more than the system takes before the node reads
+    async def scenario(harness):
+        harness.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        harness.may_connect.set()
+        body = b"x" * (8 << 20)  # exceeds the socket buffers
         payload = RespPayload((b"IO.OUT", b"7f3a9c21e0b4d655", ID, body), b"d=", b"")
-        scene.runner.post(
+        harness.runner.post(
             RequestReceived(ResponseSink(), RequestSpec(0, 0, 1, 1.0, 2000 * MS, 0, payload, id=ID))
         )
-        scene.process_events()
-        conn = await scene.accept_at_node()
-        carrier = next(iter(scene.pool.open))
-        await until(lambda: carrier.writer.is_waiting)
+        harness.process_events()
+        conn = await harness.accept_at_node()
+        upstream = next(iter(harness.pool.open))
+        await until(lambda: upstream.writer.is_waiting)
         conn.sendall(BUSY)
-        await until(lambda: scene.runner.events)
-        assert not scene.pool.idle and carrier.closed
+        await until(lambda: harness.runner.events)
+        assert not harness.pool.idle and upstream.closed
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
 UNEXPECTED_INPUT = {
-    "half a line": lambda conn: conn.sendall(VALUE[:7]),
-    "a second answer": lambda conn: conn.sendall(VALUE),
-    "its end": lambda conn: conn.close(),
+    "an incomplete reply": lambda conn: conn.sendall(VALUE[:7]),
+    "a second reply": lambda conn: conn.sendall(VALUE),
+    "end of stream": lambda conn: conn.close(),
     "a reset": reset,
 }
 
 
-@pytest.mark.parametrize("came", UNEXPECTED_INPUT)
-@pytest.mark.parametrize("rested", [0, 100])
-def test_unexpected_bytes_on_an_idle_connection_affect_no_request(monkeypatch, came, rested):
-    """Not read yet when the next attempt is handed over: that one leaves on another connection, and whole.
+@pytest.mark.parametrize("unexpected", UNEXPECTED_INPUT)
+@pytest.mark.parametrize("idle_ms", [0, 100])
+def test_unexpected_bytes_on_an_idle_connection_affect_no_request(monkeypatch, unexpected, idle_ms):
+    """If unexpected input is unread when the next attempt starts, that attempt uses another connection.
 
-    Just behind an answer the connection is given a rest first: what a node adds may be on its way still.
+    Just after a reply, the attempt waits until unexpected bytes would have arrived.
     """
 
-    async def story(scene):
-        scene.may_connect.set()
-        scene.receive_request()
-        first = await scene.accept_at_node()
-        assert ID in await scene.read_at_node(first)
+    async def scenario(harness):
+        harness.may_connect.set()
+        harness.receive_request()
+        first = await harness.accept_at_node()
+        assert ID in await harness.read_at_node(first)
         first.sendall(VALUE)
-        await until(lambda: scene.runner.events)
-        scene.process_events()
-        scene.process_events(rested)
-        if rested:
-            UNEXPECTED_INPUT[came](first)
-            sink = scene.receive_request(id_=OTHER)
+        await until(lambda: harness.runner.events)
+        harness.process_events()
+        harness.process_events(idle_ms)
+        if idle_ms:
+            UNEXPECTED_INPUT[unexpected](first)
+            sink = harness.receive_request(id_=OTHER_ID)
         else:
-            sink = scene.receive_request(id_=OTHER)
-            UNEXPECTED_INPUT[came](first)
-            assert scene.pool.waiting
-            scene.process_events(4)
-        second = await scene.accept_at_node()
-        assert OTHER in await scene.read_at_node(second)
+            sink = harness.receive_request(id_=OTHER_ID)
+            UNEXPECTED_INPUT[unexpected](first)
+            assert harness.pool.waiting
+            harness.process_events(4)
+        second = await harness.accept_at_node()
+        assert OTHER_ID in await harness.read_at_node(second)
         second.sendall(VALUE)
-        await until(lambda: scene.runner.events)
-        scene.process_events()
+        await until(lambda: harness.runner.events)
+        harness.process_events()
         assert [reply.value for reply in sink.replies] == [b"ok"]
-        assert len(scene.pool.open) == 1
+        assert len(harness.pool.open) == 1
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
 def test_replies_resets_and_disconnects_leak_nothing(monkeypatch):
-    """45 minutes of it are the long day: answers, resets, silence, clients that leave, late connections."""
-    answers = (
+    """Replies, resets, silent nodes, client disconnects and late connects leave no state behind."""
+    node_actions = (
         lambda conn: conn.sendall(VALUE),
         reset,
         lambda conn: None,
         lambda conn: conn.sendall(VALUE[:9]),
     )
 
-    async def story(scene):
-        scene.listener.setblocking(False)
-        connections, askers = [], []
+    async def scenario(harness):
+        harness.listener.setblocking(False)
+        connections, sinks = [], []
 
-        def look():
+        def poll_node():
             with contextlib.suppress(BlockingIOError):
-                connections.append(scene.listener.accept()[0])
+                connections.append(harness.listener.accept()[0])
                 connections[-1].setblocking(False)
             for number, conn in enumerate(connections):
-                with contextlib.suppress(OSError):  # nothing there, or reset here or by the program
+                with contextlib.suppress(OSError):  # nothing to read, or reset by either side
                     if conn.recv(4096):
-                        answers[number % len(answers)](conn)
+                        node_actions[number % len(node_actions)](conn)
 
         for number in range(80):
             if number % 10 == 0:
-                scene.may_connect = anyio.Event()
-            askers.append(scene.receive_request(400, b"%016x" % number))
+                harness.may_connect = anyio.Event()
+            sinks.append(harness.receive_request(400, b"%016x" % number))
             if number % 7 == 0:
-                scene.runner.post(ClientDisconnected(askers[-1]))
+                harness.runner.post(ClientDisconnected(sinks[-1]))
             for _ in range(10):
                 await anyio.sleep(0)
-                look()
-                scene.process_events(4)
+                poll_node()
+                harness.process_events(4)
             if number % 10 == 6:
-                scene.may_connect.set()
-        assert len(connections) > len(answers) and len({type(r) for a in askers for r in a.replies}) > 1
+                harness.may_connect.set()
+        assert (
+            len(connections) > len(node_actions)
+            and len({type(r) for sink in sinks for r in sink.replies}) > 1
+        )
         for _ in range(4):
             await anyio.wait_all_tasks_blocked()
-            scene.process_events(8000)
-        assert not (scene.core.requests or scene.core.attempts or scene.core.by_sink or scene.runner.events)
-        assert not (scene.pool.open or scene.pool.in_flight or scene.pool.idle or scene.pool.waiting)
-        assert not scene.core.scheduler.requests and not len(scene.runner.timers)
+            harness.process_events(8000)
+        assert not (
+            harness.core.requests or harness.core.attempts or harness.core.by_sink or harness.runner.events
+        )
+        assert not (harness.pool.open or harness.pool.in_flight or harness.pool.idle or harness.pool.waiting)
+        assert not harness.core.scheduler.requests and not len(harness.runner.timers)
         for conn in connections:
             conn.close()
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
--- a/tests/upstream/test_errors.py
+++ b/tests/upstream/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors of upstream connections and of discovery name the peer."""
+"""Base classes and attributes of network errors."""
 
 import errno
 
--- a/tests/upstream/test_first_byte.py
+++ b/tests/upstream/test_first_byte.py
@@ -1,4 +1,4 @@
-"""Whether an attempt's first byte may leave, checked when its connection is ready."""
+"""The check whether an attempt may be sent, made when its connection is ready."""
 
 import anyio
 import pytest
@@ -11,148 +11,150 @@
 from runloft.decisions.contract import ListKind, NodeState
 from tests.support.driver import MS
 from tests.support.standins import reset, settings
-from tests.support.upstream_scene import BUSY, ID, LIMITS, play, until
-
-CROSSINGS = {
-    "its client leaves": lambda scene, sink: scene.runner.post(ClientDisconnected(sink)),
-    "its node is to drain": lambda scene, _: scene.update_node(ListKind.DELTA, state=NodeState.DRAINING),
-    "its node is gone": lambda scene, _: scene.update_node(uid="s-2", endpoint="127.0.0.1:1"),
-    "its node starts anew": lambda scene, _: scene.update_node(ListKind.DELTA, started_ns=scene.now),
-    "its node moves": lambda scene, _: scene.update_node(ListKind.DELTA, endpoint="127.0.0.1:1"),
+from tests.support.upstream_scene import BUSY, ID, NO_CANCELLATION, run_scenario, until
+
+CHANGES_BEFORE_CONNECT = {
+    "client disconnects": lambda harness, sink: harness.runner.post(ClientDisconnected(sink)),
+    "node drains": lambda harness, _: harness.update_node(ListKind.DELTA, state=NodeState.DRAINING),
+    "node is removed": lambda harness, _: harness.update_node(uid="s-2", endpoint="127.0.0.1:1"),
+    "node restarts": lambda harness, _: harness.update_node(ListKind.DELTA, started_ns=harness.now),
+    "node's endpoint changes": lambda harness, _: harness.update_node(ListKind.DELTA, endpoint="127.0.0.1:1"),
 }
 
 
-@pytest.mark.parametrize("crossing", CROSSINGS)
-def test_attempt_is_withdrawn_if_its_connection_is_established_too_late(monkeypatch, crossing):
-    """What was decided at the hand-over went out up to a connect time-out later, whatever came between."""
+@pytest.mark.parametrize("change", CHANGES_BEFORE_CONNECT)
+def test_attempt_is_withdrawn_if_its_connection_is_established_too_late(monkeypatch, change):
+    """An attempt was sent up to a connect timeout after its dispatch, whatever had changed meanwhile."""
 
-    async def story(scene):
-        sink = scene.receive_request()
-        assert scene.core.attempts
-        CROSSINGS[crossing](scene, sink)
-        scene.process_events(100)
-        scene.may_connect.set()
-        conn = await scene.accept_at_node()
-        await until(lambda: scene.runner.events)  # the attempt is recalled
-        scene.process_events()
+    async def scenario(harness):
+        sink = harness.receive_request()
+        assert harness.core.attempts
+        CHANGES_BEFORE_CONNECT[change](harness, sink)
+        harness.process_events(100)
+        harness.may_connect.set()
+        conn = await harness.accept_at_node()
+        await until(lambda: harness.runner.events)  # the attempt is withdrawn
+        harness.process_events()
         conn.setblocking(False)
         with pytest.raises(BlockingIOError):
             conn.recv(1)
-        assert 1 not in scene.core.attempts and 1 not in scene.pool.in_flight
-        # Nothing of it says anything of the node, and what is still wanted is asked again or waits.
-        node = next(iter(scene.core.scheduler.nodes.values()))
+        assert 1 not in harness.core.attempts and 1 not in harness.pool.in_flight
+        # A withdrawn attempt does not count against the node; the request remains unless its client left.
+        node = next(iter(harness.core.scheduler.nodes.values()))
         assert node.outlier.error_rate == 0 and not node.slow_start.connect_failing_since
-        assert ("leaves" in crossing) == (not scene.core.requests) and not sink.replies
+        assert ("client" in change) == (not harness.core.requests) and not sink.replies
 
-    play(monkeypatch, story, **LIMITS)
+    run_scenario(monkeypatch, scenario, **NO_CANCELLATION)
 
 
 def test_attempt_carries_the_time_for_which_its_client_still_waits(monkeypatch):
-    async def story(scene):
-        scene.receive_request(2000)
-        scene.process_events(150)
-        scene.may_connect.set()
-        conn = await scene.accept_at_node()
-        assert b"d=1850" in await scene.read_at_node(conn)
+    async def scenario(harness):
+        harness.receive_request(2000)
+        harness.process_events(150)
+        harness.may_connect.set()
+        conn = await harness.accept_at_node()
+        assert b"d=1850" in await harness.read_at_node(conn)
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
-@pytest.mark.parametrize("after, leaves", [(100, True), (460, False)])
-def test_retry_is_withdrawn_after_the_idempotency_window(monkeypatch, after, leaves):
-    """A keyed request that may have run: its repeat counts where it leaves, not where it was decided."""
+@pytest.mark.parametrize("delay_ms, is_sent", [(100, True), (460, False)])
+def test_retry_is_withdrawn_after_the_idempotency_window(monkeypatch, delay_ms, is_sent):
+    """A keyed request that may have run is retried only if the retry is sent within the window."""
     classes = [c | {"Effect": "dedup", "Window": 500 * MS} for c in settings()["Classes"]]
     limits = settings()["Limits"] | {"ConnectTimeout": 1000 * MS}
 
-    async def story(scene):
-        scene.receive_request()
-        scene.may_connect.set()
-        first = await scene.accept_at_node()
-        assert ID in await scene.read_at_node(first)
-        scene.may_connect = anyio.Event()
-        reset(first)  # it may have run
-        await until(lambda: scene.runner.events)
-        scene.process_events(50)
-        assert len(scene.core.attempts) == 1  # the repeat, while its connection comes up
-        scene.process_events(after)
-        scene.may_connect.set()
-        second = await scene.accept_at_node()
-        if leaves:
-            assert ID in await scene.read_at_node(second)
+    async def scenario(harness):
+        harness.receive_request()
+        harness.may_connect.set()
+        first = await harness.accept_at_node()
+        assert ID in await harness.read_at_node(first)
+        harness.may_connect = anyio.Event()
+        reset(first)  # the request may have run
+        await until(lambda: harness.runner.events)
+        harness.process_events(50)
+        assert len(harness.core.attempts) == 1  # the retry, which waits for its connection
+        harness.process_events(delay_ms)
+        harness.may_connect.set()
+        second = await harness.accept_at_node()
+        if is_sent:
+            assert ID in await harness.read_at_node(second)
         else:
-            await until(lambda: scene.runner.events)
+            await until(lambda: harness.runner.events)
             second.setblocking(False)
             with pytest.raises(BlockingIOError):
                 second.recv(1)
 
-    play(monkeypatch, story, Classes=classes, Limits=limits)
+    run_scenario(monkeypatch, scenario, Classes=classes, Limits=limits)
 
 
 def test_attempt_waiting_for_a_descriptor_is_dropped_when_its_client_disconnects(monkeypatch):
-    """It is asked about again before it takes one."""
+    """An attempt is checked again before a connection is opened for it."""
 
-    async def story(scene):
-        scene.pool.max_connections = 0
-        sink = scene.receive_request()
-        assert scene.pool.waiting
-        scene.pool.max_connections = 8
-        scene.runner.post(ClientDisconnected(sink))
-        scene.process_events()
-        scene.process_events(10)
-        assert not scene.pool.waiting and not scene.pool.open
+    async def scenario(harness):
+        harness.pool.max_connections = 0
+        sink = harness.receive_request()
+        assert harness.pool.waiting
+        harness.pool.max_connections = 8
+        harness.runner.post(ClientDisconnected(sink))
+        harness.process_events()
+        harness.process_events(10)
+        assert not harness.pool.waiting and not harness.pool.open
 
-    play(monkeypatch, story, **LIMITS)
+    run_scenario(monkeypatch, scenario, **NO_CANCELLATION)
 
 
 def test_retry_carries_only_the_time_left_to_its_client(monkeypatch):
-    async def story(scene):
-        scene.may_connect.set()
-        scene.receive_request(2000)
-        first = await scene.accept_at_node()
-        assert b"d=2000" in await scene.read_at_node(first)
-        scene.now += 700 * MS
+    async def scenario(harness):
+        harness.may_connect.set()
+        harness.receive_request(2000)
+        first = await harness.accept_at_node()
+        assert b"d=2000" in await harness.read_at_node(first)
+        harness.now += 700 * MS
         reset(first)
-        await until(lambda: scene.runner.events)
-        scene.process_events()
-        second = await scene.accept_at_node()
-        assert b"d=1300" in await scene.read_at_node(second)
+        await until(lambda: harness.runner.events)
+        harness.process_events()
+        second = await harness.accept_at_node()
+        assert b"d=1300" in await harness.read_at_node(second)
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
-@pytest.mark.parametrize("left", [False, True])
-def test_client_is_checked_for_a_disconnect_before_a_retry(monkeypatch, left):
-    """Behind a stop of 0.15 s the node's failure is acted on before the client's end is read."""
+@pytest.mark.parametrize("disconnected", [False, True])
+def test_client_is_checked_for_a_disconnect_before_a_retry(monkeypatch, disconnected):
+    """After a stall of 0.15 s, the node's failure is handled before the client's disconnect is read."""
 
-    async def story(scene):
-        scene.may_connect.set()
-        sink = scene.receive_request()
-        conn = await scene.accept_at_node()
-        await scene.read_at_node(conn)
+    async def scenario(harness):
+        harness.may_connect.set()
+        sink = harness.receive_request()
+        conn = await harness.accept_at_node()
+        await harness.read_at_node(conn)
         conn.sendall(BUSY)
-        await until(lambda: scene.runner.events)
-        sink.disconnected = left
-        scene.process_events(150)  # the client's end has not been read yet
-        scene.process_events(60)  # the retry is due
-        if left:
-            await until(lambda: scene.runner.events)
-            assert isinstance(scene.runner.events[0], AttemptWithdrawn)
+        await until(lambda: harness.runner.events)
+        sink.disconnected = disconnected
+        harness.process_events(150)  # the client's disconnect has not been read yet
+        harness.process_events(60)  # the retry is due
+        if disconnected:
+            await until(lambda: harness.runner.events)
+            assert isinstance(harness.runner.events[0], AttemptWithdrawn)
         else:
-            assert await scene.read_at_node(conn) or await scene.read_at_node(await scene.accept_at_node())
+            assert await harness.read_at_node(conn) or await harness.read_at_node(
+                await harness.accept_at_node()
+            )
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
 def test_non_idempotent_request_is_shed_if_it_timed_out_before_its_first_byte(monkeypatch):
-    """A time-out counted as one that may have run, though nothing of it had left."""
+    """The attempt was treated as one that may have run, although no byte of it had been sent."""
 
-    async def story(scene):
-        sink = scene.receive_request(deadline=200)
-        assert scene.core.attempts  # its connection is not up
-        scene.process_events(198)
-        scene.process_events(5)
+    async def scenario(harness):
+        sink = harness.receive_request(deadline_ms=200)
+        assert harness.core.attempts  # its connection is not established
+        harness.process_events(198)
+        harness.process_events(5)
         assert [type(reply) for reply in sink.replies] == [Shed]
 
     rows = settings()["Classes"]
     classes = [rows[0] | {"Effect": "fragile"}, rows[1]]
-    play(monkeypatch, story, Classes=classes)
+    run_scenario(monkeypatch, scenario, Classes=classes)
