--- a/tests/support/upstream_scene.py
+++ b/tests/support/upstream_scene.py
@@ -91,8 +91,9 @@
     def receive_request(self, deadline_ms=2000, id_=ID, *body):
         sink = ResponseSink()
         payload = RespPayload((b"IO.IN", b"7f3a9c21e0b4d655", id_, *body), b"d=", b"")
-        spec = RequestSpec(0, 0, 1, 1.0, deadline_ms * MS, 0, payload, id=id_)
-        self.runner.post(RequestReceived(sink, spec))
+        self.runner.post(
+            RequestReceived(sink, RequestSpec(0, 0, 1, 1.0, deadline_ms * MS, 0, payload, id=id_))
+        )
         self.runner.process_events()
         return sink
 
--- a/tests/upstream/test_first_byte.py
+++ b/tests/upstream/test_first_byte.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("change", CHANGES_BEFORE_CONNECT)
 def test_attempt_is_withdrawn_if_its_connection_is_established_too_late(monkeypatch, change):
-    """An attempt was sent up to a connect timeout after its dispatch, whatever had changed meanwhile."""
+    """An attempt was sent up to a connect timeout after its dispatch, even after one of these changes."""
 
     async def scenario(harness):
         sink = harness.receive_request()
