--- a/tests/listeners/test_exchanges.py
+++ b/tests/listeners/test_exchanges.py
@@ -20,7 +20,7 @@
 
 from runloft.net.resp2 import encode_command
 from tests.support.lab import Redis
-from tests.support.standins import Discovery, Program, config, entry, words_of
+from tests.support.standins import Discovery, Program, config, entry, read_words
 
 FILES = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
 
@@ -68,7 +68,7 @@
             client.sock.sendall(b"".join(encode_command(*words)))
         elif mark == "N>$":
             node = node or Side(listening_socket.accept()[0])
-            got = [word.decode() for word in words_of(node.lines)]
+            got = [word.decode() for word in read_words(node.lines)]
             expected = rest.split()
             matches = len(got) == len(expected) and all(map(fnmatch.fnmatchcase, got, map(escaped, expected)))
             assert matches, f"line {number}: {got!r}, expected {expected!r}"
