--- a/runloft/lab/__init__.py
+++ b/runloft/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: stand-ins written from public specifications, load, scenarios, reports; loopback only."""
+"""The laboratory: scenarios, load and reports, run on loopback against stand-ins.
+
+The stand-ins are written from public specifications.
+"""
--- a/runloft/lab/commands.py
+++ b/runloft/lab/commands.py
@@ -1,4 +1,4 @@
-"""``runloft lab run SCENARIO``: play a scenario on loopback and print what each volume got."""
+"""``runloft lab run SCENARIO``: run a scenario on loopback and print the results of each volume."""
 
 import argparse
 import json
@@ -10,14 +10,14 @@
 
 from runloft.config.faults import ConfigError
 from runloft.config.tool.output import print_table
-from runloft.lab.errors import builtin_name
-from runloft.lab.playing import ArmReport, play
+from runloft.lab.errors import builtin_type_name
+from runloft.lab.playing import ArmReport, run_scenario
 from runloft.lab.reporting import COLUMNS, plot, rows
 from runloft.lab.scenario import Scenario, read_scenario
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run a scenario; return 1 where a rule was broken or the run came to nothing."""
+    """Run a scenario; return 1 if its file is invalid, the run fails or a rule is violated."""
     try:
         scenario = read_scenario(options.scenario)
     except ConfigError as error:
@@ -25,10 +25,10 @@
             print(f"runloft: {fault}", file=sys.stderr)
         return 1
     try:
-        reports = anyio.run(play, scenario, options.seed)
+        reports = anyio.run(run_scenario, scenario, options.seed)
     except (RuntimeError, TimeoutError, OSError, ExceptionGroup) as error:
         for leaf in _leaf_errors(error):
-            print(f"runloft: {builtin_name(leaf)}: {leaf}", file=sys.stderr)
+            print(f"runloft: {builtin_type_name(leaf)}: {leaf}", file=sys.stderr)
         return 1
     _print_rows(scenario, reports, options)
     if options.plot:
@@ -46,7 +46,7 @@
 
 
 def _print_violations(reports: Sequence[ArmReport]) -> int:
-    """Print the broken rules; return the exit code."""
+    """Print the violations of all arms; return the exit code."""
     for report in reports:
         for violation in report.violations:
             print(f"runloft: {report.name}: {violation}", file=sys.stderr)
@@ -54,7 +54,7 @@
 
 
 def _leaf_errors(error: Exception) -> list[Exception]:
-    """Return the errors that a group holds, or the error itself."""
+    """Return the errors of a group, including nested groups, or the error itself."""
     if not isinstance(error, ExceptionGroup):
         return [error]
-    return [leaf for one in error.exceptions for leaf in _leaf_errors(one)]
+    return [leaf for nested in error.exceptions for leaf in _leaf_errors(nested)]
--- a/runloft/lab/config_files.py
+++ b/runloft/lab/config_files.py
@@ -1,4 +1,4 @@
-"""The configuration files of one arm's sidecars: as the fleet has them, or with the arm's edits."""
+"""The configuration files of one arm's sidecars: the fleet's, with the arm's edits applied."""
 
 from collections.abc import Sequence
 from copy import deepcopy
@@ -12,16 +12,16 @@
 from runloft.lab.scenario import ArmRecord, EditRecord, Scenario
 from runloft.lab.stand_in_fleet import StandInFleet
 
-ConfigDocument: TypeAlias = dict[str, Any]  # what is written as TOML
+ConfigDocument: TypeAlias = dict[str, Any]  # written as TOML
 
-# Of the fleet's files, and not wanted in an arm's.
+# Tables of the fleet's files that are left out of an arm's files.
 OMITTED_TABLES = ("admin", "objects", "agreement")
 
 
 def write_config_files(
     scenario: Scenario, arm: ArmRecord, fleet: StandInFleet, folder: Path
 ) -> dict[str, Path]:
-    """Write each application's file; return the paths by application."""
+    """Write the configuration file of each application; return the paths by application name."""
     generator = Generator(scenario.fleet)
     edits = [scenario.record.edits[number] for number in arm.edits]
     paths = {}
@@ -34,21 +34,21 @@
             document["agreement"] = {
                 "store": f"redis://{fleet.store.address}/0",
                 "directory": str(folder / "copies"),
-                "lease_ms": scenario.record.lease,
+                "lease_ms": scenario.record.lease_ms,
             }
         path = folder / f"{application.name}.toml"
-        path.write_text(tomli_w.dumps(edited(document, edits)))
+        path.write_text(tomli_w.dumps(apply_edits(document, edits)))
         paths[application.name] = path
     return paths
 
 
-def edited(document: ConfigDocument, edits: Sequence[EditRecord]) -> ConfigDocument:
-    """Return a copy of one application's file with the edits that are meant for it."""
+def apply_edits(document: ConfigDocument, edits: Sequence[EditRecord]) -> ConfigDocument:
+    """Return a copy of an application's document with the edits for that application applied."""
     copy = deepcopy(document)
     for edit in edits:
         if edit.application != document["name"]:
             continue
-        row = next(row for row in copy["settings"]["ServiceLevels"] if row["Name"] == edit.table)
+        row = next(row for row in copy["settings"]["ServiceLevels"] if row["Name"] == edit.plan)
         if edit.value is None:
             row.pop(edit.key, None)
         else:
--- a/runloft/lab/discovery.py
+++ b/runloft/lab/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery agent: the complete endpoint list, and a watch of its changes."""
+"""The stand-in discovery agent: it serves the complete endpoint list and a watch of its changes."""
 
 import json
 from typing import Any, TypeAlias
@@ -8,34 +8,37 @@
 
 from runloft.lab.serving import LabServer, Lines
 
-NodeEntry: TypeAlias = dict[str, Any]  # a node in the agent's JSON
-ListDocument: TypeAlias = dict[str, Any]  # a message of the agent
+NodeEntry: TypeAlias = dict[str, Any]  # a node as the agent encodes it in JSON
+ListDocument: TypeAlias = dict[str, Any]  # an endpoint list, complete or of changes
 
 HEARTBEAT_INTERVAL_S = 2.0
 FIRST_REVISION = 1
 
 
 class Instances:
-    """The nodes that an agent lists; several listeners may share them, each of which can be cut alone."""
+    """The nodes that the agent lists.
+
+    Several listeners may share them, each with failures of its own.
+    """
 
     def __init__(self) -> None:
         self.revision = FIRST_REVISION
         self.targets: dict[str, NodeEntry] = {}
         self.changed = anyio.Event()
-        self._changes: list[NodeEntry] = []  # of revisions 2, 3 and so on
+        self._changes: list[NodeEntry] = []  # the change of revision 2 first
         self._encoded_revision = 0
         self._encoded_list = b""
 
     def empty(self) -> None:
-        """Start again with nothing, as an agent that stored nothing."""
+        """Reset to an empty list at the first revision, like an agent restarted without stored state."""
         self.revision = FIRST_REVISION
         self.targets = {}
         self._changes = []
         self._encoded_revision = 0
         self._encoded_list = b""
 
-    def put(self, uid: str, endpoint: str, shard: int, model: str = "", **more: Any) -> None:
-        """List a node, or change its entry."""
+    def put(self, uid: str, endpoint: str, shard: int, model: str = "", **fields: Any) -> None:
+        """Add a node, or replace its entry."""
         entry = {
             "uid": uid,
             "endpoint": endpoint,
@@ -45,7 +48,7 @@
             "state": "in_service",
             "capacity_hint": 1.0,
             "boot_ms": 0,
-        } | more
+        } | fields
         self._add_change(entry)
         self.targets[uid] = entry
 
@@ -55,7 +58,7 @@
         self.targets[uid]["state"] = "terminating"
 
     def remove(self, uid: str) -> None:
-        """Announce that a node is gone."""
+        """Remove a node and announce that it has terminated."""
         self._add_change(self.targets.pop(uid) | {"state": "terminated"})
 
     def _add_change(self, entry: NodeEntry) -> None:
@@ -69,14 +72,14 @@
         return {"rev": self.revision, "all": True, "targets": list(self.targets.values())}
 
     def encoded_list(self) -> bytes:
-        """Return the complete list, encoded once for all who poll it."""
+        """Return the complete list as JSON; it is encoded once per revision."""
         if self._encoded_revision != self.revision:
             self._encoded_revision = self.revision
             self._encoded_list = json.dumps(self.listed()).encode()
         return self._encoded_list
 
     def encoded_changes(self, since: int) -> bytes:
-        """Return what has changed since a revision; empty where that is the present one."""
+        """Return the changes since a revision as JSON, or no bytes if there are none."""
         changes = self._changes[max(0, since - FIRST_REVISION) :]
         if not changes:
             return b""
@@ -84,7 +87,7 @@
 
 
 class LabDiscovery(LabServer):
-    """One agent for all sidecars, or one more listener of it."""
+    """A listener of the discovery agent.  Listeners may share one list."""
 
     def __init__(self, instances: Instances | None = None) -> None:
         super().__init__()
@@ -95,7 +98,7 @@
         self.listed = self.instances.listed
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Answer one request."""
+        """Answer the request of a connection: a poll, or a watch until the connection is closed."""
         lines = Lines(stream.receive)
         target = (await lines.line()).split()[1].decode()
         while await lines.line():
@@ -108,7 +111,7 @@
         await self._send(stream, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     async def _stream_changes(self, stream: anyio.abc.SocketStream, revision: int) -> None:
-        """Send each change as one chunk, and an empty line as a heartbeat where there is none."""
+        """Send each change as a chunk, and an empty line as a heartbeat if there is none."""
         instances = self.instances
         await self._send(stream, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         data = instances.encoded_list() if revision != instances.revision else b""
@@ -123,5 +126,5 @@
             data = instances.encoded_changes(revision)
 
     async def _send(self, stream: anyio.abc.SocketStream, data: bytes) -> None:
-        """Send a part of a response; subclasses may observe it."""
+        """Send a fragment of a response; a subclass may override this to observe it."""
         await stream.send(data)
--- a/runloft/lab/keyspace.py
+++ b/runloft/lab/keyspace.py
@@ -1,4 +1,7 @@
-"""The Redis stand-in's data and commands, without I/O, from the public description of RESP2 commands."""
+"""The data and commands of the Redis stand-in, without I/O.
+
+Written from the public documentation of Redis commands.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -32,11 +35,11 @@
 
 @dataclass
 class Session:
-    """One connection's transaction: what it has queued, and the versions of the keys that it watches."""
+    """The transaction state of one connection: queued commands and the versions of watched keys."""
 
     queue: list[list[bytes]] | None = None
     watched: dict[bytes, int] = field(default_factory=dict)
-    is_dirty: bool = False  # a command could not be queued
+    is_dirty: bool = False  # a command was rejected while queueing: EXEC fails
 
     def reset(self) -> None:
         """End the transaction."""
@@ -46,18 +49,18 @@
 
 
 class Keyspace:
-    """Keys with values, expiry and versions."""
+    """Keys with their values, expiry times and versions."""
 
     def __init__(self, unix_ns: Callable[[], int]) -> None:
         self.unix_ns = unix_ns
         self.data: dict[bytes, Any] = {}
-        self.expires: dict[bytes, int] = {}  # milliseconds of Unix time
+        self.expires: dict[bytes, int] = {}  # Unix time in milliseconds
         self.versions: dict[bytes, int] = {}
         self.count = 0
 
     @property
     def now_ms(self) -> int:
-        """The time by which keys expire."""
+        """The Unix time in milliseconds, against which keys expire."""
         return self.unix_ns() // NS_PER_MS
 
     def empty(self) -> None:
@@ -65,15 +68,15 @@
         for key in list(self.data):
             self._remove(key)
 
-    def act(self, session: Session, words: list[bytes]) -> Reply:
-        """Execute one command of a connection, or queue it in the connection's transaction."""
+    def execute(self, session: Session, words: list[bytes]) -> Reply:
+        """Execute a connection's command, or queue it if the connection has a transaction open."""
         self.count += 1
         name = words[0].upper().decode("ascii", "replace")
         if session.queue is not None and name not in TRANSACTION_COMMANDS:
             return self._enqueue(session, name, words)
         match name:
             case "MULTI":
-                return self._begin(session)
+                return self._multi(session)
             case "WATCH":
                 return self._watch(session, words[1:])
             case "UNWATCH" | "DISCARD":
@@ -81,9 +84,9 @@
                 return Simple()
             case "EXEC":
                 return self._exec(session)
-        return self._execute(name, words[1:])
+        return self._call(name, words[1:])
 
-    def _execute(self, name: str, arguments: list[bytes]) -> Reply:
+    def _call(self, name: str, arguments: list[bytes]) -> Reply:
         command = getattr(self, f"do_{name.lower()}", None)
         if command is None:
             return Error(f"ERR unknown command '{name}'")
@@ -100,7 +103,7 @@
         session.queue.append(words)
         return Simple(b"QUEUED")
 
-    def _begin(self, session: Session) -> Reply:
+    def _multi(self, session: Session) -> Reply:
         if session.queue is not None:
             return Error("ERR MULTI calls can not be nested")
         session.queue = []
@@ -110,7 +113,7 @@
         if session.queue is not None:
             return Error("ERR WATCH inside MULTI is not allowed")
         for key in keys:
-            self._live(key)
+            self._unexpired_value(key)
             session.watched[key] = self.versions.get(key, 0)
         return Simple()
 
@@ -124,13 +127,13 @@
         if is_dirty:
             return Error("EXECABORT Transaction discarded because of previous errors.")
         for key, version in watched.items():
-            self._live(key)
+            self._unexpired_value(key)
             if self.versions.get(key, 0) != version:
                 return None
-        return [self.act(Session(), words) for words in queue]
+        return [self.execute(Session(), words) for words in queue]
 
-    def _live(self, key: bytes) -> Any:
-        """Return a key's value; one that has expired is deleted first."""
+    def _unexpired_value(self, key: bytes) -> Any:
+        """Return the value of a key, None if it doesn't exist; an expired key is deleted first."""
         expires_at_ms = self.expires.get(key)
         if expires_at_ms is not None and expires_at_ms <= self.now_ms:
             self._remove(key)
@@ -141,45 +144,45 @@
         if key not in self.data:
             return False
         del self.data[key]
-        self._touch(key)
+        self._increment_version(key)
         return True
 
-    def _touch(self, key: bytes) -> None:
+    def _increment_version(self, key: bytes) -> None:
         self.versions[key] = self.versions.get(key, 0) + 1
 
     def _value_of_type(self, key: bytes, value_type: type[Any]) -> Any:
-        """Return a key's value, None where there is none, WRONG_TYPE where it is of another type."""
-        value = self._live(key)
+        """Return the value of a key, None if it doesn't exist, or WRONG_TYPE if it has another type."""
+        value = self._unexpired_value(key)
         return value if value is None or isinstance(value, value_type) else WRONG_TYPE
 
     def do_ping(self, *words: bytes) -> Reply:
-        """Return PONG, or what was sent."""
+        """Return PONG, or the argument if there is one."""
         return words[0] if words else Simple(b"PONG")
 
     def do_client(self, *_: bytes) -> Reply:
-        """Accept names of clients."""
+        """Accept any CLIENT command without effect."""
         return Simple()
 
     def do_select(self, _: bytes) -> Reply:
-        """Accept a database's number: there is only one database."""
+        """Accept any database number; there is a single database."""
         return Simple()
 
     def do_time(self) -> Reply:
-        """Return seconds and microseconds of Unix time."""
+        """Return the Unix time as seconds and microseconds."""
         seconds, microseconds = divmod(self.unix_ns() // NS_PER_US, US_PER_S)
         return [b"%d" % seconds, b"%d" % microseconds]
 
     def do_get(self, key: bytes) -> Reply:
-        """Return a text."""
+        """Return the string value of a key."""
         return self._value_of_type(key, bytes)
 
     def do_mget(self, *keys: bytes) -> Reply:
-        """Return several texts; what is no text is null."""
-        values = [self._live(key) for key in keys]
+        """Return the string values of several keys; null for a key of another type or without a value."""
+        values = [self._unexpired_value(key) for key in keys]
         return [value if isinstance(value, bytes) else None for value in values]
 
     def do_set(self, key: bytes, value: bytes, *options: bytes) -> Reply:
-        """Set a text, with NX, XX, EX and PX."""
+        """Set a key to a string; supports the options NX, XX, EX and PX."""
         expires_at_ms = None
         words = [word.upper() for word in options]
         while words:
@@ -189,32 +192,32 @@
                 expires_at_ms = self.now_ms + int(words.pop(0)) * unit_ms
             elif word not in (b"NX", b"XX"):
                 return SYNTAX
-            elif (self._live(key) is None) is (word == b"XX"):
+            elif (self._unexpired_value(key) is None) is (word == b"XX"):
                 return None
         self.data[key] = value
         self.expires.pop(key, None)
         if expires_at_ms is not None:
             self.expires[key] = expires_at_ms
-        self._touch(key)
+        self._increment_version(key)
         return Simple()
 
     def do_del(self, *keys: bytes) -> Reply:
-        """Delete keys; return how many there were."""
-        return sum(self._live(key) is not None and self._remove(key) for key in keys)
+        """Delete keys; return how many existed."""
+        return sum(self._unexpired_value(key) is not None and self._remove(key) for key in keys)
 
     def do_exists(self, *keys: bytes) -> Reply:
         """Return how many of the keys exist."""
-        return sum(self._live(key) is not None for key in keys)
+        return sum(self._unexpired_value(key) is not None for key in keys)
 
     def do_pexpire(self, key: bytes, milliseconds: bytes) -> Reply:
-        """Let a key expire after so many milliseconds."""
-        if self._live(key) is None:
+        """Set a key's time to live in milliseconds; return 1 if the key exists, else 0."""
+        if self._unexpired_value(key) is None:
             return 0
         self.expires[key] = self.now_ms + int(milliseconds)
         return 1
 
     def do_sadd(self, key: bytes, *members: bytes) -> Reply:
-        """Add to a set; return how many are new."""
+        """Add members to a set; return how many are new."""
         value = self._value_of_type(key, set)
         if isinstance(value, Error):
             return value
@@ -222,22 +225,22 @@
         size_before = len(existing)
         existing.update(members)
         if len(existing) > size_before:
-            self._touch(key)
+            self._increment_version(key)
         return len(existing) - size_before
 
     def do_srem(self, key: bytes, *members: bytes) -> Reply:
-        """Remove from a set; return how many there were."""
+        """Remove members from a set; return how many were in it."""
         value = self._value_of_type(key, set)
         if value is None or isinstance(value, Error):
             return value or 0
         removed = len(value & set(members))
         value.difference_update(members)
         if removed:
-            self._touch(key)
+            self._increment_version(key)
         return removed
 
     def do_smembers(self, key: bytes) -> Reply:
-        """Return a set's members."""
+        """Return the members of a set, sorted."""
         value = self._value_of_type(key, set)
         return value if isinstance(value, Error) else sorted(value or ())
 
@@ -249,7 +252,7 @@
         fields = self.data.setdefault(key, {})
         added = len(set(pairs[::2]) - fields.keys())
         fields.update(zip(pairs[::2], pairs[1::2], strict=True))
-        self._touch(key)
+        self._increment_version(key)
         return added
 
     def do_hgetall(self, key: bytes) -> Reply:
--- a/runloft/lab/load.py
+++ b/runloft/lab/load.py
@@ -1,7 +1,7 @@
-"""The load tool: an open loop of volumes with surges; latency counts from the intended send.
+"""The load generator: an open-loop load of several volumes, with surges.
 
-What is sent when is drawn beforehand from a seed; a client that is refused retries as often as its
-configuration says, and its attempts count as one request.
+The arrivals are drawn from a seed before the run.  Latency is measured from the intended send time.  A
+request that isn't served is retried up to its volume's limit; all its attempts count as one request.
 """
 
 import itertools
@@ -19,27 +19,27 @@
 from runloft.lab.requests import encode_command, quantile, trace_id
 from runloft.lab.serving import BROKEN, Lines
 
-GRACE_S = 0.25  # for this tool's own event loop: an answer that never arrives is still missed
-MAX_IN_FLIGHT = 4000  # requests of one load: what is beyond counts as not sent
-MIN_REMAINING_S = 0.05  # of a deadline: with less, no attempt is made
-RETRY_INTERVAL_S = 0.1  # before the first retry; it grows by as much with each
+GRACE_S = 0.25  # added to each timeout for delays of this process's event loop
+MAX_IN_FLIGHT = 4000  # a request beyond this is not sent, and is lost
+MIN_REMAINING_S = 0.05  # no attempt is made with less time to the deadline
+RETRY_INTERVAL_S = 0.1  # added to the delay with each retry
 MS_PER_S = 1000
-REQUEST_ID_BITS = 32  # below the seed's
+REQUEST_COUNTER_BITS = 32  # low bits of a request id that count requests; the seed is above them
 
 
 @dataclass(frozen=True, slots=True)
 class LoadClass:
-    """A request class as clients know it."""
+    """A request class, as the clients are configured."""
 
     name: str
-    target_s: float
+    latency_objective_s: float
     deadline_s: float
     writes: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class LoadVolume:
-    """One volume's demand."""
+    """The load on one volume."""
 
     name: str
     id: int
@@ -48,22 +48,22 @@
     sidecars: tuple[str, ...]
     class_name: str
     units_per_s: float
-    units: float = 2.0  # of a request
-    surge: float = 1.0  # multiple of the rate
+    units_per_request: float = 2.0
+    surge_factor: float = 1.0  # of the rate during the surge
     surge_at_s: float = 0.0
     surge_for_s: float = 0.0
     retries: int = 1
     reserve: float = 0.0
 
     def requests_per_s(self, at_s: float) -> float:
-        """Return the rate at a moment."""
+        """Return the request rate at a time of the run."""
         is_surging = self.surge_at_s <= at_s < self.surge_at_s + self.surge_for_s
-        return self.units_per_s * (self.surge if is_surging else 1.0) / self.units
+        return self.units_per_s * (self.surge_factor if is_surging else 1.0) / self.units_per_request
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request as it is intended."""
+    """A planned request."""
 
     at_s: float
     volume: LoadVolume
@@ -73,46 +73,49 @@
 
 
 class RequestOutcome(StrEnum):
-    """How one request ended."""
+    """The outcome of a request."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    LOST = "lost"  # not sent, or no attempt was answered
+    LOST = "lost"  # not sent, or its last attempt was not answered
 
 
 @dataclass(slots=True)
 class Result:
-    """What became of one request."""
+    """The result of one request."""
 
     arrival: Arrival
     outcome: RequestOutcome = RequestOutcome.LOST
     latency_s: float = 0.0
-    unanswered: int = 0  # attempts that were accepted, for all the client knows, and never answered
+    unanswered_attempts: int = 0  # timed out while the connection was open
 
 
 @dataclass
 class Tally:
-    """What one volume got, over a complete run."""
+    """The results of one volume over a complete run."""
 
     volume: LoadVolume
     seconds: float
     results: list[Result] = field(default_factory=list)
 
     def served_units(self, within_s: float) -> float:
-        """Return the units that were served in that time."""
+        """Return the units that were served within the given latency."""
         return sum(result.arrival.units for result in self.results if _is_served_within(result, within_s))
 
     def served_units_by_second(self, within_s: float) -> list[float]:
-        """Return the units that were served in that time, by the second in which they were requested."""
+        """Return the units served within the given latency, by the second of the intended send time."""
         return self._by_second(result for result in self.results if _is_served_within(result, within_s))
 
     def reserve_share(self, within_s: float) -> float:
-        """Return the share of what was due of its reserve that was served in time."""
+        """Return the fraction of the reserve that was served within the given latency.
+
+        In each second only the demand counts, up to the reserve; 1.0 if there was no demand.
+        """
         requested = self._by_second(self.results)
-        due = [min(self.volume.reserve, units) for units in requested]
+        entitled = [min(self.volume.reserve, units) for units in requested]
         served = self.served_units_by_second(within_s)
-        return sum(map(min, due, served)) / sum(due) if sum(due) else 1.0
+        return sum(map(min, entitled, served)) / sum(entitled) if sum(entitled) else 1.0
 
     def _by_second(self, results: Iterable[Result]) -> list[float]:
         units = [0.0] * max(1, math.ceil(self.seconds))
@@ -122,7 +125,7 @@
         return units
 
     def latency_quantile_s(self, probability: float) -> float:
-        """Return a quantile of the served requests' latencies; NaN where none was served."""
+        """Return a quantile of the served requests' latencies, or NaN if none was served."""
         served = [result for result in self.results if result.outcome is RequestOutcome.SERVED]
         if not served:
             return math.nan
@@ -134,7 +137,7 @@
 
 
 def arrivals(volumes: Iterable[LoadVolume], seconds: float, seed: int) -> list[Arrival]:
-    """Draw what is sent when: each volume by a Poisson process of its own."""
+    """Draw the arrivals of each volume from a Poisson process; return all in order of time."""
     drawn = [arrival for volume in volumes for arrival in _arrivals_of(volume, seconds, seed)]
     return sorted(drawn, key=lambda arrival: (arrival.at_s, arrival.volume.name))
 
@@ -148,19 +151,22 @@
             return
         shard = random.choice(volume.shards)
         sidecar = random.choice(volume.sidecars)
-        yield Arrival(at_s, volume, shard, sidecar, volume.units)
+        yield Arrival(at_s, volume, shard, sidecar, volume.units_per_request)
 
 
 @dataclass(frozen=True, slots=True)
 class Connection:
-    """An open connection, with what is buffered of it."""
+    """An open connection and its read buffer."""
 
     stream: anyio.abc.SocketStream
     lines: Lines
 
 
 class ConnectionPool:
-    """Idle connections to one sidecar; more are opened while all are busy.  A context manager."""
+    """A pool of connections to one sidecar, which grows while all are busy.
+
+    As a context manager it closes the idle connections on exit.
+    """
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -176,9 +182,10 @@
             await anyio.aclose_forcefully(connection.stream)
 
     async def request(self, command: bytes) -> bytes:
-        """Send one command and return its answer's first line; raises where the connection broke.
+        """Send a command and return the first line of its reply; raise one of BROKEN if the connection fails.
 
-        An idle connection may be closed just as a command is written to it: that one is sent once more.
+        The sidecar may close an idle connection while the command is being written: if a reused connection
+        fails, the command is sent again on a new one.
         """
         if self.idle:
             try:
@@ -206,7 +213,7 @@
 
 
 class Load:
-    """One run of a load against sidecars, whose addresses are given by their names."""
+    """One run of a load against sidecars.  ``addresses`` holds their addresses by name."""
 
     def __init__(
         self,
@@ -218,11 +225,11 @@
         self.classes = classes
         self.pools = {name: ConnectionPool(address) for name, address in addresses.items()}
         self.results = [Result(arrival) for arrival in planned]
-        self._request_ids = itertools.count(seed << REQUEST_ID_BITS | 1)
+        self._request_ids = itertools.count(seed << REQUEST_COUNTER_BITS | 1)
         self._in_flight = 0
 
     async def run(self) -> list[Result]:
-        """Send everything at its time; return when all has ended."""
+        """Send each request at its intended time; return when all requests have ended."""
         started_at = time.monotonic()
         async with AsyncExitStack() as stack:
             for pool in self.pools.values():
@@ -239,7 +246,7 @@
         return self.results
 
     async def _send(self, result: Result, intended_at: float) -> None:
-        """Send one request, with its retries."""
+        """Send a request; retry until it is served, or its retries or its time run out."""
         volume = result.arrival.volume
         deadline_at = intended_at + self.classes[volume.class_name].deadline_s
         try:
@@ -256,17 +263,17 @@
             self._in_flight -= 1
 
     async def _attempt(self, result: Result, remaining_s: float) -> bytes:
-        """Make one attempt; return its answer's first line, empty where there is none."""
+        """Make one attempt; return the first line of its reply, empty if there is none."""
         pool = self.pools[result.arrival.sidecar]
         try:
             with anyio.fail_after(remaining_s + GRACE_S):
                 head = await pool.request(self._command(result.arrival, remaining_s))
-        except BROKEN:  # of which TimeoutError is one, as an OSError
+        except BROKEN:  # includes TimeoutError, which is an OSError
             result.outcome = RequestOutcome.LOST
             return b""
         except TimeoutError:
             result.outcome = RequestOutcome.LOST
-            result.unanswered += 1
+            result.unanswered_attempts += 1
             return b""
         if head[:1] == b"$":
             result.outcome = RequestOutcome.SERVED
@@ -297,7 +304,7 @@
 
 
 def _retry_after_s(head: bytes) -> float:
-    """Return the Retry-After of an error's first line; 0.0 where it has none."""
+    """Return the Retry-After of an error reply in seconds, or 0.0 if it has none."""
     words = head.split()
     if len(words) > 1 and words[1].isdigit():
         return int(words[1]) / MS_PER_S
--- a/runloft/lab/node.py
+++ b/runloft/lab/node.py
@@ -1,4 +1,4 @@
-"""Storage nodes: what a node can do at each moment (no I/O), and its server in the platform's RESP2."""
+"""Stand-in storage nodes: a model of a node's capacity over time (no I/O), and a RESP2 server."""
 
 import time
 from collections import Counter, deque
@@ -19,72 +19,73 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeKind:
-    """A machine: cores, speed of a core, queue, and how it starts."""
+    """A kind of machine: its cores, their speed, its limit of requests, and its warm-up."""
 
     cores: int = 2
     speed: float = 1.0
-    unit_ms: float = 20.0  # work of one unit on one core of speed 1
-    queue: int = 60  # requests that wait or run; more are rejected
-    slow_start_from: float = 1.0  # of its full capacity
+    unit_ms: float = 20.0  # time that one unit takes on one core of speed 1
+    max_in_flight: int = 60  # requests that wait or run; more are rejected as BUSY
+    initial_capacity_fraction: float = 1.0  # at the start of the warm-up
     slow_start_s: float = 0.0
-    overload_multiple: float = 2.0  # a load above this for so long while it warms up crashes it for good
-    overload_s: float = 2.0
+    # During warm-up, a load above this multiple of the capacity over this window crashes the node.
+    overload_multiple: float = 2.0
+    overload_window_s: float = 2.0
 
     @property
     def units_per_s(self) -> float:
-        """Its capacity when warm."""
+        """The capacity after warm-up."""
         return self.cores * self.speed * MS_PER_S / self.unit_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """A time in which a node does nothing."""
+    """An interval during which a node does no work."""
 
     start: float
     end: float
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
-    """Units that were sent to a node at a moment."""
+class LoadSample:
+    """Units that were sent to a node, and when."""
 
     at: float
     units: float
 
 
 class NodeState:
-    """One node's state; times are seconds of one clock."""
+    """The state of one node.  All times are seconds of the same clock."""
 
     def __init__(self, kind: NodeKind, started_at: float) -> None:
         self.kind = kind
         self.started_at = started_at
         self.has_crashed = False
         self.pauses: list[Pause] = []
-        self._recent: deque[Load] = deque()
+        self._load_samples: deque[LoadSample] = deque()
 
     def capacity_fraction(self, now: float) -> float:
-        """Return the fraction of its full capacity that it has: it rises linearly while it warms up."""
+        """Return the available fraction of the full capacity; it rises linearly during warm-up."""
         kind = self.kind
         if kind.slow_start_s <= 0:
             return 1.0
         warm = min(1.0, max(0.0, (now - self.started_at) / kind.slow_start_s))
-        return kind.slow_start_from + (1.0 - kind.slow_start_from) * warm
+        return kind.initial_capacity_fraction + (1.0 - kind.initial_capacity_fraction) * warm
 
     def add_load(self, now: float, units: float) -> bool:
-        """Count what is sent to it, rejected or not; return False once it has crashed."""
+        """Record the units of a request, accepted or not; return False if the node has crashed."""
         kind = self.kind
-        self._recent.append(Load(now, units))
-        while self._recent[0].at < now - kind.overload_s:
-            self._recent.popleft()
+        self._load_samples.append(LoadSample(now, units))
+        while self._load_samples[0].at < now - kind.overload_window_s:
+            self._load_samples.popleft()
         capacity = self.capacity_fraction(now)
-        if capacity < 1.0 and now - self.started_at >= kind.overload_s:
-            load = sum(recent.units for recent in self._recent)
-            max_load = kind.overload_multiple * capacity * kind.units_per_s * kind.overload_s
+        if capacity < 1.0 and now - self.started_at >= kind.overload_window_s:
+            load = sum(sample.units for sample in self._load_samples)
+            max_load = kind.overload_multiple * capacity * kind.units_per_s * kind.overload_window_s
             self.has_crashed = self.has_crashed or load > max_load
         return not self.has_crashed
 
     def service_s(self, now: float, units: float) -> float:
-        """Return how long a core works on so many units from now on, pauses included."""
+        """Return how long one core takes for the units if it starts now, including pauses."""
         elapsed_s = units * self.kind.unit_ms / MS_PER_S / self.kind.speed / self.capacity_fraction(now)
         for pause in self.pauses:
             if pause.start < now + elapsed_s and pause.end > now:
@@ -100,7 +101,7 @@
 
 
 class LabNode(LabServer):
-    """A node that listens."""
+    """A storage node that serves requests on a loopback port."""
 
     def __init__(
         self, uid: str, shard: int, kind: NodeKind, clock: Callable[[], float] = time.monotonic
@@ -112,15 +113,18 @@
         self.clock = clock
         self.state = NodeState(kind, clock() - kind.slow_start_s)
         self.cores = anyio.Semaphore(kind.cores)
-        self.in_flight: Counter[bytes] = Counter()  # by request id: two at once would break a rule
-        self.concurrent_attempts = 0  # that arrived while another of the same request was in flight
+        self.in_flight: Counter[bytes] = Counter()  # attempts by request id
+        self.concurrent_attempts = 0  # arrived while another attempt of the request was in flight
 
     def restart(self) -> None:
-        """Start again, cold."""
+        """Reset the state, as after a restart: the warm-up begins again."""
         self.state = NodeState(self.kind, self.clock())
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Execute commands in turn; a client that disconnects cancels what waits, not what runs."""
+        """Execute the commands of a connection in order.
+
+        If the client disconnects, a request that waits for a core is cancelled; one that runs is completed.
+        """
         lines = Lines(stream.receive)
         while True:
             words = await lines.command()
@@ -130,7 +134,7 @@
             attributes = dict(item.partition(b"=")[::2] for item in words[3].split(b","))
             units = float(attributes[b"units"])
             if not self.state.add_load(self.clock(), units):
-                raise OSError("fallen over")
+                raise OSError("node crashed under overload")
             if self._rejects(int(attributes[b"shard"])):
                 await stream.send(b"-BUSY\r\n")
                 continue
@@ -140,12 +144,12 @@
             await stream.send(b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(VALUE), VALUE))
 
     def _rejects(self, shard: int) -> bool:
-        return shard not in (ANY_SHARD, self.shard) or self.in_flight.total() >= self.kind.queue
+        return shard not in (ANY_SHARD, self.shard) or self.in_flight.total() >= self.kind.max_in_flight
 
     async def _work(
         self, request_id: bytes, units: float, stream: anyio.abc.SocketStream, lines: Lines
     ) -> WorkOutcome:
-        """Work on a request as soon as a core is free, unless its client disconnects before."""
+        """Execute a request once a core is free, unless its client disconnects first."""
         self.concurrent_attempts += self.in_flight[request_id] > 0
         self.in_flight[request_id] += 1
         outcome = WorkOutcome.DONE
--- a/runloft/lab/playing.py
+++ b/runloft/lab/playing.py
@@ -1,6 +1,6 @@
-"""Play a scenario: nodes, discovery and store as tasks, sidecars as processes, load in between.
+"""Run a scenario: nodes, discovery, store and load as tasks of this process, sidecars as processes.
 
-Every arm is played with the same seed, one after the other, so that what differs is what is compared.
+The arms run one after the other with the same seed, so that they differ only in what is compared.
 """
 
 import tempfile
@@ -17,28 +17,28 @@
 from runloft.lab.sidecars import running_sidecars
 from runloft.lab.stand_in_fleet import StandInFleet
 
-LISTED_S = 0.5  # endpoint lists arrive by watch
+ENDPOINT_LIST_WAIT_S = 0.5  # for each sidecar to receive the endpoint list by its watch
 
 
 @dataclass
 class ArmReport:
-    """What one arm came to."""
+    """The results of one arm, and the rules that were violated."""
 
     name: str
     tallies: list[Tally]
     violations: list[str] = field(default_factory=list)
 
 
-async def play(scenario: Scenario, seed: int) -> list[ArmReport]:
-    """Play every arm."""
+async def run_scenario(scenario: Scenario, seed: int) -> list[ArmReport]:
+    """Run every arm of a scenario; return their reports."""
     reports = []
     for arm in scenario.record.arms:
         with tempfile.TemporaryDirectory(prefix="runloft-lab-") as folder:
-            reports.append(await _play_arm(scenario, arm, seed, Path(folder)))
+            reports.append(await _run_arm(scenario, arm, seed, Path(folder)))
     return reports
 
 
-async def _play_arm(scenario: Scenario, arm: ArmRecord, seed: int, folder: Path) -> ArmReport:
+async def _run_arm(scenario: Scenario, arm: ArmRecord, seed: int, folder: Path) -> ArmReport:
     fleet = StandInFleet(scenario.fleet)
     async with anyio.create_task_group() as group:
         await fleet.start(group)
@@ -46,7 +46,7 @@
         async with running_sidecars(files, folder) as addresses:
             if arm.agreement:
                 await roll_out_fleet(scenario, fleet.store.address, len(files))
-            await anyio.sleep(LISTED_S)
+            await anyio.sleep(ENDPOINT_LIST_WAIT_S)
             results = await _run_load(scenario, fleet, addresses, seed)
         group.cancel_scope.cancel()
     return ArmReport(arm.name, _tallies(scenario, results), _violations(fleet, results))
@@ -55,12 +55,12 @@
 async def _run_load(
     scenario: Scenario, fleet: StandInFleet, addresses: dict[str, str], seed: int
 ) -> list[Result]:
-    """Run the load while the scenario's events happen."""
+    """Run the load and apply the scenario's events meanwhile."""
     planned = arrivals(scenario.volumes, scenario.record.seconds, seed)
     load = Load(planned, scenario.classes, addresses, seed)
     async with anyio.create_task_group() as events:
         for event in scenario.record.events:
-            events.start_soon(fleet.play_event, event)
+            events.start_soon(fleet.apply_event, event)
         results = await load.run()
         events.cancel_scope.cancel()
     return results
@@ -81,10 +81,12 @@
     violations = []
     for uid, node in fleet.nodes.items():
         if node.concurrent_attempts:
-            violations.append(f"{uid}: {node.concurrent_attempts} second attempts at once")
+            violations.append(
+                f"{uid}: {node.concurrent_attempts} attempts overlapped an earlier attempt of the same request"
+            )
         if node.state.has_crashed:
-            violations.append(f"{uid} fell over")
-    unanswered = sum(result.unanswered for result in results)
+            violations.append(f"{uid}: crashed under overload")
+    unanswered = sum(result.unanswered_attempts for result in results)
     if unanswered:
-        violations.append(f"{unanswered} tries without an answer")
+        violations.append(f"{unanswered} attempts timed out without an answer")
     return violations
--- a/runloft/lab/program_log.py
+++ b/runloft/lab/program_log.py
@@ -1,4 +1,4 @@
-"""The lines of the program's log that the laboratory waits for; the first group is the address."""
+"""Patterns of the program's log lines that the laboratory waits for.  The first group is the address."""
 
 import re
 
--- a/runloft/lab/redis.py
+++ b/runloft/lab/redis.py
@@ -1,4 +1,4 @@
-"""The Redis stand-in: RESP2 on loopback, with failures on command."""
+"""The Redis stand-in: a RESP2 server on loopback with injectable failures."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 def encode_reply(reply: Reply) -> bytes:
-    """Return a reply in RESP2."""
+    """Return a reply encoded in RESP2."""
     match reply:
         case None:
             return b"$-1\r\n"
@@ -26,17 +26,17 @@
 
 
 class RedisStandIn(LabServer):
-    """One store, or one more listener of it."""
+    """A listener of a store.  Listeners may share one keyspace."""
 
     def __init__(self, keys: Keyspace | None = None) -> None:
         super().__init__()
-        self.clock_offset_ns = 0  # its clock may step
-        self.round_trips = 0  # replies sent, however many commands each answers
-        # Several listeners may lead to the same data: each can be cut by itself.
+        self.clock_offset_ns = 0  # added to the system clock, to simulate clock steps
+        self.round_trips = 0  # pipelined commands that are answered together count once
+        # Listeners that share a keyspace have failures of their own: each can be disconnected separately.
         self.keys = keys or Keyspace(lambda: time.time_ns() + self.clock_offset_ns)
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Answer commands in order; what was read is executed whether the reply arrives or not."""
+        """Answer commands in order.  A command that was read is executed even if its reply is lost."""
         lines = Lines(stream.receive)
         session = Session()
         replies = b""
@@ -54,7 +54,7 @@
             replies = b""
 
     def _execute(self, session: Session, words: list[bytes]) -> bytes:
-        reply = self.keys.act(session, words)
+        reply = self.keys.execute(session, words)
         is_aborted_transaction = words[:1] == [b"EXEC"] and reply is None
-        # A null array, not a null text.
+        # RESP2 answers an aborted EXEC with a null array; encode_reply would return a null bulk string.
         return b"*-1\r\n" if is_aborted_transaction else encode_reply(reply)
--- a/runloft/lab/reporting.py
+++ b/runloft/lab/reporting.py
@@ -1,4 +1,4 @@
-"""What a run came to: table rows, and a plot of each volume's service over time."""
+"""Reports of a run: table rows, and a plot of the units served to each volume over time."""
 
 import math
 from collections.abc import Iterator, Sequence
@@ -16,15 +16,16 @@
 def rows(reports: Sequence[ArmReport], classes: dict[str, LoadClass]) -> Iterator[tuple[str, ...]]:
     """Yield a row for each arm and volume.
 
-    ``kept`` is the share of its reserve, where requested, that was served in time.
+    "in time" is within the latency objective.  "kept" is the fraction of the reserve that was served in
+    time, of as much of it as was requested in each second.
     """
     for report in reports:
         for tally in report.tallies:
-            target_s = classes[tally.volume.class_name].target_s
-            yield (report.name, *_cells(tally, target_s))
+            latency_objective_s = classes[tally.volume.class_name].latency_objective_s
+            yield (report.name, *_cells(tally, latency_objective_s))
 
 
-def _cells(tally: Tally, target_s: float) -> tuple[str, ...]:
+def _cells(tally: Tally, latency_objective_s: float) -> tuple[str, ...]:
     volume = tally.volume
     requested = sum(result.arrival.units for result in tally.results)
     refused = sum(result.outcome is RequestOutcome.REFUSED for result in tally.results)
@@ -33,20 +34,20 @@
         volume.plan,
         f"{requested / tally.seconds:.1f}",
         f"{volume.reserve:g}",
-        f"{tally.served_units(target_s) / tally.seconds:.1f}",
-        f"{tally.reserve_share(target_s):.3f}" if volume.reserve else "-",
-        _milliseconds(tally.latency_quantile_s(0.5)),
-        _milliseconds(tally.latency_quantile_s(0.99)),
+        f"{tally.served_units(latency_objective_s) / tally.seconds:.1f}",
+        f"{tally.reserve_share(latency_objective_s):.3f}" if volume.reserve else "-",
+        _format_ms(tally.latency_quantile_s(0.5)),
+        _format_ms(tally.latency_quantile_s(0.99)),
         f"{refused / max(1, len(tally.results)):.2f}",
     )
 
 
-def _milliseconds(seconds: float) -> str:
+def _format_ms(seconds: float) -> str:
     return "-" if math.isnan(seconds) else f"{seconds * MS_PER_S:.0f}"
 
 
 def plot(reports: Sequence[ArmReport], classes: dict[str, LoadClass], path: Path) -> None:
-    """Draw units a second served in time, a panel for each arm."""
+    """Plot the units that were served in time in each second, with a panel for each arm."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -56,8 +57,8 @@
     figure, panels = pyplot.subplots(1, len(reports), figsize=size, sharey=True, squeeze=False)
     for panel, report in zip(panels[0], reports, strict=True):
         for tally in report.tallies:
-            target_s = classes[tally.volume.class_name].target_s
-            served = tally.served_units_by_second(target_s)
+            latency_objective_s = classes[tally.volume.class_name].latency_objective_s
+            served = tally.served_units_by_second(latency_objective_s)
             (line,) = panel.plot(range(len(served)), served, label=tally.volume.name)
             if tally.volume.reserve:
                 panel.axhline(tally.volume.reserve, color=line.get_color(), linestyle=":")
--- a/runloft/lab/requests.py
+++ b/runloft/lab/requests.py
@@ -1,25 +1,25 @@
-"""What the laboratory's clients share: commands in RESP2, trace ids, and quantiles of latencies."""
+"""Helpers shared by the laboratory's clients: RESP2 commands, trace ids and quantiles."""
 
 from collections.abc import Sequence
 
 from runloft.net import resp2
 
-# Spreads consecutive numbers over 64 bits: trace ids that look random and never repeat.
+# Multiplicative hash of a request's number.  The multiplier is odd, so that trace ids are distinct.
 TRACE_MULTIPLIER = 2654435761
 TRACE_MODULUS = 1 << 64
 
 
 def encode_command(words: Sequence[bytes]) -> bytes:
-    """Return a command in RESP2."""
+    """Return a command encoded in RESP2."""
     return b"".join(resp2.encode_command(*words))
 
 
 def trace_id(request_number: int) -> bytes:
-    """Return a request's trace id, 16 hexadecimal digits."""
+    """Return the trace id of a request as 16 hexadecimal digits."""
     return b"%016x" % (request_number * TRACE_MULTIPLIER % TRACE_MODULUS)
 
 
 def quantile(values: Sequence[float], probability: float) -> float:
-    """Return the value that so large a share of all lies below; there has to be one."""
+    """Return the quantile of the values for a probability.  There must be at least one value."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(probability * len(ordered)))]
--- a/runloft/lab/rollouts.py
+++ b/runloft/lab/rollouts.py
@@ -1,7 +1,7 @@
-"""``runloft lab rollouts``: how long a roll-out takes, and how long two generations are served.
+"""``runloft lab rollouts``: measure how long a rollout takes, and how long two generations are served.
 
-The sidecars' own agreement tasks, each with its client and local snapshot, in one process over the stand-in
-store; a fraction of the store's replies may be lost.
+The agreement tasks of all sidecars, each with its own store client and local snapshot, run in one process
+against the stand-in store.  A fraction of the store's replies can be lost.
 """
 
 import argparse
@@ -29,25 +29,25 @@
 CHANGED_PARTS = 3.0
 NS_PER_MS = 1_000_000
 MS_PER_S = 1000
-REPLIES_PER_LEASE = 4  # a reply may take so small a part of it
+TIMEOUTS_PER_LEASE = 4  # of exchanges with the store
 POLLS_PER_LEASE = 10
-LEASES_TO_EXPIRE = 2  # after so many, whatever was staged has expired
-COLUMNS = ("sidecars", "lost", "in force", "s in all", "two served, ms", "of a lease")
+STAGE_EXPIRY_LEASES = 2  # after which any stage has expired
+COLUMNS = ("sidecars", "lost", "done", "total s", "two generations served, ms", "fraction of a lease")
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutTime:
-    """One roll-out."""
+class RolloutMeasurement:
+    """The measurement of one rollout."""
 
     sidecars: int
     loss: float  # probability that a reply is lost
     done: bool
-    seconds: float  # from the start until all serve by it
-    spread_s: float  # between the first and the last sidecar's change
+    seconds: float  # until the rollout is done or abandoned
+    spread_s: float  # between the first and the last sidecar's change of configuration
 
 
 def minimal_config(name: str, directory: str, store: str, lease_ms: float) -> Config:
-    """Return a sidecar's configuration, as small as one may be."""
+    """Return a minimal configuration of a sidecar."""
     document = {
         "name": name,
         "listen": "127.0.0.1:0",
@@ -64,7 +64,10 @@
 
 
 class RolloutTimer:
-    """Times roll-outs among sidecars in this process; ``changed_at`` holds when each last changed."""
+    """Measures a rollout to sidecars in this process.
+
+    ``changed_at`` holds the time at which each sidecar last changed its configuration.
+    """
 
     def __init__(self, sidecars: int, loss: float, lease_ms: float, seed: int) -> None:
         self.sidecars = sidecars
@@ -75,27 +78,27 @@
         self.server.failures.random = Random(seed)
         self.changed_at: dict[str, float] = {}
 
-    async def measure(self) -> RolloutTime:
-        """Let sidecars join, roll out another weight, and time when each changes."""
+    async def measure(self) -> RolloutMeasurement:
+        """Start the sidecars, roll out a changed plan setting, and record when each sidecar applies it."""
         with tempfile.TemporaryDirectory(prefix="runloft-lab-") as folder:
             async with anyio.create_task_group() as group:
                 await group.start(self.server.run)
                 clients = [self._start_client(f"s{number}", folder, group) for number in range(self.sidecars)]
                 lease_ns = int(self.lease_ms * NS_PER_MS)
-                store = AgreementStore(self._url, KEY_PREFIX, lease_ns, self.lease_s / REPLIES_PER_LEASE)
-                await self._wait_joined(clients)
-                self.server.failures.lost = self.loss
+                store = AgreementStore(self._url, KEY_PREFIX, lease_ns, self.lease_s / TIMEOUTS_PER_LEASE)
+                await self._wait_until_joined(clients)
+                self.server.failures.reply_loss_probability = self.loss
                 self.changed_at.clear()
                 started_at = time.monotonic()
                 done = await self._roll_out(store)
                 seconds = time.monotonic() - started_at
-                times = sorted(self.changed_at.values())
+                change_times = sorted(self.changed_at.values())
                 for client in clients:
                     await client.stop()
                 await store.close()
                 group.cancel_scope.cancel()
-        spread_s = times[-1] - times[0] if times else 0.0
-        return RolloutTime(self.sidecars, self.loss, done, seconds, spread_s)
+        spread_s = change_times[-1] - change_times[0] if change_times else 0.0
+        return RolloutMeasurement(self.sidecars, self.loss, done, seconds, spread_s)
 
     @property
     def _url(self) -> str:
@@ -107,24 +110,24 @@
         assert isinstance(settings, AgreementSettings)
         client = AgreementClient(settings, config, time.monotonic_ns)
         client.start()
-        client.on_config = self._recording(name)
+        client.on_config = self._change_recorder(name)
         group.start_soon(client.run)
         return client
 
-    def _recording(self, name: str) -> Callable[[Config], None]:
+    def _change_recorder(self, name: str) -> Callable[[Config], None]:
         def record(_: Config) -> None:
             self.changed_at[name] = time.monotonic()
 
         return record
 
-    async def _wait_joined(self, clients: Sequence[AgreementClient]) -> None:
+    async def _wait_until_joined(self, clients: Sequence[AgreementClient]) -> None:
         with anyio.fail_after(TIMEOUT_S):
             while any(client.status.generation == 0 for client in clients):
                 await anyio.sleep(self.lease_s / POLLS_PER_LEASE)
-            await anyio.sleep(self.lease_s * LEASES_TO_EXPIRE)
+            await anyio.sleep(self.lease_s * STAGE_EXPIRY_LEASES)
 
     async def _roll_out(self, store: AgreementStore) -> bool:
-        """Roll out until it is done; one that a lost reply has stopped is repeated, as by an operator."""
+        """Roll out a change; repeat it while lost replies stop it, as an operator would."""
         started_at = time.monotonic()
         for _ in range(MAX_ATTEMPTS):
             report = await run_rollout(store, _with_changed_parts)
@@ -132,7 +135,7 @@
                 return True
             if time.monotonic() - started_at > TIMEOUT_S:
                 return False
-            await anyio.sleep(self.lease_s * LEASES_TO_EXPIRE)
+            await anyio.sleep(self.lease_s * STAGE_EXPIRY_LEASES)
         return False
 
 
@@ -143,24 +146,24 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Measure and print; return 1 where a roll-out was not committed."""
-    times = []
+    """Measure the rollouts and print them; return 1 if one was not completed."""
+    measurements = []
     for sidecars in map(int, options.sidecars.split(",")):
         for loss in map(float, options.lost.split(",")):
             timer = RolloutTimer(sidecars, loss, options.lease_ms, options.seed)
-            times.append(anyio.run(timer.measure))
-    rows = [_row(one, options.lease_ms) for one in times]
-    print_table(f"Roll-outs, lease {options.lease_ms:g} ms, seed {options.seed}", COLUMNS, rows)
-    return 0 if all(one.done for one in times) else 1
+            measurements.append(anyio.run(timer.measure))
+    rows = [_row(measurement, options.lease_ms) for measurement in measurements]
+    print_table(f"Rollouts, lease {options.lease_ms:g} ms, seed {options.seed}", COLUMNS, rows)
+    return 0 if all(measurement.done for measurement in measurements) else 1
 
 
-def _row(measured: RolloutTime, lease_ms: float) -> tuple[str, ...]:
-    spread_ms = measured.spread_s * MS_PER_S
+def _row(measurement: RolloutMeasurement, lease_ms: float) -> tuple[str, ...]:
+    spread_ms = measurement.spread_s * MS_PER_S
     return (
-        str(measured.sidecars),
-        f"{measured.loss:g}",
-        "yes" if measured.done else "no",
-        f"{measured.seconds:.2f}",
+        str(measurement.sidecars),
+        f"{measurement.loss:g}",
+        "yes" if measurement.done else "no",
+        f"{measurement.seconds:.2f}",
         f"{spread_ms:.0f}",
         f"{spread_ms / lease_ms:.3f}",
     )
--- a/runloft/lab/scenario.py
+++ b/runloft/lab/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: typed records in TOML, as all of the program's settings."""
+"""Scenario files: TOML, declared as typed records like the program's settings."""
 
 import os
 from dataclasses import dataclass
@@ -21,55 +21,69 @@
 
 @attrs.frozen
 class DemandRecord(Record):
-    """What one volume of the fleet asks for."""
+    """The load on one volume of the fleet."""
 
-    volume: str = setting("volume", kinds.name(), description="of the fleet, by name")
-    class_name: str = setting("class", kinds.name(), description="of its requests")
-    rate: float = setting("units_per_s", Number("units a second", 0.0, 1e5), description="that it asks for")
-    units: float = setting("units", Number("units", above=0.0, maximum=1e3), 2.0, "of one request")
-    surge: float = setting("surge", Number(minimum=0.0, maximum=1e4), 1.0, "multiple of its rate in a surge")
-    surge_at: float = setting("surge_at_s", SECONDS, 0.0, "when the surge begins")
-    surge_for: float = setting("surge_for_s", SECONDS, 0.0, "how long it lasts")
-    retries: int = setting("retries", count(0, 10), 1, "of its clients, when refused")
+    volume: str = setting("volume", kinds.name(), description="name of a volume of the fleet")
+    class_name: str = setting("class", kinds.name(), description="class of the requests")
+    units_per_s: float = setting(
+        "units_per_s", Number("units a second", 0.0, 1e5), description="units requested per second"
+    )
+    units_per_request: float = setting(
+        "units", Number("units", above=0.0, maximum=1e3), 2.0, "units of one request"
+    )
+    surge_factor: float = setting(
+        "surge", Number(minimum=0.0, maximum=1e4), 1.0, "multiple of the rate during the surge"
+    )
+    surge_at_s: float = setting("surge_at_s", SECONDS, 0.0, "start of the surge")
+    surge_for_s: float = setting("surge_for_s", SECONDS, 0.0, "duration of the surge")
+    retries: int = setting("retries", count(0, 10), 1, "retries of a request that isn't served")
 
 
 @attrs.frozen
 class EditRecord(Record):
-    """A change to the file beside one application: the mistyping that is looked into."""
+    """A change to one application's configuration file, such as a mistyped value."""
 
-    application: str = setting("application", kinds.name(), description="whose file")
-    table: str = setting("plan", kinds.name(), description="the plan whose row it is")
-    key: str = setting("key", kinds.name(), description="the key in the row")
-    value: float = setting("value", Number(), None, "what stands there instead; absent: the key is gone")
+    application: str = setting("application", kinds.name(), description="application whose file is changed")
+    plan: str = setting("plan", kinds.name(), description="plan whose row is changed")
+    key: str = setting("key", kinds.name(), description="key in the row")
+    value: float = setting("value", Number(), None, "new value; if absent, the key is removed")
 
 
 @attrs.frozen
 class EventRecord(Record):
-    """Something that happens to a node."""
+    """An event that affects a node during the run."""
 
-    at: float = setting("at_s", SECONDS, description="when")
-    what: str = setting("what", Text(("drain", "die", "restart", "pause")), description="what")
-    node: str = setting("node", kinds.name(), description="of the fleet, by uid")
-    seconds: float = setting("for_s", SECONDS, 0.2, "how long a pause lasts")
+    at_s: float = setting("at_s", SECONDS, description="time of the event")
+    kind: str = setting("what", Text(("drain", "die", "restart", "pause")), description="kind of event")
+    node: str = setting("node", kinds.name(), description="uid of a node of the fleet")
+    pause_s: float = setting("for_s", SECONDS, 0.2, "duration of a pause")
 
 
 @attrs.frozen
 class ArmRecord(Record):
-    """One of the versions or settings that are compared in one run."""
+    """A variant of the configuration that a run compares with the other arms."""
 
-    name: str = setting("name", kinds.name(), description="in the report")
-    edits: list[int] = setting("edits", ListOf(count(0)), [], "which edits are made, counted from 0")
-    agreement: bool = setting("agreement", Boolean(), False, "the fleet is rolled out, and all go by it")
+    name: str = setting("name", kinds.name(), description="name in the report")
+    edits: list[int] = setting("edits", ListOf(count(0)), [], "indices of the edits to apply, counted from 0")
+    agreement: bool = setting(
+        "agreement", Boolean(), False, "roll out the fleet, so that all sidecars serve the same generation"
+    )
 
 
 @attrs.frozen
 class ScenarioRecord(Record):
-    """A scenario."""
+    """The contents of a scenario file."""
 
-    name: str = setting("name", kinds.name(), description="of the scenario")
-    fleet: str = setting("fleet", Text(allow_empty=False), description="the fleet file, beside this one")
-    seconds: float = setting("seconds", Number("seconds", 0.5, 600.0), 10.0, "of load, for each arm")
-    lease: float = setting("lease_ms", kinds.milliseconds(200.0, 60_000.0), 500.0, "of the agreement")
+    name: str = setting("name", kinds.name(), description="name of the scenario")
+    fleet: str = setting(
+        "fleet", Text(allow_empty=False), description="path of the fleet file, relative to the scenario file"
+    )
+    seconds: float = setting(
+        "seconds", Number("seconds", 0.5, 600.0), 10.0, "duration of the load in each arm"
+    )
+    lease_ms: float = setting(
+        "lease_ms", kinds.milliseconds(200.0, 60_000.0), 500.0, "lease duration of the agreement"
+    )
     demands: list[DemandRecord] = setting("demands", Rows(DemandRecord, 1))
     edits: list[EditRecord] = setting("edits", Rows(EditRecord), [])
     events: list[EventRecord] = setting("events", Rows(EventRecord), [])
@@ -78,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A scenario that was read, with its fleet."""
+    """A validated scenario with its fleet, and the load derived from both."""
 
     record: ScenarioRecord
     fleet: Fleet
@@ -87,7 +101,7 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Read a scenario and its fleet; raise ConfigError with every fault."""
+    """Read a scenario and its fleet; raise ConfigError with the faults that were found."""
     toml = read_toml(path)
     reader = toml.reader
     record = reader.record(ScenarioRecord, toml.document) if toml.document is not None else None
@@ -116,7 +130,7 @@
 def _load_volumes(
     reader: Reader, record: ScenarioRecord, fleet: Fleet, classes: dict[str, LoadClass]
 ) -> tuple[LoadVolume, ...]:
-    """Return the demands on the fleet's volumes; names that the fleet lacks are faults of the reader."""
+    """Return the load on each volume; report names that the fleet lacks as faults to the reader."""
     fleet_volumes = {volume.name: volume for volume in fleet.volumes}
     volumes = []
     for index, demand in enumerate(record.demands):
@@ -139,11 +153,11 @@
         shards=volume.shards,
         sidecars=volume.sidecars,
         class_name=demand.class_name,
-        units_per_s=demand.rate,
-        units=demand.units,
-        surge=demand.surge,
-        surge_at_s=demand.surge_at,
-        surge_for_s=demand.surge_for,
+        units_per_s=demand.units_per_s,
+        units_per_request=demand.units_per_request,
+        surge_factor=demand.surge_factor,
+        surge_at_s=demand.surge_at_s,
+        surge_for_s=demand.surge_for_s,
         retries=demand.retries,
         reserve=volume.plan.reserve,
     )
@@ -154,7 +168,9 @@
         for edit_index, edit in enumerate(arm.edits):
             if edit >= len(record.edits):
                 key = ("arms", str(arm_index), "edits", str(edit_index))
-                reader.fault(key, "unknown-edit", f"there are {len(record.edits)} edits")
+                reader.fault(
+                    key, "unknown-edit", f"there is no edit {edit}: {len(record.edits)} edits, counted from 0"
+                )
 
 
 def _check_events(reader: Reader, record: ScenarioRecord, fleet: Fleet) -> None:
--- a/runloft/lab/serving.py
+++ b/runloft/lab/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' servers share: a listener on loopback, failures on command, and bytes counted."""
+"""The base of the stand-ins' servers: a loopback listener, injectable failures and byte counters."""
 
 import socket
 import time
@@ -17,36 +17,39 @@
 
 @dataclass
 class Failures:
-    """How a server misbehaves; each may be changed while it runs."""
+    """The failures that a server injects; each may be changed while the server runs."""
 
     delay_s: float = 0.0  # before each reply
-    silent: bool = False  # connections stay open, and nothing is read or answered
-    lost: float = 0.0  # probability that a round trip's reply never arrives: the connection is reset
-    refusing: bool = False  # connections are reset as they are accepted
+    silent: bool = False  # connections stay open, but no replies are sent
+    reply_loss_probability: float = 0.0  # of a closed connection instead of a reply
+    refusing: bool = False  # connections are closed as soon as they are accepted
     random: Random = field(default_factory=lambda: Random(1))
 
     def loses_reply(self) -> bool:
-        """Return whether this reply is lost."""
-        return self.lost > 0 and self.random.random() < self.lost
+        """Return whether the next reply is lost, drawn at random."""
+        return self.reply_loss_probability > 0 and self.random.random() < self.reply_loss_probability
 
 
 @dataclass
 class Traffic:
-    """The bytes of a server's connections; ``by_second`` of the monotonic clock, both ways."""
+    """The bytes that a server received and sent.
+
+    ``by_second`` holds the sum of both by the second of the monotonic clock.
+    """
 
     received: int = 0
     sent: int = 0
     by_second: Counter[int] = field(default_factory=Counter)
 
     def add(self, received: int, sent: int) -> None:
-        """Add what was transferred just now."""
+        """Add bytes that were transferred now."""
         self.received += received
         self.sent += sent
         self.by_second[int(time.monotonic())] += received + sent
 
 
 class CountingStream(anyio.abc.SocketStream):
-    """A connection whose bytes are counted."""
+    """A connection that counts its bytes."""
 
     def __init__(self, inner: anyio.abc.SocketStream, traffic: Traffic) -> None:
         self.inner = inner
@@ -57,27 +60,27 @@
         return self.inner._raw_socket
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
-        """Receive and count."""
+        """Receive data and count it."""
         data = await self.inner.receive(max_bytes)
         self.traffic.add(received=len(data), sent=0)
         return data
 
     async def send(self, item: bytes) -> None:
-        """Count and send."""
+        """Count data and send it."""
         self.traffic.add(received=0, sent=len(item))
         await self.inner.send(item)
 
     async def send_eof(self) -> None:
-        """Shut the sending side down."""
+        """Shut down the sending side."""
         await self.inner.send_eof()
 
     async def aclose(self) -> None:
-        """Close it."""
+        """Close the connection."""
         await self.inner.aclose()
 
 
 class LabServer:
-    """One listener on a loopback port that the system chooses."""
+    """A server on a loopback port, which the system chooses unless ``address`` is set."""
 
     def __init__(self) -> None:
         self.failures = Failures()
@@ -86,7 +89,7 @@
         self.streams: set[anyio.abc.SocketStream] = set()
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[str] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; the task's status is its address once it listens."""
+        """Serve until cancelled; report the address as the task's status once listening."""
         host, _, port = self.address.partition(":")
         listener = await anyio.create_tcp_listener(
             local_host=host or "127.0.0.1", local_port=int(port or 0), reuse_port=False
@@ -113,14 +116,17 @@
         raise NotImplementedError
 
     async def reset(self) -> None:
-        """Break off every connection."""
+        """Close all connections forcefully."""
         broken = self.streams
         self.streams = set()
         for stream in broken:
             await anyio.aclose_forcefully(stream)
 
     async def wait_while_failing(self, stream: anyio.abc.SocketStream) -> None:
-        """Wait as long as the server is slow or silent; ClosedResourceError once the connection is reset."""
+        """Wait for the injected delay, and while the server is silent.
+
+        Raises ClosedResourceError if the connection is reset during the silence.
+        """
         if self.failures.delay_s:
             await anyio.sleep(self.failures.delay_s)
         while self.failures.silent:
@@ -130,7 +136,7 @@
 
 
 class Lines:
-    """Buffered reading of a connection."""
+    """A buffered reader of a connection."""
 
     def __init__(self, receive: Callable[[], Awaitable[bytes]]) -> None:
         self._receive = receive
@@ -138,15 +144,15 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is buffered: what was sent together has been read."""
+        """Whether the buffer is empty: all pipelined commands received so far have been read."""
         return not self._data
 
     def push(self, data: bytes) -> None:
-        """Append what was received elsewhere."""
+        """Append data that was received outside this reader."""
         self._data += data
 
     async def line(self) -> bytes:
-        """Read a line, without its end."""
+        """Read a line; return it without its line end."""
         while (end := self._data.find(LINE_END)) < 0:
             self._data += await self._receive()
         line = bytes(self._data[:end])
@@ -154,7 +160,7 @@
         return line
 
     async def exactly(self, count: int) -> bytes:
-        """Read so many bytes."""
+        """Read exactly the given number of bytes."""
         while len(self._data) < count:
             self._data += await self._receive()
         data = bytes(self._data[:count])
@@ -162,10 +168,10 @@
         return data
 
     async def command(self) -> list[bytes]:
-        """Read a RESP2 command; ValueError where it is none."""
+        """Read a RESP2 command; raise ValueError if it isn't an array."""
         head = await self.line()
         if head[:1] != b"*":
-            raise ValueError("no array")
+            raise ValueError(f"expected a RESP2 array, got {head!r}")
         words = []
         for _ in range(int(head[1:])):
             size = int((await self.line())[1:])
--- a/runloft/lab/sidecars.py
+++ b/runloft/lab/sidecars.py
@@ -1,4 +1,4 @@
-"""The sidecars of one arm: the program itself, one process beside each application."""
+"""The sidecars of one arm: a process of the program for each application."""
 
 import os
 import sys
@@ -20,12 +20,15 @@
 
 
 class SidecarError(LaboratoryError, RuntimeError):
-    """A sidecar that ended by itself, or not with exit code 0: its name or the end of its log."""
+    """A sidecar exited before it was serving, or with an exit code other than 0."""
 
 
 @asynccontextmanager
 async def running_sidecars(files: dict[str, Path], folder: Path) -> AsyncIterator[dict[str, str]]:
-    """Run a sidecar with each file; yield their addresses by name, and end them in order."""
+    """Run a sidecar for each configuration file; yield their addresses by name.
+
+    On exit the sidecars are terminated, and each must shut down with exit code 0.
+    """
     processes: dict[str, anyio.abc.Process] = {}
     try:
         for name, path in files.items():
@@ -40,7 +43,7 @@
         with anyio.fail_after(STOP_TIMEOUT_S):
             for name, process in processes.items():
                 if code := await process.wait():
-                    raise SidecarError(f"{name} ended with {code}")
+                    raise SidecarError(f"sidecar {name} exited with code {code}")
     finally:
         for process in processes.values():
             if process.returncode is None:
@@ -60,10 +63,13 @@
 
 
 async def _serving_address(process: anyio.abc.Process, log: Path) -> str:
-    """Wait until a sidecar serves; return its address."""
+    """Wait until a sidecar is serving; return its address."""
     with anyio.fail_after(START_TIMEOUT_S):
         while not (match := SERVING.search(log.read_text())):
             if process.returncode is not None:
-                raise SidecarError(log.read_text()[-LOG_TAIL_CHARACTERS:])
+                raise SidecarError(
+                    f"sidecar {log.stem} exited before it was serving; end of its log: "
+                    f"{log.read_text()[-LOG_TAIL_CHARACTERS:]}"
+                )
             await anyio.sleep(LOG_POLL_S)
     return match[1]
--- a/runloft/lab/stand_in_fleet.py
+++ b/runloft/lab/stand_in_fleet.py
@@ -1,4 +1,4 @@
-"""The stand-ins of one arm: nodes as the fleet file has them, a discovery, a store."""
+"""The stand-ins of one arm: the fleet file's nodes, a discovery agent and a store."""
 
 import time
 
@@ -16,7 +16,7 @@
 
 
 class StandInFleet:
-    """The stand-ins of one arm."""
+    """The nodes, the discovery agent and the store of one arm."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.discovery = LabDiscovery()
@@ -26,23 +26,23 @@
         }
 
     async def start(self, group: anyio.abc.TaskGroup) -> None:
-        """Listen, and list the nodes."""
+        """Start all servers and add the nodes to the endpoint list."""
         await group.start(self.discovery.run)
         await group.start(self.store.run)
         for uid, node in self.nodes.items():
             await group.start(node.run)
             self.discovery.put(uid, node.address, node.shard)
 
-    async def play_event(self, event: EventRecord) -> None:
-        """Wait for an event's time and let it happen to its node."""
-        await anyio.sleep(event.at)
+    async def apply_event(self, event: EventRecord) -> None:
+        """Wait until an event is due, then apply it to its node."""
+        await anyio.sleep(event.at_s)
         node = self.nodes[event.node]
-        match event.what:
+        match event.kind:
             case "drain":
                 self.discovery.drain(event.node)
             case "pause":
                 now = time.monotonic()
-                node.state.pauses.append(Pause(now, now + event.seconds))
+                node.state.pauses.append(Pause(now, now + event.pause_s))
             case "die":
                 node.failures.refusing = True
                 await node.reset()
@@ -62,7 +62,7 @@
         cores=max(1, round(machine.cores)),
         speed=machine.speed[0],
         unit_ms=record.unit_work_ms,
-        slow_start_from=machine.cold_fraction,
+        initial_capacity_fraction=machine.cold_fraction,
         slow_start_s=machine.warm_up_ms / MS_PER_S,
         overload_multiple=float(safety.get("FallMultiple", DEFAULT_OVERLOAD_MULTIPLE)),
     )
--- a/tests/agreement/test_store.py
+++ b/tests/agreement/test_store.py
@@ -227,7 +227,7 @@
                 server.failures.refusing = True
                 server.portal.call(server.reset)
             case "reset":
-                server.failures.lost = 1.0
+                server.failures.reply_loss_probability = 1.0
             case "types":
                 server.keys.empty()
                 server.keys.data[b"t:force:rank"] = {b"a": b"b"}
--- a/tests/lab/test_node.py
+++ b/tests/lab/test_node.py
@@ -1,4 +1,4 @@
-"""A stand-in node's capacity and pauses."""
+"""The capacity model of a stand-in node, and its pauses."""
 
 import pytest
 
@@ -8,10 +8,10 @@
     cores=2,
     speed=1.0,
     unit_ms=20.0,
-    slow_start_from=0.25,
+    initial_capacity_fraction=0.25,
     slow_start_s=10.0,
     overload_multiple=2.0,
-    overload_s=2.0,
+    overload_window_s=2.0,
 )
 
 
@@ -21,7 +21,7 @@
     assert state.service_s(50.0, 3.0) == pytest.approx(0.06) and state.service_s(0.0, 3.0) == pytest.approx(
         0.24
     )
-    # At 4 s it has 0.55 of 100 units/s: twice that for two seconds are 220 units.
+    # At 4 s the capacity is 0.55 of 100 units/s; twice that over the 2 s window is 220 units.
     for step in range(21):
         assert state.add_load(2.1 + step * 0.09, 10.0)
     assert not state.add_load(4.0, 15.0) and not state.add_load(60.0, 1.0)
--- a/tests/lab/test_redis.py
+++ b/tests/lab/test_redis.py
@@ -1,4 +1,4 @@
-"""The Redis stand-in's listeners."""
+"""The listeners of the Redis stand-in."""
 
 import anyio
 import pytest
@@ -17,10 +17,10 @@
                 host, _, port = (await group.start(server.run)).partition(":")
                 streams.append(await anyio.connect_tcp(host, int(port)))
             await streams[0].send(b"*3\r\n$3\r\nSET\r\n$1\r\nk\r\n$1\r\nv\r\n*1\r\n$4\r\nPING\r\n")
-            got = b""
-            while len(got) < 12:
-                got += await streams[0].receive()
-            assert got == b"+OK\r\n+PONG\r\n"
+            received = b""
+            while len(received) < 12:
+                received += await streams[0].receive()
+            assert received == b"+OK\r\n+PONG\r\n"
             one.failures.silent = True
             await one.reset()
             with pytest.raises(anyio.EndOfStream):
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Reading scenarios."""
+"""The faults of scenario files."""
 
 from pathlib import Path
 
@@ -30,6 +30,6 @@
     assert old in text
     (tmp_path / "s.toml").write_text(text.replace(old, new, 1))
     (tmp_path / "mistyped-fleet.toml").write_text((DEMO / "mistyped-fleet.toml").read_text())
-    with pytest.raises(ConfigError) as found:
+    with pytest.raises(ConfigError) as raised:
         read_scenario(str(tmp_path / "s.toml"))
-    assert code in found.value.codes
+    assert code in raised.value.codes
--- a/tests/support/lab.py
+++ b/tests/support/lab.py
@@ -1,4 +1,4 @@
-"""The laboratory's servers in a thread of their own, for tests that start the program."""
+"""The laboratory's servers in a separate thread, for tests that start the program."""
 
 import threading
 from contextlib import contextmanager
@@ -11,7 +11,7 @@
 
 @contextmanager
 def running(*servers):
-    """Run servers until the block ends; their failures may be set from the test's thread."""
+    """Run servers until the block ends; a test may set their failures from its own thread."""
     ready, stop = threading.Event(), None
 
     async def main():
@@ -33,17 +33,17 @@
 
 
 class Redis:
-    """The laboratory's store in a thread of its own, until it is closed."""
+    """The Redis stand-in, running in a separate thread until it is closed."""
 
     def __init__(self):
         self.server = RedisStandIn()
-        self._running = running(self.server)
-        self._running.__enter__()
+        self._context = running(self.server)
+        self._context.__enter__()
         self.address = self.server.address
         self.data = self.server.keys.data
         self.connections = self.server.streams
 
     def close(self):
-        if self._running is not None:
-            self._running.__exit__(None, None, None)
-            self._running = None
+        if self._context is not None:
+            self._context.__exit__(None, None, None)
+            self._context = None
