--- a/runloft/lab/keyspace.py
+++ b/runloft/lab/keyspace.py
@@ -1,6 +1,6 @@
 """The data and commands of the Redis stand-in, without I/O.
 
-Written from the public documentation of Redis commands.
+Written from the public description of RESP2 commands.
 """
 
 from collections.abc import Callable
@@ -68,7 +68,7 @@
         for key in list(self.data):
             self._remove(key)
 
-    def execute(self, session: Session, words: list[bytes]) -> Reply:
+    def act(self, session: Session, words: list[bytes]) -> Reply:
         """Execute a connection's command, or queue it if the connection has a transaction open."""
         self.count += 1
         name = words[0].upper().decode("ascii", "replace")
@@ -84,9 +84,9 @@
                 return Simple()
             case "EXEC":
                 return self._exec(session)
-        return self._call(name, words[1:])
+        return self._execute(name, words[1:])
 
-    def _call(self, name: str, arguments: list[bytes]) -> Reply:
+    def _execute(self, name: str, arguments: list[bytes]) -> Reply:
         command = getattr(self, f"do_{name.lower()}", None)
         if command is None:
             return Error(f"ERR unknown command '{name}'")
@@ -130,7 +130,7 @@
             self._unexpired_value(key)
             if self.versions.get(key, 0) != version:
                 return None
-        return [self.execute(Session(), words) for words in queue]
+        return [self.act(Session(), words) for words in queue]
 
     def _unexpired_value(self, key: bytes) -> Any:
         """Return the value of a key, None if it doesn't exist; an expired key is deleted first."""
--- a/runloft/lab/load.py
+++ b/runloft/lab/load.py
@@ -19,7 +19,7 @@
 from runloft.lab.requests import encode_command, quantile, trace_id
 from runloft.lab.serving import BROKEN, Lines
 
-GRACE_S = 0.25  # added to each timeout for delays of this process's event loop
+GRACE_S = 0.25  # added to timeouts for delays of this event loop; a missing answer still times out
 MAX_IN_FLIGHT = 4000  # a request beyond this is not sent, and is lost
 MIN_REMAINING_S = 0.05  # no attempt is made with less time to the deadline
 RETRY_INTERVAL_S = 0.1  # added to the delay with each retry
--- a/runloft/lab/playing.py
+++ b/runloft/lab/playing.py
@@ -82,7 +82,7 @@
     for uid, node in fleet.nodes.items():
         if node.concurrent_attempts:
             violations.append(
-                f"{uid}: {node.concurrent_attempts} attempts overlapped an earlier attempt of the same request"
+                f"{uid}: {node.concurrent_attempts} attempts overlapped another of the same request"
             )
         if node.state.has_crashed:
             violations.append(f"{uid}: crashed under overload")
--- a/runloft/lab/requests.py
+++ b/runloft/lab/requests.py
@@ -4,7 +4,8 @@
 
 from runloft.net import resp2
 
-# Multiplicative hash of a request's number.  The multiplier is odd, so that trace ids are distinct.
+# Multiplicative hash that spreads consecutive request numbers over 64 bits.  The multiplier is odd, so that
+# trace ids don't repeat.
 TRACE_MULTIPLIER = 2654435761
 TRACE_MODULUS = 1 << 64
 
