--- a/runloft/lab/scenario.py
+++ b/runloft/lab/scenario.py
@@ -168,9 +168,8 @@
         for edit_index, edit in enumerate(arm.edits):
             if edit >= len(record.edits):
                 key = ("arms", str(arm_index), "edits", str(edit_index))
-                reader.fault(
-                    key, "unknown-edit", f"there is no edit {edit}: {len(record.edits)} edits, counted from 0"
-                )
+                reason = f"there is no edit {edit}: the scenario has {len(record.edits)}, counted from 0"
+                reader.fault(key, "unknown-edit", reason)
 
 
 def _check_events(reader: Reader, record: ScenarioRecord, fleet: Fleet) -> None:
