--- a/tests/lab/test_keyspace.py
+++ b/tests/lab/test_keyspace.py
@@ -1,4 +1,4 @@
-"""The Redis stand-in's commands."""
+"""The commands of the Redis stand-in."""
 
 from runloft.lab.keyspace import Error, Keyspace, Session
 
