--- a/runloft/lab/scale/__init__.py
+++ b/runloft/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: what each role spends by size, and how long events take until all is in force again."""
+"""Scale runs: measure how each role's resource use grows with fleet size, and how long events take."""
--- a/runloft/lab/scale/capacity.py
+++ b/runloft/lab/scale/capacity.py
@@ -1,6 +1,7 @@
 """``runloft lab capacity PAGE``: write or check the tables of docs/CAPACITY.md.
 
-A cell says where it comes from: m measured, w worked out, g guess.  What has no slope is ``not measured``.
+Each cell states its source: m is measured, w is calculated, g is a guess.  A figure without a slope is shown
+as ``not measured``.
 """
 
 import argparse
@@ -14,7 +15,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Write or check the tables; return 1 where they differ or can't be made."""
+    """Write or check the tables; return 1 if they differ or can't be generated."""
     path = Path(options.page)
     try:
         text = path.read_text()
@@ -28,5 +29,8 @@
         return 0
     differing = differing_tables(text, expected)
     for name in differing:
-        print(f"runloft: {path}: {name}: differs from the documents: write it anew", file=sys.stderr)
+        print(
+            f"runloft: {path}: table {name} differs from the documents; run without --check to update it",
+            file=sys.stderr,
+        )
     return 1 if differing else 0
--- a/runloft/lab/scale/child.py
+++ b/runloft/lab/scale/child.py
@@ -1,6 +1,6 @@
-"""One role of a scale run in a process of its own: commands on standard input, answers on standard output.
+"""Run one role of a scale run in its own process: commands on standard input, answers on standard output.
 
-A child whose standard input closes ends itself, however its parent ended.
+The process exits when its standard input closes, so it never outlives its parent.
 """
 
 import logging
@@ -20,7 +20,7 @@
 
 
 def make_role(name: str, group: anyio.abc.TaskGroup) -> Role:
-    """Return a role by its name; each loads only its own modules, whose memory is measured."""
+    """Return the role with this name; import only its modules, because the process's memory is measured."""
     if name == "store":
         from runloft.lab.scale.stand_ins import StoreRole
 
@@ -39,7 +39,7 @@
 
 
 async def main(role_name: str) -> None:
-    """Carry commands out until standard input closes."""
+    """Execute commands until standard input closes."""
     os.set_blocking(STANDARD_INPUT, False)
     async with anyio.create_task_group() as group:
         role = make_role(role_name, group)
@@ -48,13 +48,13 @@
             await anyio.wait_readable(STANDARD_INPUT)
             data = os.read(STANDARD_INPUT, READ_BYTES)
             if not data:
-                os._exit(0)  # the parent is gone: nobody reads what an orderly end would report
+                os._exit(0)  # the parent has exited: nobody would read the output of a graceful shutdown
             *lines, buffer = (buffer + data).split(b"\n")
             for line in lines:
-                group.start_soon(_answer, role, decode_command(line))
+                group.start_soon(_execute_request, role, decode_command(line))
 
 
-async def _answer(role: Role, request: Request) -> None:
+async def _execute_request(role: Role, request: Request) -> None:
     try:
         answer = encode_answer(request.number, await role.carry_out(request.command))
     except Exception as error:
--- a/runloft/lab/scale/commands.py
+++ b/runloft/lab/scale/commands.py
@@ -1,4 +1,4 @@
-"""``runloft lab scale``: control-plane figures by size, and events at one size, with slopes and a plot."""
+"""``runloft lab scale``: measure figures by fleet size and events at one size; print slopes, draw a plot."""
 
 import argparse
 import sys
@@ -7,22 +7,22 @@
 import anyio
 
 from runloft.config.tool.output import usage_error
-from runloft.lab.scale.command_line import UsageError, plan_from
-from runloft.lab.scale.engine import Run, merged
+from runloft.lab.scale.command_line import UsageError, plan_from_options
+from runloft.lab.scale.engine import Run, merge_results
 from runloft.lab.scale.output import draw_plot, print_tables
 from runloft.lab.scale.records import Result, ResultError, result_from
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run; return 0 where all was measured, 1 where something is missing, 2 for a wrong use."""
+    """Run; return 0 if everything was measured, 1 if results are missing, 2 for a usage error."""
     try:
-        plan = plan_from(options)
+        plan = plan_from_options(options)
         earlier = _earlier_result(options)
     except UsageError as error:
         return usage_error(str(error))
     result = anyio.run(Run(plan).run)
     if earlier:
-        result = merged(earlier, result)
+        result = merge_results(earlier, result)
     if options.output:
         Path(options.output).write_text(result.dump())
     print_tables(result)
@@ -36,7 +36,7 @@
 
 
 def _earlier_result(options: argparse.Namespace) -> Result | None:
-    """Return the result that this run is appended to."""
+    """Return the existing result that this run is appended to, if any."""
     if not options.append or not options.output or not Path(options.output).exists():
         return None
     try:
--- a/runloft/lab/scale/engine.py
+++ b/runloft/lab/scale/engine.py
@@ -1,4 +1,4 @@
-"""A complete scale run: every point, every event, and what there is of it when it is broken off."""
+"""Execute a scale run: every point and every event, with a partial result if the run is interrupted."""
 
 import platform
 import signal
@@ -28,7 +28,7 @@
 
 
 def versions() -> dict[str, str]:
-    """Return the versions of what a run was made with."""
+    """Return the versions of runloft, Python and the reported packages."""
     installed = {"runloft": __version__, "python": platform.python_version()}
     for package in REPORTED_PACKAGES:
         try:
@@ -40,17 +40,17 @@
 
 @dataclass
 class Run:
-    """A run and its results so far."""
+    """A scale run and its results so far."""
 
     plan: RunPlan
     points: list[Point] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
     missing: list[str] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
-    stop_reason: str = ""  # why it was broken off; empty where it wasn't
+    stop_reason: str = ""  # why the run was interrupted; empty if it was not
 
     def result(self) -> Result:
-        """Return the document."""
+        """Return the result document."""
         return Result(
             command=self.plan.command,
             seed=self.plan.setup.seed,
@@ -63,7 +63,7 @@
         )
 
     async def run(self) -> Result:
-        """Run until all is measured, the deadline passes, a child dies or a signal arrives."""
+        """Run until everything is measured, the deadline passes, a child exits or a signal arrives."""
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._handle_signals, scope)
@@ -82,11 +82,11 @@
 
     async def _enforce_deadline(self, scope: anyio.CancelScope) -> None:
         await anyio.sleep(self.plan.deadline_s)
-        self.stop_reason = f"the deadline of {self.plan.deadline_s:g} s came"
+        self.stop_reason = f"deadline of {self.plan.deadline_s:g} s exceeded"
         scope.cancel()
 
     async def _measure_all(self) -> None:
-        """Measure points and events; a child's death ends it, any other failure is recorded."""
+        """Measure points and events; stop if a child exits, record any other failure and continue."""
         for point in self.plan.points():
             self.plan.setup.progress(point.title)
             try:
@@ -108,7 +108,7 @@
     async def _measure(self, point: PlannedPoint) -> MeasuredPoint:
         setup = self.plan.setup
         if point.dimension in DATA_PATH_DIMENSIONS:
-            # Loaded here: only what needs a real scheduler starts one.
+            # Imported here because only the data-path dimensions need a real scheduler.
             from runloft.lab.scale.datapath.load_measurement import measure_load
 
             figures = await measure_load(point.sizes, setup.seconds, setup.seed, setup.progress)
@@ -117,7 +117,7 @@
             return await measure_point(point.sizes, setup, Path(folder))
 
     async def _play_events(self, repeat: int) -> None:
-        """Let one fleet go through the events, in their order."""
+        """Play the events in order on one fleet."""
         setup = self.plan.setup
         with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX) as folder:
             async with Children(Path(folder)) as children:
@@ -125,7 +125,7 @@
                 started_at = await fleet.make_schedulers(agree=True)
                 elapsed_s = await fleet.wait_converged() - started_at
                 await fleet.wait_nodes_listed()
-                setup.progress(f"together in {elapsed_s:.1f} s")
+                setup.progress(f"fleet converged in {elapsed_s:.1f} s")
                 for name in self.plan.events:
                     setup.progress(name)
                     try:
@@ -151,16 +151,16 @@
         self.plan.setup.progress(f"{name}: {figures_text}")
 
     def _add_failure(self, title: str, error: BaseException) -> bool:
-        """Record what failed; return True where a child died, after which nothing more is measured."""
+        """Record a failure; return True if a child has exited, in which case the run can't continue."""
         errors = leaf_errors(error)
-        reason = "; ".join(f"{type(one).__name__}: {one}" for one in errors)
+        reason = "; ".join(f"{type(leaf).__name__}: {leaf}" for leaf in errors)
         self.missing.append(f"{title}: {reason}")
         self.stop_reason = self.stop_reason or reason
         self.plan.setup.progress(f"{title} failed: {reason}")
-        return any(isinstance(one, ChildError) for one in errors)
+        return any(isinstance(leaf, ChildError) for leaf in errors)
 
     def _add_missing(self) -> None:
-        """Record what was not measured because the run was broken off."""
+        """Record the points and events that were not measured because the run was interrupted."""
         measured = {(point.vary, point.sizes, point.repeat) for point in self.points}
         for point in self.plan.points():
             if (point.dimension, point.sizes, point.repeat) not in measured:
@@ -176,8 +176,8 @@
             self.missing.append(f"{title}: {self.stop_reason}")
 
 
-def merged(old: Result, new: Result) -> Result:
-    """Return two runs as one document: the later one's points and events are further repeats."""
+def merge_results(old: Result, new: Result) -> Result:
+    """Return one document for two runs; the later run's points and events count as further repeats."""
     old_points = Counter((point.vary, point.sizes) for point in old.points)
     old_events = Counter((event.name, event.sizes) for event in old.events)
     points = old.points + tuple(
@@ -198,7 +198,7 @@
 
 
 def leaf_errors(error: BaseException) -> Sequence[BaseException]:
-    """Return the errors that a group holds, or the error itself."""
+    """Return the leaf errors of an exception group, or the error itself."""
     if not isinstance(error, BaseExceptionGroup):
         return [error]
-    return [leaf for one in error.exceptions for leaf in leaf_errors(one)]
+    return [leaf for nested in error.exceptions for leaf in leaf_errors(nested)]
--- a/runloft/lab/scale/event_timing.py
+++ b/runloft/lab/scale/event_timing.py
@@ -1,16 +1,16 @@
-"""The figures of how soon the schedulers of a fleet have what an event is about."""
+"""Figures of how long an event's effect takes to reach the schedulers of a fleet."""
 
 from collections.abc import Sequence
 
 from runloft.lab.scale.fitting import quantile
 from runloft.lab.scale.records import Figures
 
-# Until the last scheduler has it; absent where not all of them do.
+# Seconds until the effect has reached the last scheduler; absent if it has not reached all of them.
 ALL_COMMITTED = "all_in_force_s"
 
 
 def arrival_figures(times: Sequence[float], started_at: float, expected: int) -> Figures:
-    """Return the figures of when each scheduler had it; that of all only where all did."""
+    """Return the figures of the times at which the effect reached each scheduler."""
     elapsed = [at - started_at for at in times]
     figures: Figures = {"in_force_count": float(len(elapsed))}
     if elapsed:
--- a/runloft/lab/scale/events.py
+++ b/runloft/lab/scale/events.py
@@ -1,8 +1,9 @@
-"""Events: something happens to a fleet that has converged, and what follows is timed to the last scheduler.
+"""Events: disturb or change a converged fleet, and measure until the effect has reached every scheduler.
 
-Figures: ``all_in_force_s`` until the last scheduler has what the event is about, ``p50_s`` and ``p99_s``
-over the schedulers, ``in_force_count`` those that have it, and each stand-in's worst second, both ways.
-A change's times run from the tool's start.  What dies is started again at once: its times run from its end.
+Figures: ``all_in_force_s`` is the time until the last scheduler has the event's effect, ``p50_s`` and
+``p99_s`` are quantiles over the schedulers, ``in_force_count`` is the number of schedulers that have it.
+``worst_second_bytes`` is each stand-in's traffic, both ways, in its busiest second.  A change is timed from
+the start of the rollout.  Schedulers that are stopped are restarted at once, and timed from the stop.
 """
 
 import time
@@ -17,39 +18,39 @@
 from runloft.lab.scale.names import REGIONS, ZONES
 from runloft.lab.scale.records import Figures
 
-Notes: TypeAlias = list[str]  # what a reader of the figures has to know
+Notes: TypeAlias = list[str]  # remarks that a reader of the figures needs
 
-ARRIVAL_TIMEOUT_S = 60.0  # for all to have what an event is about
+ARRIVAL_TIMEOUT_S = 60.0  # for an event's effect to reach all schedulers
 ROLLOUT_TIMEOUT_S = 30.0
-REASON_LENGTH = 200
-# Of a full fleet, whose parts a smaller one takes.
+MAX_REASON_LENGTH = 200  # characters
+# Group sizes for a full fleet; smaller fleets scale them down.
 FULL_SCHEDULERS = 450
 RACK_SCHEDULERS = 40
 WAVE_SCHEDULERS = 200
 SECONDS_PER_DAY = 86_400
 SCALED_DAY_S = 30.0
-RESTART_INTERVAL_S = 0.5  # restarts of a day that come sooner after one another are made at once
-DISCOVERY_DOWN_S = 1.0  # until nodes are listed again
-CUT_BEFORE_CHANGE = 0.25  # of the cut's time
+RESTART_INTERVAL_S = 0.5  # restarts that would be closer together are made in one batch
+DISCOVERY_DOWN_S = 1.0  # from discovery's restart until it lists nodes again
+CUT_BEFORE_CHANGE_FRACTION = 0.25  # of the cut's duration
 MAX_CUT_BEFORE_CHANGE_S = 10.0
-RECORDS_BESIDE_LEASES = 2  # the members and the committed generation
+RECORDS_BESIDES_LEASES = 2  # the members and the committed generation
 MS_PER_S = 1000
 
 
-def share_of(fleet: Fleet, count: int) -> int:
-    """Return as large a part of this fleet as so many are of a full one."""
+def scaled_count(fleet: Fleet, count: int) -> int:
+    """Scale a number of schedulers of a full fleet to the size of this fleet; return at least 1."""
     return max(1, round(count * fleet.sizes.schedulers / FULL_SCHEDULERS))
 
 
 async def roll_out_change(fleet: Fleet, notes: Notes, expected: int | None = None) -> Figures:
-    """Roll a change out and wait until all that run, or so many of them, serve by it."""
+    """Roll out a change; wait until all running schedulers, or ``expected`` of them, use it."""
     expected = fleet.running_count if expected is None else expected
     above = await fleet.generation()
     rollout = await fleet.roll_out(ROLLOUT_TIMEOUT_S)
     report = rollout.report
     if not report.done:
-        notes.append(f"the roll-out stopped: {report.reason[:REASON_LENGTH]}")
-    # A roll-out that stopped may yet have begun something; what hasn't arrived by a lease later won't.
+        notes.append(f"the roll-out stopped: {report.reason[:MAX_REASON_LENGTH]}")
+    # A rollout that stopped may still take effect, but only within one lease.
     timeout_s = ARRIVAL_TIMEOUT_S if report.done else fleet.setup.lease_ms / MS_PER_S
     times = await fleet.generation_times(above)
     with anyio.move_on_after(ARRIVAL_TIMEOUT_S):
@@ -74,7 +75,7 @@
 
 
 async def change(fleet: Fleet, notes: Notes) -> Figures:
-    """Roll a change out while all run."""
+    """Roll out a change while all schedulers run."""
     return await roll_out_change(fleet, notes)
 
 
@@ -88,24 +89,24 @@
 
 
 async def change_one_dead(fleet: Fleet, notes: Notes) -> Figures:
-    """Roll a change out just after one scheduler was killed."""
+    """Roll out a change just after one scheduler is killed."""
     return await _change_without(fleet, notes, fleet.names[:1])
 
 
 async def change_rack_dead(fleet: Fleet, notes: Notes) -> Figures:
-    """Roll a change out just after a rack of 40 was killed."""
-    return await _change_without(fleet, notes, fleet.names[: share_of(fleet, RACK_SCHEDULERS)])
+    """Roll out a change just after a rack of 40 schedulers is killed."""
+    return await _change_without(fleet, notes, fleet.names[: scaled_count(fleet, RACK_SCHEDULERS)])
 
 
 async def change_of_primary(fleet: Fleet, notes: Notes) -> Figures:
-    """Let discovery list another node for a shard."""
+    """Make discovery list another node for a shard."""
     shard = fleet.random.randrange(fleet.sizes.nodes)
     await fleet.await_next_node()
     return await _replace_node(fleet, notes, shard, started_at=time.monotonic())
 
 
 async def _replace_node(fleet: Fleet, notes: Notes, shard: int, started_at: float) -> Figures:
-    """Replace a shard's node and wait until each table has the new one."""
+    """Replace a shard's node and wait until every node table has the new one."""
     await fleet.replace_node(shard)
     times: list[float] = []
     with anyio.move_on_after(ARRIVAL_TIMEOUT_S):
@@ -133,13 +134,13 @@
 
 
 async def restarts_wave(fleet: Fleet, notes: Notes) -> Figures:
-    """Restart 200 in order, as one wave."""
-    names = fleet.random.sample(fleet.names, share_of(fleet, WAVE_SCHEDULERS))
+    """Restart 200 schedulers gracefully, all at once."""
+    names = fleet.random.sample(fleet.names, scaled_count(fleet, WAVE_SCHEDULERS))
     return await _restart(fleet, names, graceful=True)
 
 
 async def restarts_day(fleet: Fleet, notes: Notes) -> Figures:
-    """Restart each once, over a scaled day; ``all_in_force_s`` from the last one's restart on."""
+    """Restart each scheduler once over a scaled day; ``all_in_force_s`` counts from the last restart."""
     notes.append(f"a day in {SCALED_DAY_S:g} s: scaled by {SECONDS_PER_DAY / SCALED_DAY_S:g}")
     order = fleet.random.sample(fleet.names, len(fleet.names))
     started_at = time.monotonic()
@@ -160,25 +161,25 @@
 
 
 async def scheduler_dies(fleet: Fleet, notes: Notes) -> Figures:
-    """Kill one, which starts again with its local snapshot."""
+    """Kill one scheduler and restart it with its local snapshot."""
     return await _restart(fleet, fleet.names[:1])
 
 
 async def rack_dies(fleet: Fleet, notes: Notes) -> Figures:
-    """Kill a rack of 40, which starts again with its local snapshots."""
-    return await _restart(fleet, fleet.names[: share_of(fleet, RACK_SCHEDULERS)])
+    """Kill a rack of 40 schedulers and restart them with their local snapshots."""
+    return await _restart(fleet, fleet.names[: scaled_count(fleet, RACK_SCHEDULERS)])
 
 
 async def zone_dies(fleet: Fleet, notes: Notes) -> Figures:
-    """Kill a seventh, which starts again without its local snapshots."""
+    """Kill a zone, a seventh of the schedulers, and restart them without their local snapshots."""
     zone = fleet.names[: max(1, len(fleet.names) // ZONES)]
     return await _restart(fleet, zone, keep_snapshots=False)
 
 
 async def regions_part(fleet: Fleet, notes: Notes) -> Figures:
-    """Cut half of the fleet off from the store, roll a change out, and end the cut.
+    """Disconnect half of the fleet from the store, roll out a change, and reconnect that half.
 
-    ``all_in_force_s`` runs from the end of the cut until the last has the change.
+    ``all_in_force_s`` is the time from the reconnection until the last scheduler uses the change.
     """
     cut_s = fleet.setup.cut_s
     not_cut = sum(".region-00" in name for name in fleet.names)
@@ -186,21 +187,21 @@
     cut_at = time.monotonic()
     await fleet.cut_region(cut=True)
     try:
-        await anyio.sleep(min(cut_s * CUT_BEFORE_CHANGE, MAX_CUT_BEFORE_CHANGE_S))
+        await anyio.sleep(min(cut_s * CUT_BEFORE_CHANGE_FRACTION, MAX_CUT_BEFORE_CHANGE_S))
         figures = await roll_out_change(fleet, notes, expected=not_cut)
         if ALL_COMMITTED in figures:
             figures["while_cut_s"] = figures.pop(ALL_COMMITTED)
         await anyio.sleep(max(0.0, cut_at + cut_s - time.monotonic()))
         figures["cut_connected_count"] = float((await fleet.status()).connected)
     finally:
-        # Not shielded: in a run that is broken off nobody reads the answer, and the fleet ends anyway.
+        # Not shielded: after an interruption no answer is read, and the fleet is stopped anyway.
         await fleet.cut_region(cut=False)
-    healed_at = time.monotonic()
-    figures["cut_s"] = healed_at - cut_at
-    figures[ALL_COMMITTED] = await fleet.wait_converged() - healed_at
+    reconnected_at = time.monotonic()
+    figures["cut_s"] = reconnected_at - cut_at
+    figures[ALL_COMMITTED] = await fleet.wait_converged() - reconnected_at
     if await fleet.generation() <= above:
         second = await roll_out_change(fleet, notes)
-        figures[ALL_COMMITTED] = time.monotonic() - healed_at
+        figures[ALL_COMMITTED] = time.monotonic() - reconnected_at
         if ALL_COMMITTED not in second:
             del figures[ALL_COMMITTED]
         notes.append("the change came into force when it was rolled out again after the healing")
@@ -208,7 +209,7 @@
 
 
 async def discovery_restarts_empty(fleet: Fleet, notes: Notes) -> Figures:
-    """Let discovery forget all; a second later all nodes are listed again, one of them new."""
+    """Delete all data of discovery; list all nodes again a second later and replace one of them."""
     started_at = time.monotonic()
     await fleet.restart_discovery_empty()
     await anyio.sleep(DISCOVERY_DOWN_S)
@@ -221,12 +222,12 @@
 
 
 async def store_restarts_empty(fleet: Fleet, notes: Notes) -> Figures:
-    """Let the store forget all; ``all_in_force_s`` until all are connected and so are the records.
+    """Delete all data of the store, wait until the schedulers have restored it, and roll out a change.
 
-    Then a change is rolled out.
+    ``all_in_force_s`` is the time until all schedulers are connected and all records are restored.
     """
     keys_before = (await fleet.store_traffic()).keys
-    records = min(keys_before, fleet.running_count + RECORDS_BESIDE_LEASES)
+    records = min(keys_before, fleet.running_count + RECORDS_BESIDES_LEASES)
     started_at = time.monotonic()
     await fleet.restart_store_empty()
     traffic: Traffic | None = None
@@ -244,13 +245,13 @@
         )
         return {}
     figures = {ALL_COMMITTED: await fleet.wait_converged() - started_at}
-    await anyio.sleep(2 * fleet.setup.lease_ms / MS_PER_S)  # until what was lost is put back
+    await anyio.sleep(2 * fleet.setup.lease_ms / MS_PER_S)  # until the lost data is restored
     changed = await roll_out_change(fleet, notes)
     return figures | {f"change.{name}": value for name, value in changed.items()}
 
 
 def _scheduler_connections(traffic: Traffic) -> int:
-    """Return the connections to the store's listeners less the tool's."""
+    """Return the number of connections to the store's listeners, without the tool's."""
     return sum(traffic.connections[:REGIONS])
 
 
--- a/runloft/lab/scale/fitting.py
+++ b/runloft/lab/scale/fitting.py
@@ -1,4 +1,4 @@
-"""Straight lines through points: each figure by the size that was varied."""
+"""Fit each figure as a straight line over the size that was varied."""
 
 from collections import defaultdict
 from collections.abc import Iterator, Sequence
@@ -9,7 +9,7 @@
 
 
 def slopes(points: Sequence[Point]) -> tuple[Slope, ...]:
-    """Fit by least squares each figure that every point of a dimension has, from two sizes on."""
+    """Fit by least squares each figure that all points of a dimension have; a fit needs two sizes."""
     dimensions = dict.fromkeys(point.vary for point in points)
     return tuple(
         slope
@@ -24,10 +24,10 @@
         return
     common_figures = set.intersection(*(set(point.figures) for point in points))
     for figure in sorted(common_figures):
-        yield _fitted(dimension, figure, sizes, [point.figures[figure] for point in points])
+        yield _fit(dimension, figure, sizes, [point.figures[figure] for point in points])
 
 
-def _fitted(dimension: str, figure: str, sizes: Sequence[float], values: Sequence[float]) -> Slope:
+def _fit(dimension: str, figure: str, sizes: Sequence[float], values: Sequence[float]) -> Slope:
     x = np.array(sizes)
     y = np.array(values)
     slope, intercept = np.polyfit(x, y, 1)
@@ -43,13 +43,13 @@
 
 
 def _spread(sizes: Sequence[float], values: Sequence[float]) -> float:
-    """Return the widest range between repeats of one size."""
+    """Return the widest range of values among the repeats of one size."""
     by_size: dict[float, list[float]] = defaultdict(list)
     for size, value in zip(sizes, values, strict=True):
         by_size[size].append(float(value))
-    return max(max(some) - min(some) for some in by_size.values())
+    return max(max(repeats) - min(repeats) for repeats in by_size.values())
 
 
 def quantile(values: Sequence[float], probability: float) -> float:
-    """Return the smallest value that so large a share of all does not exceed."""
+    """Return a quantile that is one of the values; a quantile between two values gives the higher one."""
     return float(np.quantile(np.array(values), probability, method="higher"))
--- a/runloft/lab/scale/fleet.py
+++ b/runloft/lab/scale/fleet.py
@@ -1,4 +1,4 @@
-"""One fleet of a scale run: stand-ins, hollow schedulers and the tool, each role in its own processes."""
+"""One fleet of a scale run: stand-ins, hollow schedulers and the rollout tool, in processes of their own."""
 
 import time
 from collections import Counter
@@ -43,15 +43,15 @@
 from runloft.lab.scale.records import Sizes
 from runloft.lab.scale.scheduler_config import config_document, volume_rows
 
-TOOL_LISTENER = 2  # the store's third: its traffic is not the schedulers'
+TOOL_LISTENER = 2  # index of the store's listener that only the tool uses
 POLL_INTERVAL_S = 0.1
-CONVERGENCE_TIMEOUT_S = 90.0  # a fleet that hasn't converged by then won't
+CONVERGENCE_TIMEOUT_S = 90.0  # a fleet that has not converged by then never will
 CUT_REGION = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """What holds for a whole run."""
+    """The settings of a whole run."""
 
     lease_ms: int = 3000
     workers: int = 2
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What all roles have used and sent by a moment of the monotonic clock."""
+    """The resource use and traffic of all roles up to a point of monotonic time."""
 
     at: float
     cpu_s: dict[str, float]  # by role
@@ -74,21 +74,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStatus:
-    """How many schedulers run, are connected with their reserves, and serve by each generation."""
+    """The number of schedulers that run, are connected with their reserves, and use each generation."""
 
     alive: int
     connected: int
     generations: dict[int, int]
 
     def has_converged(self, expected: int) -> bool:
-        """Return whether so many run, connected, and serve by one committed generation."""
+        """Return whether the expected number run, all are connected and all use one committed generation."""
         has_one_generation = len(self.generations) == 1 and 0 not in self.generations
         return has_one_generation and self.alive == self.connected == expected
 
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """One roll-out of the tool, and its bytes."""
+    """One rollout of the tool and the bytes that it exchanged with the store."""
 
     report: RolloutReport
     in_bytes: int
@@ -97,7 +97,7 @@
 
 @dataclass
 class Fleet:
-    """The processes of one size; ``start_fleet`` starts them."""
+    """The processes of a fleet of one size; ``start_fleet`` starts them."""
 
     sizes: Sizes
     setup: Setup
@@ -107,25 +107,25 @@
     discovery: Child
     tool: Child
     workers: list[Child]
-    store_urls: list[str]  # by region; the last is the tool's
+    store_urls: list[str]  # by region; the last one is for the tool
     discovery_addresses: list[str]  # by region
     names: list[str]
-    document: ConfigDocument  # a scheduler's file, which the tool changes
+    document: ConfigDocument  # a scheduler's configuration, on which the tool bases its changes
     resident_mb_without_schedulers: float
-    next_node: int
+    next_node_number: int
     random: Random
-    stopped: set[str] = field(default_factory=set)
-    rollouts: int = 0
+    stopped_names: set[str] = field(default_factory=set)
+    rollout_count: int = 0
 
     @property
     def running_count(self) -> int:
-        """The number of schedulers that should run."""
-        return len(self.names) - len(self.stopped)
+        """The number of schedulers that are not stopped."""
+        return len(self.names) - len(self.stopped_names)
 
     # Schedulers
 
     async def make_schedulers(self, agree: bool) -> float:
-        """Make the schedulers; return when the last was started, of the monotonic clock."""
+        """Create and start the schedulers; return the monotonic time at which the last one was started."""
         started = []
         count = len(self.names)
         for index, worker in enumerate(self.workers):
@@ -145,22 +145,24 @@
         return max(started)
 
     async def join_agreement(self) -> float:
-        """Let all schedulers join the agreement; return when the last did."""
+        """Make all schedulers join the agreement; return when the last one joined."""
         return max([(await worker.ask(StartAgreement(), Moment)).at for worker in self.workers])
 
     async def stop_schedulers(
         self, names: list[str], graceful: bool = False, keep_snapshots: bool = True
     ) -> None:
-        """Stop schedulers: killed, or leaving in order."""
+        """Kill schedulers or shut them down gracefully."""
         await self._ask_workers(
-            names, lambda some: StopSchedulers(some, graceful, keep_snapshots), answer_type=Done
+            names,
+            lambda worker_names: StopSchedulers(worker_names, graceful, keep_snapshots),
+            answer_type=Done,
         )
-        self.stopped |= set(names)
+        self.stopped_names |= set(names)
 
     async def start_schedulers(self, names: list[str]) -> None:
-        """Start schedulers again."""
+        """Restart stopped schedulers."""
         await self._ask_workers(names, StartSchedulers, answer_type=Moment)
-        self.stopped -= set(names)
+        self.stopped_names -= set(names)
 
     async def _ask_workers(
         self,
@@ -168,23 +170,23 @@
         command: Callable[[list[str]], Command],
         answer_type: type[Done] | type[Moment],
     ) -> None:
-        """Send a command to each worker that has some of the schedulers, with their names, all at once."""
+        """Send a command concurrently to each worker that runs any of the schedulers, with their names."""
         names_by_worker: dict[int, list[str]] = {}
         for name in names:
             worker = self.names.index(name) % len(self.workers)
             names_by_worker.setdefault(worker, []).append(name)
 
-        async def ask(worker: int, some: list[str]) -> None:
-            await self.workers[worker].ask(command(some), answer_type)
+        async def ask(worker: int, worker_names: list[str]) -> None:
+            await self.workers[worker].ask(command(worker_names), answer_type)
 
         async with anyio.create_task_group() as group:
-            for worker, some in names_by_worker.items():
-                group.start_soon(ask, worker, some)
+            for worker, worker_names in names_by_worker.items():
+                group.start_soon(ask, worker, worker_names)
 
     # Status
 
     async def status(self) -> FleetStatus:
-        """Return how all schedulers stand."""
+        """Return the status of all schedulers together."""
         statuses = [await worker.ask(ReadStatus(), Status) for worker in self.workers]
         generations: Counter[int] = Counter()
         for status in statuses:
@@ -196,9 +198,9 @@
         )
 
     async def wait_converged(self, timeout_s: float = CONVERGENCE_TIMEOUT_S) -> float:
-        """Wait until all run, are connected, and serve by one generation; return that moment.
+        """Wait until all schedulers run, are connected and use one generation; return the time when they did.
 
-        Raise TimeoutError, which says what is missing.
+        Raise TimeoutError with the last status if that takes too long.
         """
         status: FleetStatus | None = None
         with anyio.move_on_after(timeout_s):
@@ -212,79 +214,81 @@
         connected = status.connected if status else None
         generations = status.generations if status else None
         raise TimeoutError(
-            f"not together in {timeout_s:g} s: {alive} of {self.running_count} are there, "
-            f"{connected} connected, by generation {generations}"
+            f"fleet not converged within {timeout_s:g} s: {alive} of {self.running_count} schedulers run, "
+            f"{connected} are connected, schedulers by generation: {generations}"
         )
 
     async def generation(self) -> int:
-        """Return the highest generation that any scheduler serves by."""
+        """Return the highest generation that any scheduler uses."""
         return max((await self.status()).generations, default=0)
 
     async def generation_times(self, above: int) -> list[float]:
-        """Return when each scheduler first served by a generation above this one."""
+        """Return when each scheduler that uses a generation above this one first did."""
         answers = [await worker.ask(ReadGenerationTimes(above), Times) for worker in self.workers]
         return [at for answer in answers for at in answer.times.values()]
 
     # Nodes
 
     async def list_nodes(self) -> None:
-        """Let discovery list the fleet's nodes."""
+        """Make discovery list the fleet's nodes."""
         await self.discovery.ask(ListNodes(self.sizes.nodes), Done)
 
     async def min_nodes(self) -> int:
-        """Return the fewest nodes that any scheduler's table has."""
+        """Return the number of ready nodes in the node table that has the fewest."""
         return min([(await worker.ask(CountNodes(), NodeCount)).min_nodes for worker in self.workers])
 
     async def wait_nodes_listed(self, timeout_s: float = CONVERGENCE_TIMEOUT_S) -> None:
-        """Wait until each table has every node; raise TimeoutError."""
+        """Wait until every node table lists all nodes; raise TimeoutError if that takes too long."""
         min_nodes = 0
         with anyio.move_on_after(timeout_s):
             while (min_nodes := await self.min_nodes()) < self.sizes.nodes:
                 await anyio.sleep(POLL_INTERVAL_S)
             return
-        raise TimeoutError(f"{min_nodes} of {self.sizes.nodes} nodes in a table after {timeout_s:g} s")
+        raise TimeoutError(
+            f"a node table lists {min_nodes} of {self.sizes.nodes} nodes after {timeout_s:g} s"
+        )
 
     async def await_next_node(self) -> None:
-        """Watch each table, from now on, for the node that ``replace_node`` lists."""
+        """Make every scheduler record when its node table has the node that ``replace_node`` will list."""
         for worker in self.workers:
-            await worker.ask(AwaitNode(node_uid(self.next_node)), Done)
+            await worker.ask(AwaitNode(node_uid(self.next_node_number)), Done)
 
     async def replace_node(self, shard: int) -> None:
-        """Let discovery list a new node for a shard."""
-        await self.discovery.ask(ReplaceNode(shard, self.next_node), Done)
-        self.next_node += 1
+        """Make discovery replace a shard's node with a new one."""
+        await self.discovery.ask(ReplaceNode(shard, self.next_node_number), Done)
+        self.next_node_number += 1
 
     async def node_times(self) -> list[float]:
-        """Return when the awaited node came into each table that has it."""
+        """Return when the awaited node became ready in each node table that has it."""
         answers = [await worker.ask(ReadNodeTimes(), Times) for worker in self.workers]
         return [at for answer in answers for at in answer.times.values()]
 
     # Store and tool
 
     async def store_traffic(self) -> Traffic:
-        """Return the store's traffic so far."""
+        """Return the store's traffic since its start."""
         return await self.store.ask(ReadTraffic(), Traffic)
 
     async def cut_region(self, cut: bool) -> None:
-        """Cut the second region off from the store, or end the cut."""
+        """Disconnect the second region from the store, or reconnect it."""
         await self.store.ask(CutRegion(CUT_REGION, cut), Done)
 
     async def restart_store_empty(self) -> None:
-        """Let the store forget everything."""
+        """Delete all data of the store and reset its connections."""
         await self.store.ask(RestartEmpty(), Done)
 
     async def restart_discovery_empty(self) -> None:
-        """Let discovery forget everything."""
+        """Delete all data of discovery and reset its connections."""
         await self.discovery.ask(RestartEmpty(), Done)
 
     async def roll_out(self, timeout_s: float) -> Rollout:
-        """Roll out a content that was never committed; return the tool's report with its bytes."""
-        self.rollouts += 1
+        """Roll out a content that was never committed before; return the tool's report and traffic."""
+        self.rollout_count += 1
         before = await self.store_traffic()
         command = RollOut(
             url=self.store_urls[TOOL_LISTENER],
             lease_ms=self.setup.lease_ms,
-            number=self.rollouts,
+            number=self.rollout_count,
             raw=self.document,
             timeout_s=timeout_s,
         )
@@ -297,22 +301,24 @@
         )
 
     async def read(self) -> Reading:
-        """Return what each role has used by now."""
+        """Return the resource use and traffic of each role up to now."""
         children_by_role = {"store": [self.store], "discovery": [self.discovery], "hollow": self.workers}
         usages = {
             role: [usage_of(child.pid) for child in children] for role, children in children_by_role.items()
         }
         return Reading(
             at=time.monotonic(),
-            cpu_s={role: sum(usage.cpu_s for usage in some) for role, some in usages.items()},
-            resident_mb={role: sum(usage.resident_mb for usage in some) for role, some in usages.items()},
+            cpu_s={role: sum(usage.cpu_s for usage in role_usages) for role, role_usages in usages.items()},
+            resident_mb={
+                role: sum(usage.resident_mb for usage in role_usages) for role, role_usages in usages.items()
+            },
             store=await self.store_traffic(),
             discovery=await self.discovery.ask(ReadTraffic(), Traffic),
         )
 
 
 async def start_fleet(sizes: Sizes, setup: Setup, children: Children, folder: Path) -> Fleet:
-    """Start a fleet's processes and list its nodes; the schedulers are made later."""
+    """Start a fleet's processes and list its nodes; ``make_schedulers`` creates the schedulers."""
     store = await children.start("store")
     discovery = await children.start("discovery")
     tool = await children.start("tool")
@@ -342,7 +348,7 @@
             volume_rows(sizes.volumes),
         ),
         resident_mb_without_schedulers=0.0,
-        next_node=sizes.nodes,
+        next_node_number=sizes.nodes,
         random=Random(setup.seed),
     )
     await fleet.list_nodes()
--- a/runloft/lab/scale/hollow_role.py
+++ b/runloft/lab/scale/hollow_role.py
@@ -1,4 +1,4 @@
-"""The hollow schedulers of one process."""
+"""The role that runs the hollow schedulers of one worker process."""
 
 import time
 from collections import Counter
@@ -30,27 +30,27 @@
 from runloft.lab.scale.scheduler_config import config_document, volume_rows
 from runloft.service.clock import MonotonicClock
 
-POLL_INTERVAL_S = 0.1  # between looks at what schedulers serve by, beside what they report themselves
-BATCH_SIZE = 25  # schedulers that are started before the running ones get their turn
+POLL_INTERVAL_S = 0.1  # between polls of the schedulers' generations, which also report changes themselves
+BATCH_SIZE = 25  # schedulers to start before yielding to those that already run
 
 
 class HollowRole(Role):
-    """The schedulers of one process, running and stopped."""
+    """The running and stopped schedulers of one worker process."""
 
     def __init__(self, group: anyio.abc.TaskGroup) -> None:
         super().__init__(group)
         self.clock = MonotonicClock()
         self.schedulers: dict[str, HollowScheduler] = {}
-        self.stopped: dict[str, anyio.Event] = {}  # of each that runs: set once it has stopped
+        self.stop_events: dict[str, anyio.Event] = {}  # by running scheduler; set when it has stopped
         group.start_soon(self._record_generations)
 
     @property
     def running(self) -> dict[str, HollowScheduler]:
-        """The schedulers that run, by name."""
-        return {name: self.schedulers[name] for name in self.stopped}
+        """The running schedulers by name."""
+        return {name: self.schedulers[name] for name in self.stop_events}
 
     async def carry_out(self, command: Command) -> Answer:
-        """Carry out a command."""
+        """Execute a command."""
         match command:
             case MakeSchedulers() | StartSchedulers() | StartAgreement() | StopSchedulers():
                 return await self._change(command)
@@ -91,7 +91,7 @@
                 scheduler.record_generation()
 
     async def _make(self, command: MakeSchedulers) -> Moment:
-        """Make schedulers and start them; all have equal volumes, whose rows they share."""
+        """Create and start schedulers; they share the rows of their volumes, which are all equal."""
         rows = volume_rows(command.volumes)
         for name, region in zip(command.names, command.regions, strict=True):
             document = config_document(
@@ -108,19 +108,19 @@
     async def _start(self, names: list[str], agree: bool) -> Moment:
         for index, name in enumerate(names):
             self.schedulers[name] = HollowScheduler(self.schedulers[name].document)
-            self.stopped[name] = anyio.Event()
+            self.stop_events[name] = anyio.Event()
             self.group.start_soon(self._run, name, agree)
             await _yield_after_batch(index)
         return Moment(time.monotonic())
 
     async def _run(self, name: str, agree: bool) -> None:
-        stopped = self.stopped[name]
+        stop_event = self.stop_events[name]
         try:
             await self.schedulers[name].run(self.clock, agree)
         finally:
-            if self.stopped.get(name) is stopped:  # it may have been started again meanwhile
-                del self.stopped[name]
-            stopped.set()
+            if self.stop_events.get(name) is stop_event:  # else the scheduler has been restarted meanwhile
+                del self.stop_events[name]
+            stop_event.set()
 
     async def _start_agreement(self) -> Moment:
         for index, scheduler in enumerate(self.running.values()):
@@ -129,11 +129,11 @@
         return Moment(time.monotonic())
 
     async def _stop(self, command: StopSchedulers) -> Done:
-        stopped = {name: self.stopped[name] for name in command.names if name in self.stopped}
+        stop_events = {name: self.stop_events[name] for name in command.names if name in self.stop_events}
         async with anyio.create_task_group() as group:
-            for name in stopped:
+            for name in stop_events:
                 group.start_soon(self.schedulers[name].stop, command.graceful)
-        for name, event in stopped.items():
+        for name, event in stop_events.items():
             await event.wait()
             scheduler = self.schedulers[name]
             scheduler.agreement = None
--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -1,7 +1,7 @@
-"""Hollow schedulers: watch, agreement, event loop and decisions are the program's own.
+"""Hollow schedulers: real watch, agreement, event loop and decisions, without clients and node connections.
 
-What they lack is clients and connections to nodes.  A killed one's tasks are cancelled, with no farewell to
-the store, and its sockets are closed, as the system does for a process that is gone.
+Killing a hollow scheduler cancels its tasks without releasing its lease in the store and closes its sockets,
+as the operating system does when a process is killed.
 """
 
 import time
@@ -25,36 +25,41 @@
 
 
 class HollowRunner(Runner):
-    """The event loop, which also records when an awaited node stands in the table."""
+    """The scheduler's event loop, which also records when an awaited node becomes ready in the node table."""
 
     awaited_uid = ""
-    node_seen_at = 0.0  # of the monotonic clock; 0: not yet
+    node_seen_at = 0.0  # monotonic time in seconds; 0: not seen yet
 
     def await_node(self, uid: str) -> None:
-        """Record from now on when this node comes into the table."""
+        """Record when this node becomes ready in the node table, from now on."""
         self.awaited_uid = uid
         self.node_seen_at = 0.0
 
     def _process_events(self) -> None:
         has_list_update = any(isinstance(event, NodeListUpdate) for event in self.events)
         super()._process_events()
-        if has_list_update and self.awaited_uid and not self.node_seen_at and self.has(self.awaited_uid):
+        if (
+            has_list_update
+            and self.awaited_uid
+            and not self.node_seen_at
+            and self.is_node_ready(self.awaited_uid)
+        ):
             self.node_seen_at = time.monotonic()
 
-    def has(self, uid: str) -> bool:
-        """Return whether a node is in the table and may be sent to."""
+    def is_node_ready(self, uid: str) -> bool:
+        """Return whether a node is in the node table and in state READY."""
         number = self.core.node_ids.get(uid)
         node = self.core.nodes.get(number) if number is not None else None
         return node is not None and node.state is NodeState.READY
 
     def ready_count(self) -> int:
-        """Return the number of nodes that may be sent to."""
+        """Return the number of nodes in state READY."""
         return sum(node.state is NodeState.READY for node in self.core.nodes.values())
 
 
 @dataclass(frozen=True, slots=True)
 class GenerationChange:
-    """A generation that a scheduler came to serve by, and when, of the monotonic clock."""
+    """A generation that a scheduler applied, and the monotonic time in seconds when it did."""
 
     generation: int
     at: float
@@ -62,7 +67,7 @@
 
 @dataclass
 class HollowScheduler:
-    """One scheduler without clients."""
+    """One scheduler without clients and node connections."""
 
     document: ConfigDocument
     runner: HollowRunner | None = None
@@ -73,22 +78,22 @@
 
     @property
     def generation(self) -> int:
-        """The generation that it serves by."""
+        """The generation of the configuration in use; 0 if there is none."""
         if self.agreement is None:
             return 0
-        # One that started with its local snapshot reports no generation until something changes.
+        # After a start from the local snapshot, the status has no generation until the configuration changes.
         return self.agreement.status.generation or self.agreement.replica.version.generation
 
     @property
     def is_connected(self) -> bool:
-        """Whether it hears the store and holds what it serves by, its reserves too."""
+        """Whether the scheduler is connected to the store and holds its reserves."""
         if self.agreement is None:
             return False
         status = self.agreement.status
         return status.connected and status.holds_reserves
 
     def record_generation(self) -> None:
-        """Record a generation that is new to it, once it holds the reserves."""
+        """Record the current generation if it has changed; do nothing while the reserves are missing."""
         generation = self.generation
         if self.agreement and not self.agreement.status.holds_reserves:
             return
@@ -96,11 +101,11 @@
             self.changes.append(GenerationChange(generation, time.monotonic()))
 
     def generation_time(self, above: int) -> float | None:
-        """Return when it first served by a generation above this one; None where it does not yet."""
+        """Return when the scheduler first used a generation above this one; None if it has not yet."""
         return next((change.at for change in self.changes if change.generation > above), None)
 
     async def run(self, clock: MonotonicClock, agree: bool) -> None:
-        """Serve until it is stopped."""
+        """Run the scheduler until it is stopped."""
         config = read_config(self.document)
         if agree:
             config = self._start_agreement(config, clock)
@@ -121,7 +126,7 @@
             await self._close()
 
     def _start_agreement(self, config: Config, clock: MonotonicClock) -> Config:
-        """Return what is served by with the local snapshot."""
+        """Create the agreement client and return the configuration with the local snapshot applied."""
         assert config.agreement
         self.agreement = AgreementClient(config.agreement, config, clock)
         self.agreement.on_config = self._apply_config
@@ -133,7 +138,7 @@
             self.reload.apply(config)
 
     def join_agreement(self, clock: MonotonicClock) -> None:
-        """Join the agreement, where it served without."""
+        """Join the agreement of a scheduler that was started without it."""
         assert self.reload and self.group
         self.reload.apply(self._start_agreement(self.reload.config, clock))
         assert self.agreement
@@ -146,7 +151,7 @@
                 self.agreement.writer.stop()
 
     async def stop(self, graceful: bool) -> None:
-        """Stop it: in order, or as one that is killed."""
+        """Stop the scheduler: gracefully, or as if the process were killed."""
         if graceful and self.agreement:
             await self.agreement.stop()
         if self.group:
--- a/runloft/lab/scale/messages.py
+++ b/runloft/lab/scale/messages.py
@@ -1,6 +1,6 @@
-"""What a fleet and its child processes tell each other: commands and answers, one JSON object a line.
+"""The protocol between a fleet and its child processes: commands and answers, one JSON object per line.
 
-A command's NAME stands on its line as ``do``; ``id`` joins an answer to its command.
+The field ``do`` holds a command's NAME; the field ``id`` matches an answer to its command.
 """
 
 import json
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CollectGarbage:
-    """Release unused memory before memory is read; answered by Done."""
+    """Collect garbage before memory is measured; answered by Done."""
 
     NAME: ClassVar[str] = "collect"
 
 
-# Commands to the store and the discovery.
+# Commands to the store and to discovery.
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CutRegion:
-    """Cut a region off, or end the cut; answered by Done."""
+    """Disconnect a region, or reconnect it; answered by Done."""
 
     NAME: ClassVar[str] = "cut"
     region: int
@@ -38,22 +38,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadTraffic:
-    """Report the listeners' traffic, with the worst second since then; answered by Traffic."""
+    """Report the listeners' traffic, with the busiest second since ``since``; answered by Traffic."""
 
     NAME: ClassVar[str] = "counted"
-    since: float = 0.0  # of the monotonic clock, which all processes share
+    since: float = 0.0  # monotonic time in seconds; all processes share this clock
 
 
 @dataclass(frozen=True, slots=True)
 class RestartEmpty:
-    """Restart with nothing stored; answered by Done."""
+    """Delete all data and reset all connections; answered by Done."""
 
     NAME: ClassVar[str] = "empty"
 
 
 @dataclass(frozen=True, slots=True)
 class ListNodes:
-    """List so many nodes, one for each shard; answered by Done."""
+    """List this number of nodes, one for each shard; answered by Done."""
 
     NAME: ClassVar[str] = "list"
     nodes: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MakeSchedulers:
-    """Make schedulers and start them; answered by Moment, when the last was started."""
+    """Create and start schedulers; answered by Moment, when the last one was started."""
 
     NAME: ClassVar[str] = "make"
     names: list[str]
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartSchedulers:
-    """Start schedulers again; answered by Moment, when the last was started."""
+    """Restart stopped schedulers; answered by Moment, when the last one was started."""
 
     NAME: ClassVar[str] = "begin"
     names: list[str]
@@ -96,14 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAgreement:
-    """Let all schedulers join the agreement; answered by Moment, when the last did."""
+    """Make all schedulers join the agreement; answered by Moment, when the last one joined."""
 
     NAME: ClassVar[str] = "agree"
 
 
 @dataclass(frozen=True, slots=True)
 class StopSchedulers:
-    """Stop schedulers, killed or in order; answered by Done."""
+    """Kill schedulers or shut them down gracefully; answered by Done."""
 
     NAME: ClassVar[str] = "end"
     names: list[str]
@@ -113,21 +113,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CountNodes:
-    """Report the fewest nodes that any scheduler's table has; answered by NodeCount."""
+    """Report the number of ready nodes in the smallest node table; answered by NodeCount."""
 
     NAME: ClassVar[str] = "nodes"
 
 
 @dataclass(frozen=True, slots=True)
 class ReadStatus:
-    """Report how the schedulers stand; answered by Status."""
+    """Report the status of the schedulers; answered by Status."""
 
     NAME: ClassVar[str] = "standing"
 
 
 @dataclass(frozen=True, slots=True)
 class ReadGenerationTimes:
-    """Report when each scheduler first served by a later generation; answered by Times."""
+    """Report when each scheduler first used a generation above ``above``; answered by Times."""
 
     NAME: ClassVar[str] = "changes"
     above: int
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitNode:
-    """Watch each table, from now on, for a node; answered by Done."""
+    """Record from now on when each node table has a node; answered by Done."""
 
     NAME: ClassVar[str] = "await"
     uid: str
@@ -143,12 +143,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadNodeTimes:
-    """Report when the awaited node came into each table that has it; answered by Times."""
+    """Report when the awaited node became ready in each node table that has it; answered by Times."""
 
     NAME: ClassVar[str] = "had"
 
 
-# Commands to the roll-out tool.
+# Commands to the rollout tool.
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,69 +187,69 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """A command that has nothing to report was carried out."""
+    """The answer to a command that has nothing to report."""
 
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """Where each listener is; the last of a store's is the tool's own."""
+    """The address of each listener; the last one of a store is for the tool alone."""
 
     addresses: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """Bytes, connections and round trips of each listener, with the most bytes of any second."""
+    """Bytes, connections and round trips of each listener, and the bytes of the busiest second."""
 
     received: list[int]
     sent: list[int]
     worst_second_bytes: int
     connections: list[int]
-    round_trips: list[int] = field(default_factory=list)  # a store's
-    commands: int = 0  # a store's
-    keys: int = 0  # a store's
+    round_trips: list[int] = field(default_factory=list)  # store only
+    commands: int = 0  # store only
+    keys: int = 0  # store only
 
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """A moment of the monotonic clock, in seconds."""
+    """A monotonic time in seconds."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class NodeCount:
-    """The fewest nodes that any scheduler's table has."""
+    """The number of ready nodes in the smallest node table."""
 
     min_nodes: int
 
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """How many schedulers run, how many are connected with their reserves, and by which generation."""
+    """The number of schedulers that run, are connected with their reserves, and use each generation."""
 
     alive: int
     connected: int
-    generations: dict[str, int]  # schedulers by generation; JSON has no numbers as keys
+    generations: dict[str, int]  # number of schedulers by generation; JSON keys can't be numbers
 
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """Moments of the monotonic clock by scheduler, in seconds."""
+    """Monotonic times in seconds by scheduler."""
 
     times: dict[str, float]
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutReport:
-    """What one roll-out came to, and what the tool spent on it."""
+    """The outcome of one rollout, and the time and processor time that the tool spent on it."""
 
     started_at: float
     ended_at: float
     cpu_s: float
     done: bool
     reason: str
-    left_out: int  # silent schedulers, which it went on without
+    left_out: int  # silent schedulers that the rollout excluded
 
 
 Answer: TypeAlias = Done | Addresses | Traffic | Moment | NodeCount | Status | Times | RolloutReport
@@ -257,29 +257,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A command with its number."""
+    """A command with its request number."""
 
     number: int
     command: Command
 
 
 def encode_command(number: int, command: Command) -> bytes:
-    """Return a command's line."""
+    """Encode a command as a line."""
     return json.dumps({"id": number, "do": command.NAME} | asdict(command)).encode() + b"\n"
 
 
 def decode_command(line: bytes) -> Request:
-    """Return the command that a line holds."""
+    """Decode a command's line."""
     document = json.loads(line)
     number = document.pop("id")
     return Request(number, COMMAND_TYPES[document.pop("do")](**document))
 
 
 def encode_answer(number: int, answer: Answer) -> str:
-    """Return an answer's line."""
+    """Encode an answer as a line."""
     return json.dumps({"id": number} | asdict(answer)) + "\n"
 
 
 def encode_error(number: int, error: str) -> str:
-    """Return the line that says why a command could not be carried out."""
+    """Encode the reason why a command failed as a line."""
     return json.dumps({"id": number, "error": error}) + "\n"
--- a/runloft/lab/scale/output.py
+++ b/runloft/lab/scale/output.py
@@ -13,7 +13,7 @@
 
 
 def print_tables(result: Result) -> None:
-    """Print points, slopes and events."""
+    """Print the points, slopes and events as tables."""
     points = [
         (point.vary, f"{point.sizes.along(point.vary):g}", str(point.repeat), name, f"{value:.6g}")
         for point in result.points
@@ -38,13 +38,13 @@
     if points:
         print_table("Points", ("dimension", "size", "repeat", "figure", "value"), points)
     if slopes:
-        print_table("Slopes", ("dimension", "figure", "for each", "at none", "residual", "spread"), slopes)
+        print_table("Slopes", ("dimension", "figure", "slope", "intercept", "residual", "spread"), slopes)
     if events:
         print_table("Events", ("event", "repeat", "figure", "value"), events)
 
 
 def draw_plot(result: Result, path: Path) -> None:
-    """Draw each figure of several sizes by the size, with its line, one panel each."""
+    """Plot each fitted figure by size, with its fitted line, in a panel of its own."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -52,7 +52,7 @@
 
     slopes = result.slopes
     if not slopes:
-        print("runloft: nothing to draw: no dimension has two sizes", file=sys.stderr)
+        print("runloft: nothing to plot: no dimension has two sizes", file=sys.stderr)
         return
     rows = -(-len(slopes) // PLOT_COLUMNS)
     figure, panels = pyplot.subplots(
--- a/runloft/lab/scale/plan.py
+++ b/runloft/lab/scale/plan.py
@@ -1,4 +1,4 @@
-"""What a scale run is to measure."""
+"""The plan of a scale run: the points and events to measure."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
@@ -6,7 +6,7 @@
 from runloft.lab.scale.fleet import Setup
 from runloft.lab.scale.records import Sizes
 
-DATA_PATH_DIMENSIONS = ("clients", "statements")  # measured at one real scheduler
+DATA_PATH_DIMENSIONS = ("clients", "statements")  # measured on one real scheduler
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedPoint:
-    """One size of one dimension, measured as its ``repeat`` th time from 0."""
+    """One measurement of one size of a dimension; ``repeat`` numbers the measurements of a size from 0."""
 
     dimension: str
     sizes: Sizes
@@ -27,18 +27,18 @@
 
     @property
     def size_title(self) -> str:
-        """The dimension with its size."""
+        """The dimension and its size."""
         return f"{self.dimension}={self.sizes.along(self.dimension):g}"
 
     @property
     def title(self) -> str:
-        """What progress and missing results call it."""
+        """The point's title in progress messages and in the list of missing results."""
         return f"{self.size_title}, repeat {self.repeat}"
 
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """The points and events of a run, at a base that all other dimensions keep."""
+    """The points and events of a run; ``base`` holds the sizes of the dimensions that are not varied."""
 
     setup: Setup
     base: Sizes = field(default_factory=Sizes)
@@ -49,7 +49,7 @@
     command: str = "runloft lab scale"
 
     def points(self) -> Iterator[PlannedPoint]:
-        """Yield each point, repeats of one size together."""
+        """Yield each point, with the repeats of one size in succession."""
         for variation in self.variations:
             for size in variation.sizes:
                 sizes = resized(self.base, variation.dimension, size)
@@ -58,11 +58,11 @@
 
 
 def resized(base: Sizes, dimension: str, size: float) -> Sizes:
-    """Return the sizes with one dimension changed."""
+    """Return the base sizes with one dimension replaced."""
     number_type = type(getattr(base, dimension))
     return replace(base, **{dimension: number_type(size)})
 
 
 def event_title(name: str, repeat: int) -> str:
-    """Return what progress and missing results call an event."""
+    """Return an event's title in progress messages and in the list of missing results."""
     return f"{name}, repeat {repeat}"
--- a/runloft/lab/scale/points.py
+++ b/runloft/lab/scale/points.py
@@ -1,8 +1,8 @@
-"""Points: one size measured at rest, and with changes where the size has them; figures by role.
+"""Points: the figures of one size by role, measured without load, or with rollouts if the size has changes.
 
-``scheduler.agreement.cpu`` is what the hollow processes use with agreement less what the same ones use
-without, for the same time, just before.  ``scheduler.control.*`` is the hollow processes' use by their
-schedulers: watch, agreement, event loop and decisions together, without clients and node connections.
+``scheduler.agreement.cpu`` is the processor use of the worker processes with agreement, less that of the
+same processes without it, measured just before.  ``scheduler.control.*`` is the resource use of the hollow
+schedulers: watch, agreement, event loop and decisions, without clients and node connections.
 """
 
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
 from runloft.lab.scale.processes import Children
 from runloft.lab.scale.records import Figures, Sizes, prefixed
 
-TIME_WITHOUT_AGREEMENT = 0.5  # of the time that is measured
+BASELINE_TIME_FRACTION = 0.5  # of the measurement time, for the baseline without agreement
 ROLLOUT_TIMEOUT_S = 60.0
 SECONDS_PER_HOUR = 3600
 MS_PER_S = 1000
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasuredPoint:
-    """The figures of a point, and the seconds that they were measured."""
+    """The figures of a point and the duration of their measurement in seconds."""
 
     seconds: float
     figures: Figures
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficRates:
-    """What a stand-in's listeners received, sent and carried out a second."""
+    """The bytes, commands and round trips per second of a stand-in's listeners."""
 
     received: float
     sent: float
@@ -44,7 +44,7 @@
 
 
 def traffic_rates(before: Traffic, after: Traffic, seconds: float) -> TrafficRates:
-    """Return the rates between two reports; the tool's listener does not count for the schedulers."""
+    """Return the rates between two reports; the schedulers' rates exclude the tool's listener."""
 
     def rate(earlier: Sequence[int], later: Sequence[int]) -> float:
         return float(sum(later) - sum(earlier)) / seconds
@@ -61,7 +61,7 @@
 
 
 def figures_between(fleet: Fleet, before: Reading, after: Reading) -> Figures:
-    """Return the figures of what happened between two readings."""
+    """Return the figures of the time between two readings."""
     seconds = after.at - before.at
     schedulers = fleet.sizes.schedulers
     cpu = {role: (after.cpu_s[role] - before.cpu_s[role]) / seconds for role in after.cpu_s}
@@ -89,19 +89,19 @@
 
 
 async def measure_point(sizes: Sizes, setup: Setup, folder: Path) -> MeasuredPoint:
-    """Measure one size."""
+    """Start a fleet of one size and return its figures."""
     async with Children(folder) as children:
         fleet = await start_fleet(sizes, setup, children, folder)
         await fleet.make_schedulers(agree=False)
         await fleet.wait_nodes_listed()
         await anyio.sleep(setup.lease_ms / (3 * MS_PER_S))
-        cpu_without_agreement = await _control_cpu(fleet, setup.seconds * TIME_WITHOUT_AGREEMENT)
+        cpu_without_agreement = await _control_cpu(fleet, setup.seconds * BASELINE_TIME_FRACTION)
         joined_at = await fleet.join_agreement()
         convergence_s = await fleet.wait_converged() - joined_at
-        setup.progress(f"together in {convergence_s:.1f} s")
+        setup.progress(f"fleet converged in {convergence_s:.1f} s")
         await anyio.sleep(setup.lease_ms / MS_PER_S)
         before = await fleet.read()
-        rollouts = await _let_pass(fleet, _seconds_to_measure(sizes, setup))
+        rollouts = await _run_rollouts(fleet, _seconds_to_measure(sizes, setup))
         after = await fleet.read()
         figures = figures_between(fleet, before, after)
         figures["fleet.together_s"] = convergence_s
@@ -116,14 +116,14 @@
 
 
 def _seconds_to_measure(sizes: Sizes, setup: Setup) -> float:
-    """Return the time to measure: long enough for one change where the size has some."""
+    """Return the duration of a measurement, which lasts for at least one change if the size has changes."""
     if not sizes.changes:
         return setup.seconds
     return max(setup.seconds, SECONDS_PER_HOUR / sizes.changes)
 
 
-async def _let_pass(fleet: Fleet, seconds: float) -> list[Rollout]:
-    """Let time pass, with as many roll-outs as the size has an hour."""
+async def _run_rollouts(fleet: Fleet, seconds: float) -> list[Rollout]:
+    """Wait for the measurement time and roll out changes at the size's hourly rate meanwhile."""
     rollouts: list[Rollout] = []
     if not fleet.sizes.changes:
         await anyio.sleep(seconds)
@@ -134,20 +134,20 @@
 
     interval_s = SECONDS_PER_HOUR / fleet.sizes.changes
     for _ in range(max(1, round(seconds / interval_s))):
-        # One that takes longer than the time between two delays the next one, as an operator would.
-        async with anyio.create_task_group() as both:
-            both.start_soon(anyio.sleep, interval_s)
-            both.start_soon(roll_out)
+        # A rollout that takes longer than the interval delays the next one, as it would for an operator.
+        async with anyio.create_task_group() as group:
+            group.start_soon(anyio.sleep, interval_s)
+            group.start_soon(roll_out)
     return rollouts
 
 
 def _rollout_figures(rollouts: Sequence[Rollout]) -> Figures:
     if not rollouts:
         return {}
-    done = [rollout for rollout in rollouts if rollout.report.done]
-    figures = {"tool.done_count": float(len(done))}
-    if done:
-        figures["tool.cpu_s"] = sum(rollout.report.cpu_s for rollout in done) / len(done)
-        figures["tool.in_bytes"] = sum(rollout.in_bytes for rollout in done) / len(done)
-        figures["tool.out_bytes"] = sum(rollout.out_bytes for rollout in done) / len(done)
+    completed = [rollout for rollout in rollouts if rollout.report.done]
+    figures = {"tool.done_count": float(len(completed))}
+    if completed:
+        figures["tool.cpu_s"] = sum(rollout.report.cpu_s for rollout in completed) / len(completed)
+        figures["tool.in_bytes"] = sum(rollout.in_bytes for rollout in completed) / len(completed)
+        figures["tool.out_bytes"] = sum(rollout.out_bytes for rollout in completed) / len(completed)
     return figures
--- a/runloft/lab/scale/processes.py
+++ b/runloft/lab/scale/processes.py
@@ -1,4 +1,4 @@
-"""A scale run's child processes: started, given commands, measured by /proc, and ended by id."""
+"""Start, command, measure (from /proc) and stop the child processes of a scale run."""
 
 import json
 import os
@@ -21,24 +21,24 @@
 AnswerT = TypeVar("AnswerT")
 
 MODULE = "runloft.lab.scale.child"
-LOG_TAIL_LINES = 12  # of a child's log, reported when it died
-STOP_TIMEOUT_S = 2.0  # to end by itself once its standard input is closed
+LOG_TAIL_LINES = 12  # of its log, reported when a child exits unexpectedly
+STOP_TIMEOUT_S = 2.0  # from closing a child's standard input to SIGKILL
 
 
 class ChildError(LaboratoryError, RuntimeError):
-    """A child died or could not carry out a command: says which and what it last logged."""
+    """A child exited unexpectedly or a command failed; the message names the child and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What a process has used: seconds of processor time so far, resident MiB now."""
+    """A process's processor time so far in seconds and its resident memory in MiB."""
 
     cpu_s: float
     resident_mb: float
 
 
 def usage_of(pid: int) -> ProcessUsage:
-    """Return a process's usage."""
+    """Return the current resource use of a process."""
     return ProcessUsage(procfs.cpu_s(pid), procfs.resident_mb(pid))
 
 
@@ -50,26 +50,26 @@
     process: anyio.abc.Process
     log: Path
     is_stopping: bool = False
-    _answers: dict[int, dict[str, Any]] = field(default_factory=dict)  # JSON documents
-    _answered: dict[int, anyio.Event] = field(default_factory=dict)
+    _answers: dict[int, dict[str, Any]] = field(default_factory=dict)  # JSON documents by request number
+    _answer_events: dict[int, anyio.Event] = field(default_factory=dict)
     _last_number: int = 0
 
     @property
     def pid(self) -> int:
-        """Its process id, which is also its process group's."""
+        """The child's process id, which is also its process group id."""
         return self.process.pid
 
     async def ask(self, command: Command, answer_type: type[AnswerT]) -> AnswerT:
-        """Send a command and return its answer; ChildError where it can't be carried out."""
+        """Send a command and return its answer; raise ChildError if the command fails."""
         self._last_number += 1
         number = self._last_number
         answered = anyio.Event()
-        self._answered[number] = answered
+        self._answer_events[number] = answered
         assert self.process.stdin
         try:
             await self.process.stdin.send(encode_command(number, command))
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
-            await anyio.sleep_forever()  # it died: read_answers raises, which cancels this task
+            await anyio.sleep_forever()  # the child has exited: read_answers raises, which cancels this task
         await answered.wait()
         answer = self._answers.pop(number)
         if "error" in answer:
@@ -77,7 +77,7 @@
         return answer_type(**answer)
 
     async def read_answers(self) -> None:
-        """Read its answers; ChildError when it ends though nobody stopped it."""
+        """Read the child's answers; raise ChildError if it exits without having been stopped."""
         buffer = b""
         assert self.process.stdout
         try:
@@ -87,22 +87,22 @@
                     answer = json.loads(line)
                     number = answer.pop("id")
                     self._answers[number] = answer
-                    self._answered.pop(number).set()
+                    self._answer_events.pop(number).set()
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         if not self.is_stopping:
             code = await self.process.wait()
-            raise ChildError(f"{self.name} died with {code}: {self._log_tail()}")
+            raise ChildError(f"{self.name} exited unexpectedly with code {code}: {self._log_tail()}")
 
     def _log_tail(self) -> str:
         try:
             lines = self.log.read_text(errors="replace").splitlines()
         except OSError:
             lines = []
-        return "\n".join(lines[-LOG_TAIL_LINES:]) or "it said nothing"
+        return "\n".join(lines[-LOG_TAIL_LINES:]) or "no log output"
 
     async def stop(self) -> None:
-        """End it: its input closes, and what is left of its process group is killed by id."""
+        """Close the child's standard input; kill its process group if it does not exit in time."""
         self.is_stopping = True
         with anyio.CancelScope(shield=True):
             assert self.process.stdin
@@ -110,18 +110,18 @@
             with anyio.move_on_after(STOP_TIMEOUT_S):
                 await self.process.wait()
             if self.process.returncode is None:
-                os.killpg(self.pid, signal.SIGKILL)  # its own group, which nothing else is in
+                os.killpg(self.pid, signal.SIGKILL)  # the child has a session and group of its own
                 await self.process.wait()
 
 
 class Children:
-    """The children of one fleet; a context manager, at whose end none is left."""
+    """The child processes of one fleet; a context manager that stops all of them on exit."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.all: list[Child] = []
         self._group = anyio.create_task_group()
-        self._started_of_role: Counter[str] = Counter()
+        self._started_by_role: Counter[str] = Counter()
 
     async def __aenter__(self) -> "Children":
         await self._group.__aenter__()
@@ -144,9 +144,9 @@
         return is_handled
 
     async def start(self, role: str, command: list[str] | None = None) -> Child:
-        """Start a role's process; its log is in the folder."""
-        self._started_of_role[role] += 1
-        number = self._started_of_role[role]
+        """Start a process for a role, with standard error written to a log file in ``folder``."""
+        self._started_by_role[role] += 1
+        number = self._started_by_role[role]
         log = self.folder / f"{role}-{number}.log"
         with log.open("wb") as file:
             process = await anyio.open_process(
--- a/runloft/lab/scale/procfs.py
+++ b/runloft/lab/scale/procfs.py
@@ -1,4 +1,4 @@
-"""What Linux's /proc tells about another process: processor time, memory, descriptors."""
+"""Read a process's processor time, memory and descriptors from Linux's /proc."""
 
 import os
 from pathlib import Path
@@ -6,13 +6,13 @@
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 BYTES_PER_MB = 1 << 20
-# Fields of /proc/PID/stat, counted from the one that follows the command's name; see proc(5).
+# Indexes into the fields of /proc/PID/stat after the command name; see proc(5).
 USER_TIME_FIELD = 11
 SYSTEM_TIME_FIELD = 12
 
 
 def cpu_s(pid: int) -> float:
-    """Return a process's user and system time in seconds, at a resolution of one clock tick (10 ms)."""
+    """Return a process's user and system time in seconds, with a resolution of one clock tick (10 ms)."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[USER_TIME_FIELD]) + int(fields[SYSTEM_TIME_FIELD])) / CLOCK_TICKS_PER_S
 
--- a/runloft/lab/scale/records.py
+++ b/runloft/lab/scale/records.py
@@ -1,8 +1,8 @@
-"""The results of a scale run, as one JSON document: points, slopes and events, with what made them.
+"""The result of a scale run as one JSON document: points, slopes and events, with the command and versions.
 
-Every figure has one name, ``role.part.quantity``, whose last word ends in its unit (``_mb``, ``_s``,
-``_per_s``, ``_bytes``, ``_count``) or is ``cpu``: processor time used by elapsed time, 1.0 being one core
-(never wall time).  Figures of a scheduler are for one scheduler; those of stand-ins for the whole role.
+A figure's name is ``role.part.quantity``.  Its last word ends in its unit (``_mb``, ``_s``, ``_per_s``,
+``_bytes``, ``_count``) or is ``cpu``: processor time (never wall time) per elapsed time, 1.0 being one core.
+Scheduler figures are per scheduler; stand-in figures are for the whole role.
 """
 
 import json
@@ -18,52 +18,52 @@
 
 
 class ResultError(LaboratoryError, ValueError):
-    """A document that is no scale run's result: says what is wrong with it."""
+    """A document is not a scale run result; the message says what is wrong with it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """The size of a point; one of them is varied at a time."""
+    """The sizes of a fleet; a run varies one of them at a time."""
 
     schedulers: int = 50
     nodes: int = 100
-    clients: int = 0  # of one real scheduler, which have spoken once and rest
-    statements: float = 0.0  # a second at one real scheduler
-    volumes: int = 10  # in the configuration, which grows by them
-    changes: float = 0.0  # of configuration, an hour
+    clients: int = 0  # connections to one real scheduler, idle between their statements
+    statements: float = 0.0  # per second at one real scheduler
+    volumes: int = 10  # in the configuration, whose size grows with them
+    changes: float = 0.0  # configuration changes per hour
 
     def along(self, dimension: str) -> float:
-        """Return the size along one dimension, a field's name."""
+        """Return the size of one dimension, which is a field name."""
         return float(getattr(self, dimension))
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One measurement; ``repeat`` counts those of one size from 0."""
+    """One measurement; ``repeat`` numbers the measurements of one size from 0."""
 
-    vary: str  # a field of Sizes
+    vary: str  # the dimension, a field name of Sizes
     sizes: Sizes
     repeat: int
-    seconds: float  # measured, after the fleet had converged
+    seconds: float  # duration of the measurement, which starts after the fleet has converged
     figures: Figures
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A figure by size, by least squares over every point of one dimension."""
+    """The least-squares fit of a figure by size over all points of one dimension."""
 
     vary: str
     figure: str
-    slope: float  # for each unit of the size
+    slope: float  # per unit of the size
     intercept: float
-    residual: float  # root of the mean square, in the figure's unit
-    spread: float  # widest between repeats of one size
+    residual: float  # root mean square, in the figure's unit
+    spread: float  # widest range among the repeats of one size
     points: int
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that happened, and what followed; ``all_in_force_s`` is among the figures."""
+    """An event and its figures; ``all_in_force_s`` is missing if the effect did not reach all schedulers."""
 
     name: str
     sizes: Sizes
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """A run; ``missing`` names what a partial one lacks, and is empty for a complete one."""
+    """The result of a run; ``missing`` names the measurements that a partial result lacks."""
 
     command: str
     seed: int
@@ -85,16 +85,16 @@
     notes: tuple[str, ...] = field(default=())
 
     def dump(self) -> str:
-        """Return its text."""
+        """Return the result as JSON text."""
         return json.dumps({"format": FORMAT, **asdict(self)}, indent=1, sort_keys=True) + "\n"
 
 
 def result_from(text: str | bytes) -> Result:
-    """Read a result back; raise ResultError where it is none."""
+    """Parse a result; raise ResultError if the text is not one."""
     try:
         document = json.loads(text)
         if not isinstance(document, dict) or document.get("format") != FORMAT:
-            raise ResultError("no scale run's result of a known format")
+            raise ResultError(f"not a scale run result of format {FORMAT}")
         return Result(
             command=str(document["command"]),
             seed=int(document["seed"]),
@@ -106,7 +106,7 @@
             notes=tuple(map(str, document["notes"])),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise ResultError(f"no scale run's result: {error!r}") from error
+        raise ResultError(f"not a scale run result: {error!r}") from error
 
 
 def _with_sizes(document: JsonObject) -> JsonObject:
@@ -114,10 +114,10 @@
 
 
 def dimensions() -> tuple[str, ...]:
-    """Return the names of the sizes that may be varied."""
-    return tuple(one.name for one in fields(Sizes))
+    """Return the names of the sizes that can be varied."""
+    return tuple(size.name for size in fields(Sizes))
 
 
 def prefixed(figures: Figures, prefix: str) -> Figures:
-    """Return figures with a common prefix before their names."""
+    """Return the figures with ``prefix`` and a dot put before their names."""
     return {f"{prefix}.{name}": float(value) for name, value in figures.items()}
--- a/runloft/lab/scale/role.py
+++ b/runloft/lab/scale/role.py
@@ -1,4 +1,4 @@
-"""What the roles of a scale run have in common."""
+"""The base class of the roles of a scale run."""
 
 import gc
 
@@ -9,17 +9,17 @@
 
 
 class UnknownCommandError(LaboratoryError, TypeError):
-    """A command that this role does not carry out."""
+    """A role received a command that it does not support."""
 
 
 class Role:
-    """What a child process does."""
+    """A child process's command handler."""
 
     def __init__(self, group: anyio.abc.TaskGroup) -> None:
         self.group = group
 
     async def carry_out(self, command: Command) -> Answer:
-        """Carry out a command; subclasses handle their own and pass on the rest."""
+        """Execute a command; subclasses handle their own commands and delegate the rest to this method."""
         if not isinstance(command, CollectGarbage):
             raise UnknownCommandError(command.NAME)
         gc.collect()
--- a/runloft/lab/scale/rollout_tool.py
+++ b/runloft/lab/scale/rollout_tool.py
@@ -1,4 +1,4 @@
-"""The roll-out tool in a process of its own: each roll-out brings another content."""
+"""The rollout tool in its own process; each rollout commits a different content."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -13,12 +13,12 @@
 
 KEY_PREFIX = "runloft"
 NS_PER_MS = 1_000_000
-TIMEOUTS_PER_LEASE = 4  # of the store's replies
+TIMEOUTS_PER_LEASE = 4  # the timeout for the store's replies is this fraction of a lease
 MS_PER_S = 1000
 
 
-def changed(number: int, own_content: Content) -> Callable[[Content | None], Sequence[Content]]:
-    """Return a plan of what was never committed before: with each number, all plans have other parts."""
+def plan_with_new_parts(number: int, own_content: Content) -> Callable[[Content | None], Sequence[Content]]:
+    """Return a rollout plan that commits new content: ``Parts`` of all plans depends on ``number``."""
 
     def plan(committed: Content | None) -> Sequence[Content]:
         base = committed or own_content
@@ -29,10 +29,10 @@
 
 
 class RolloutToolRole(Role):
-    """The tool; its start-up is not part of what a roll-out takes."""
+    """The rollout tool; the process's start-up time is not part of a rollout's time."""
 
     async def carry_out(self, command: Command) -> Answer:
-        """Carry out a command."""
+        """Execute a command."""
         if isinstance(command, RollOut):
             return await self._roll_out(command)
         return await super().carry_out(command)
@@ -45,7 +45,7 @@
         cpu_before_s = time.process_time()
         try:
             with anyio.move_on_after(command.timeout_s):
-                plan = changed(command.number, content_of_file(command.raw))
+                plan = plan_with_new_parts(command.number, content_of_file(command.raw))
                 report = await run_rollout(store, plan)
         finally:
             await store.close()
--- a/runloft/lab/scale/scheduler_config.py
+++ b/runloft/lab/scale/scheduler_config.py
@@ -1,4 +1,4 @@
-"""The configuration files of hollow schedulers, as values."""
+"""Configuration documents of hollow schedulers."""
 
 from typing import TypeAlias
 
@@ -6,11 +6,11 @@
 from runloft.config.settings import OPERATIONS, Config
 from runloft.lab.scale.messages import ConfigDocument
 
-VolumeRows: TypeAlias = dict[str, dict[str, str | int]]  # of the file, by name
+VolumeRows: TypeAlias = dict[str, dict[str, str | int]]  # rows of the configuration by volume name
 
 
 def volume_rows(count: int) -> VolumeRows:
-    """Return the rows of so many volumes."""
+    """Return the rows of this number of volumes."""
     return {
         f"volume-{number:06d}": {"id": f"{number + 1:016x}", "plan": "standard", "hosts": 1}
         for number in range(count)
@@ -20,7 +20,7 @@
 def config_document(
     name: str, discovery: str, store: str, directory: str, lease_ms: int, volumes: VolumeRows
 ) -> ConfigDocument:
-    """Return a scheduler's file."""
+    """Return a scheduler's configuration document."""
     return {
         "name": name,
         "listen": "127.0.0.1:0",
@@ -40,7 +40,7 @@
 
 
 def read_config(document: ConfigDocument) -> Config:
-    """Read a scheduler's file as ``serve`` does."""
+    """Convert a scheduler's configuration document as ``serve`` does with a file."""
     config = config_from_json(document)
     object.__setattr__(config, "document", document)
     return config
--- a/runloft/lab/scale/stand_ins.py
+++ b/runloft/lab/scale/stand_ins.py
@@ -1,4 +1,4 @@
-"""The stand-ins' processes: one store, one discovery, each with a listener for every region."""
+"""The stand-in roles: one store and one discovery, each with a listener for every region."""
 
 import time
 from collections import Counter
@@ -27,20 +27,20 @@
 from runloft.lab.scale.role import Role
 from runloft.lab.serving import LabServer
 
-RESET_INTERVAL_S = 0.5  # connections to a cut region are reset after so long
+RESET_INTERVAL_S = 0.5  # between resets of a disconnected region's connections
 REGION_LISTENERS = 2
-STORE_LISTENERS = REGION_LISTENERS + 1  # the last is the tool's
+STORE_LISTENERS = REGION_LISTENERS + 1  # the last one is for the tool
 
 
 class StandInRole(Role):
-    """Listeners that share their data, one for each region."""
+    """A stand-in with a listener for each region; the listeners share their data."""
 
     def __init__(self, group: anyio.abc.TaskGroup, servers: Sequence[LabServer]) -> None:
         super().__init__(group)
         self.servers = servers
 
     async def carry_out(self, command: Command) -> Answer:
-        """Carry out a command that both stand-ins know."""
+        """Execute a command that both stand-ins support."""
         match command:
             case Listen():
                 return Addresses([await self.group.start(server.run) for server in self.servers])
@@ -57,18 +57,18 @@
         return await super().carry_out(command)
 
     def _empty(self) -> None:
-        """Forget all data."""
+        """Delete all data."""
         raise NotImplementedError
 
     async def _cut(self, server: LabServer, cut: bool) -> None:
-        """Make a listener silent, or end that; its connections are reset."""
+        """Reset a listener's connections and make it silent, or make it answer again."""
         server.failures.silent = cut
         await server.reset()
         if cut:
             self.group.start_soon(self._reset_while_silent, server)
 
     async def _reset_while_silent(self, server: LabServer) -> None:
-        # Prevents running out of descriptors: clients give up and reconnect for as long as the cut lasts.
+        # Prevents running out of descriptors: clients time out and reconnect for as long as the cut lasts.
         while server.failures.silent:
             await anyio.sleep(RESET_INTERVAL_S)
             await server.reset()
@@ -88,7 +88,7 @@
 
 
 class StoreRole(StandInRole):
-    """The store: regions 0 and 1, and the tool."""
+    """The store, with listeners for regions 0 and 1 and for the tool."""
 
     def __init__(self, group: anyio.abc.TaskGroup) -> None:
         self.keys = Keyspace(time.time_ns)
@@ -112,14 +112,14 @@
 
 
 class DiscoveryRole(StandInRole):
-    """The discovery: regions 0 and 1."""
+    """Discovery, with listeners for regions 0 and 1."""
 
     def __init__(self, group: anyio.abc.TaskGroup) -> None:
         self.instances = Instances()
         super().__init__(group, [LabDiscovery(self.instances) for _ in range(REGION_LISTENERS)])
 
     async def carry_out(self, command: Command) -> Answer:
-        """Carry out a command."""
+        """Execute a command."""
         match command:
             case ListNodes(nodes=nodes):
                 for number in range(nodes):
--- a/tests/lab/scale/capacity_page/test_documents.py
+++ b/tests/lab/scale/capacity_page/test_documents.py
@@ -22,5 +22,5 @@
 
 def test_invalid_document_is_named(tmp_path):
     (tmp_path / "full.json").write_text("{}")
-    with pytest.raises(CapacityError, match=r"full\.json: no scale run's result"):
+    with pytest.raises(CapacityError, match=r"full\.json: not a scale run result"):
         read_documents(tmp_path)
--- a/tests/lab/scale/test_capacity.py
+++ b/tests/lab/scale/test_capacity.py
@@ -1,4 +1,4 @@
-"""The command that writes and checks the page about capacity."""
+"""The command that writes and checks the tables of the capacity page."""
 
 import json
 
@@ -13,11 +13,11 @@
 
 @pytest.fixture
 def page(tmp_path):
-    """A page with all tables, and its documents beside it; gives what runs the command on it."""
+    """Create a page with all tables and its documents; return a function that runs the command on it."""
     (tmp_path / "capacity").mkdir()
     (tmp_path / "capacity" / "full.json").write_text(FULL.dump())
-    marks = "".join(f"# {name}\n<!-- table: {name} -->\n<!-- end -->\n" for name in Page({}).tables())
-    (tmp_path / "CAPACITY.md").write_text(f"Words.\n{marks}Last words.\n")
+    markers = "".join(f"# {name}\n<!-- table: {name} -->\n<!-- end -->\n" for name in Page({}).tables())
+    (tmp_path / "CAPACITY.md").write_text(f"Words.\n{markers}Last words.\n")
     return lambda *options: main(["lab", "capacity", str(tmp_path / "CAPACITY.md"), *options])
 
 
@@ -45,12 +45,12 @@
         monkeypatch.setattr("runloft.lab.scale.capacity_page.page.BUDGETS", changed)
     path.write_text(json.dumps(raw))
     assert page("--check") == 1
-    wants = "event-change:" if where == "event" else "day-control:"
-    assert f"{wants} differs from the documents" in capsys.readouterr().err
+    table = "event-change" if where == "event" else "day-control"
+    assert f": table {table} differs from the documents" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "message"),
     [
         (lambda text: text.replace("table: sizes", "table: seizes"), 'no table "seizes"'),
         (lambda text: text.replace("table: sizes", "table: state"), '"state" stands twice'),
@@ -58,9 +58,9 @@
         (lambda text: text.removesuffix("<!-- end -->\nLast words.\n"), "mark has no end"),
     ],
 )
-def test_page_whose_marks_do_not_match_the_tables_is_left_alone(change, says, page, tmp_path, capsys):
+def test_page_whose_marks_do_not_match_the_tables_is_not_changed(change, message, page, tmp_path, capsys):
     path = tmp_path / "CAPACITY.md"
     path.write_text(change(path.read_text()))
     before = path.read_text()
     assert page() == 1 and path.read_text() == before
-    assert says in capsys.readouterr().err
+    assert message in capsys.readouterr().err
--- a/tests/lab/scale/test_engine.py
+++ b/tests/lab/scale/test_engine.py
@@ -1,4 +1,4 @@
-"""Complete scale runs of a few schedulers, and runs that are broken off."""
+"""Complete scale runs of a few schedulers, and interrupted runs."""
 
 import os
 import signal
@@ -25,34 +25,34 @@
 
 def test_run_of_a_few_schedulers_measures_each_role():
     plan = RunPlan(SETUP, SMALL, (Variation("schedulers", (2,)),), ("change", "change-of-primary"))
-    ran = Run(plan)
-    result = anyio.run(ran.run)
-    assert result.missing == () and [one.sizes.schedulers for one in result.points] == [2]
+    run = Run(plan)
+    result = anyio.run(run.run)
+    assert result.missing == () and [point.sizes.schedulers for point in result.points] == [2]
     for point in result.points:
         figures = point.figures
         assert figures["scheduler.agreement.exchanges_per_s"] > 0
-        for name in ("out", "in"):  # bytes of the store are those of its schedulers: no tool ran
-            other = {"out": "in", "in": "out"}[name]
-            whole = figures[f"scheduler.agreement.{name}_bytes_per_s"] * point.sizes.schedulers
-            assert whole == pytest.approx(figures[f"store.{other}_bytes_per_s"])
+        for direction in ("out", "in"):  # no rollout ran, so all traffic of the store is the schedulers'
+            opposite = {"out": "in", "in": "out"}[direction]
+            total = figures[f"scheduler.agreement.{direction}_bytes_per_s"] * point.sizes.schedulers
+            assert total == pytest.approx(figures[f"store.{opposite}_bytes_per_s"])
     change, primary = result.events
     assert change.figures["in_force_count"] == primary.figures["in_force_count"] == 3
     assert change.figures["tool.out_bytes"] > 0 and "all_in_force_s" in change.figures
     assert change.figures["store.worst_second_bytes"] > change.figures["tool.in_bytes"] / 10
 
 
-def test_everything_after_a_childs_death_is_marked_missing(monkeypatch):
+def test_everything_after_a_childs_unexpected_exit_is_marked_missing(monkeypatch):
     async def measure_point(sizes, setup, folder):
         if sizes.schedulers == 2:
             return MeasuredPoint(1.0, {"store.cpu": 0.5})
-        raise ExceptionGroup("", [ChildError("hollow 1 died with -9: its last words")])
+        raise ExceptionGroup("", [ChildError("hollow 1 exited unexpectedly with code -9: end of log")])
 
     monkeypatch.setattr("runloft.lab.scale.engine.measure_point", measure_point)
     result = anyio.run(Run(RunPlan(SETUP, SMALL, (Variation("schedulers", (2, 3, 4)),), ("change",))).run)
-    assert [one.figures for one in result.points] == [{"store.cpu": 0.5}]
-    died = "ChildError: hollow 1 died with -9: its last words"
+    assert [point.figures for point in result.points] == [{"store.cpu": 0.5}]
+    reason = "ChildError: hollow 1 exited unexpectedly with code -9: end of log"
     assert result.missing == tuple(
-        f"{one}, repeat 0: {died}" for one in ("schedulers=3", "schedulers=4", "change")
+        f"{title}, repeat 0: {reason}" for title in ("schedulers=3", "schedulers=4", "change")
     )
 
 
@@ -71,13 +71,13 @@
     assert main(["lab", "scale", *arguments]) == 1
     result = result_from(path.read_text())
     assert result.missing == (
-        "schedulers=2, repeat 0: the deadline of 0.01 s came",
-        "change, repeat 0: the deadline of 0.01 s came",
+        "schedulers=2, repeat 0: deadline of 0.01 s exceeded",
+        "change, repeat 0: deadline of 0.01 s exceeded",
     )
     assert "missing: schedulers=2" in capsys.readouterr().err
 
 
-def test_data_path_is_measured_and_an_infeasible_size_marked_missing(monkeypatch):
+def test_data_path_is_measured_and_an_infeasible_size_is_marked_missing(monkeypatch):
     async def measure_load(sizes, seconds, seed, progress):
         if sizes.clients > 7:
             raise SizeError("8 clients are too many")
@@ -85,7 +85,7 @@
 
     monkeypatch.setattr(load_measurement, "measure_load", measure_load)
     result = anyio.run(Run(RunPlan(SETUP, SMALL, (Variation("clients", (7, 8)),))).run)
-    assert [one.figures for one in result.points] == [{"scheduler.resident_mb": 7.0}]
+    assert [point.figures for point in result.points] == [{"scheduler.resident_mb": 7.0}]
     assert result.missing == ("clients=8, repeat 0: SizeError: 8 clients are too many",)
 
 
@@ -100,21 +100,26 @@
     arguments = ["lab", "scale", "--vary", "schedulers=2,3", "--output", str(path), "--append"]
     assert main(arguments) == 0 == main(arguments)
     result = result_from(path.read_text())
-    assert [(one.sizes.schedulers, one.repeat) for one in result.points] == [(2, 0), (3, 0), (2, 1), (3, 1)]
+    assert [(point.sizes.schedulers, point.repeat) for point in result.points] == [
+        (2, 0),
+        (3, 0),
+        (2, 1),
+        (3, 1),
+    ]
     assert (result.slopes[0].slope, result.slopes[0].spread) == (pytest.approx(2.0), 1.0)
     path.write_text("{}")
-    assert main(arguments) == 2 and "no scale run's result" in capsys.readouterr().err
+    assert main(arguments) == 2 and "not a scale run result" in capsys.readouterr().err
 
 
-def test_interrupt_during_a_cut_keeps_the_result_and_leaves_no_process(tmp_path, monkeypatch):
+def test_interrupt_during_a_cut_keeps_the_result_and_leaves_no_child_process(tmp_path, monkeypatch):
     pids = []
 
-    async def interrupted(fleet, notes, expected):
+    async def interrupt(fleet, notes, expected):
         pids.extend(child.pid for child in fleet.children.all)
         os.kill(os.getpid(), signal.SIGINT)
         await anyio.sleep_forever()
 
-    monkeypatch.setattr("runloft.lab.scale.events.roll_out_change", interrupted)
+    monkeypatch.setattr("runloft.lab.scale.events.roll_out_change", interrupt)
     path = tmp_path / "r.json"
     arguments = ["--events", "regions-part", "--base", "schedulers=2,nodes=2", "--lease-ms", "300"]
     arguments += ["--cut-s", "0.1", "--workers", "1", "--output", str(path)]
--- a/tests/lab/scale/test_names.py
+++ b/tests/lab/scale/test_names.py
@@ -1,4 +1,4 @@
-"""Names of schedulers."""
+"""Scheduler names."""
 
 from runloft.lab.scale.names import scheduler_name
 
--- a/tests/lab/scale/test_processes.py
+++ b/tests/lab/scale/test_processes.py
@@ -1,4 +1,4 @@
-"""A scale run's child processes."""
+"""The child processes of a scale run."""
 
 import json
 import subprocess
@@ -15,14 +15,14 @@
 def test_dead_child_is_reported_with_its_name_and_the_end_of_its_log(tmp_path):
     async def check():
         async with Children(tmp_path) as children:
-            last = "import sys; sys.stdin.readline(); sys.exit('out of ideas')"
-            child = await children.start("store", [sys.executable, "-c", last])
+            script = "import sys; sys.stdin.readline(); sys.exit('no such shard')"
+            child = await children.start("store", [sys.executable, "-c", script])
             with anyio.fail_after(5):
                 await child.ask(Listen(), Addresses)
 
     with pytest.raises(ExceptionGroup) as found:
         anyio.run(check)
-    assert found.group_contains(ChildError, match="store 1 died with 1: out of ideas")
+    assert found.group_contains(ChildError, match="store 1 exited unexpectedly with code 1: no such shard")
 
 
 ROOT = Path(__file__).parents[3]
--- a/tests/lab/scale/test_records.py
+++ b/tests/lab/scale/test_records.py
@@ -1,4 +1,4 @@
-"""A scale run's document: read back as it was written, and nothing else accepted as one."""
+"""Result documents: a result is read back as written, and any other document is rejected."""
 
 import json
 
@@ -22,6 +22,6 @@
 
 
 @pytest.mark.parametrize("change", [{"format": 2}, {"points": [{"vary": "x"}]}, {"slopes": 3}, {"seed": "x"}])
-def test_invalid_result_is_refused(change):
-    with pytest.raises(ResultError, match="no scale run's result"):
+def test_invalid_result_is_rejected(change):
+    with pytest.raises(ResultError, match="not a scale run result"):
         result_from(json.dumps(json.loads(RESULT.dump()) | change))
