--- a/runloft/lab/scale/hollow_scheduler.py
+++ b/runloft/lab/scale/hollow_scheduler.py
@@ -81,7 +81,7 @@
         """The generation of the configuration in use; 0 if there is none."""
         if self.agreement is None:
             return 0
-        # After a start from the local snapshot, the status has no generation until the configuration changes.
+        # Use the replica's generation while the status has none.
         return self.agreement.status.generation or self.agreement.replica.version.generation
 
     @property
--- a/runloft/lab/scale/records.py
+++ b/runloft/lab/scale/records.py
@@ -94,7 +94,7 @@
     try:
         document = json.loads(text)
         if not isinstance(document, dict) or document.get("format") != FORMAT:
-            raise ResultError(f"not a scale run result of format {FORMAT}")
+            raise ResultError(f"expected a JSON object whose format is {FORMAT}")
         return Result(
             command=str(document["command"]),
             seed=int(document["seed"]),
@@ -115,7 +115,7 @@
 
 def dimensions() -> tuple[str, ...]:
     """Return the names of the sizes that can be varied."""
-    return tuple(size.name for size in fields(Sizes))
+    return tuple(dimension.name for dimension in fields(Sizes))
 
 
 def prefixed(figures: Figures, prefix: str) -> Figures:
