--- a/runloft/lab/scale/datapath/__init__.py
+++ b/runloft/lab/scale/datapath/__init__.py
@@ -1,6 +1,6 @@
-"""The data path of one real scheduler by size: what it spends on clients, statements and nodes.
+"""Measure what one real scheduler uses on its data path, by number of clients, statements and nodes.
 
-The program runs as the platform starts it; nodes, discovery, store and clients are stand-ins in processes of
-their own, so that nothing but the scheduler's work is counted for it.
-``python -m runloft.lab.scale.datapath`` runs one stand-in, or measures the committed document.
+The scheduler is started as the platform starts it.  Nodes, discovery, store and clients are stand-ins in
+separate processes, so that the resources of the scheduler's process are its own.
+``python -m runloft.lab.scale.datapath`` runs one stand-in, or measures the sizes of the committed document.
 """
--- a/runloft/lab/scale/datapath/__main__.py
+++ b/runloft/lab/scale/datapath/__main__.py
@@ -1,4 +1,4 @@
-"""Run one stand-in of a measurement, or measure what docs/capacity/datapath.json holds."""
+"""Run one stand-in of a measurement, or measure the sizes of docs/capacity/datapath.json."""
 
 import argparse
 import signal
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Run the role that the command line names."""
+    """Run the role that is named on the command line."""
     options = _parser().parse_args()
     if options.role == RECORD:
         _record(options)
@@ -25,12 +25,16 @@
     roles = parser.add_subparsers(dest="role", required=True)
     for role in (*STAND_IN_ROLES, CLIENTS):
         roles.add_parser(role)
-    recording = roles.add_parser(RECORD, help="measure what docs/capacity/datapath.json holds")
+    recording = roles.add_parser(RECORD, help="measure the sizes of docs/capacity/datapath.json")
     recording.add_argument("--output", type=Path, default=Path("docs/capacity/datapath.json"))
     recording.add_argument("--repeats", type=int, default=3)
-    recording.add_argument("--seconds", type=float, default=10.0, help="measured, of each size")
+    recording.add_argument(
+        "--seconds", type=float, default=10.0, help="duration of the measurement of each size"
+    )
     recording.add_argument("--seed", type=int, default=1)
-    recording.add_argument("--only", default="", metavar="NAME,...", help="parts that are measured anew")
+    recording.add_argument(
+        "--only", default="", metavar="NAME,...", help="measure only these entries, keep the others"
+    )
     return parser
 
 
@@ -43,9 +47,10 @@
 
 
 def _run_stand_in(role: str) -> None:
-    # A stand-in ends with its input: an interrupt from the terminal would end it before the measurement does.
+    # The measurement stops its stand-ins by closing their input; an interrupt from the terminal, which
+    # reaches every process, must not stop them earlier.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    # Each loads its own modules alone: that time is spent before every measurement.
+    # Each role imports only its own modules: stand-ins are started, and imported, for every measurement.
     if role == CLIENTS:
         from runloft.lab.scale.datapath.client_load import ClientLoad
 
--- a/runloft/lab/scale/datapath/client_connection.py
+++ b/runloft/lab/scale/datapath/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection to the scheduler under test: a non-blocking socket and what waits for an answer."""
+"""One client connection to the scheduler under test: a non-blocking socket and its unanswered commands."""
 
 import socket
 from collections import deque
@@ -14,7 +14,7 @@
 
 
 class ResponseKind(Enum):
-    """How the scheduler answered."""
+    """The kind of the scheduler's response."""
 
     SERVED = auto()
     REFUSED = auto()
@@ -23,36 +23,36 @@
 
 @dataclass(slots=True)
 class Statement:
-    """A statement that has not been answered; ``counted`` where it was due while counting."""
+    """A statement without a response; ``is_counted`` if it was due after counting had started."""
 
-    due_at_s: float  # of the monotonic clock
-    counted: bool
+    due_at_s: float  # on the monotonic clock
+    is_counted: bool
     is_resent: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """An answer and the statement that it belongs to; None for a PING."""
+    """A response and the statement that it answers; None for a PING."""
 
     statement: Statement | None
     kind: ResponseKind
 
 
 class ClientConnection:
-    """One client's connection, open or not; the owner closes it by ``close``."""
+    """One client's connection, which may be closed and opened again; its owner calls ``close``."""
 
-    __slots__ = ("_received", "awaited", "has_been_answered", "is_connected", "output", "socket")
+    __slots__ = ("_received", "has_finished_connecting", "is_connected", "output", "pending", "socket")
 
     def __init__(self) -> None:
         self.socket: socket.socket | None = None
         self.is_connected = False
-        self.has_been_answered = False
+        self.has_finished_connecting = False  # True once the PING was answered, or its connection closed
         self.output = bytearray()
         self._received = bytearray()
-        self.awaited: deque[Statement | None] = deque()  # None: a PING
+        self.pending: deque[Statement | None] = deque()  # without a response; None stands for a PING
 
     def open(self, host: str, port: int) -> socket.socket:
-        """Begin to connect; a failure shows when the socket is read."""
+        """Start connecting and return the socket; a failure is reported when the socket is read."""
         opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         opened.setblocking(False)
         opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -61,7 +61,7 @@
         return opened
 
     def send_output(self) -> None:
-        """Send as much of the output as the kernel takes; OSError where the connection has broken."""
+        """Send as much of the output as the kernel accepts; raise OSError if the connection is broken."""
         assert self.socket is not None
         try:
             count = self.socket.send(self.output)
@@ -70,7 +70,7 @@
         del self.output[:count]
 
     def receive(self) -> bool:
-        """Receive what has arrived; return False where the connection has ended."""
+        """Receive the data that has arrived; return False if the connection has ended."""
         assert self.socket is not None
         try:
             data = self.socket.recv(RECEIVE_BYTES)
@@ -82,34 +82,34 @@
         return bool(data)
 
     def responses(self) -> Iterator[Response]:
-        """Yield each answer that has arrived whole, with what it answers."""
-        while (end := self._received.find(LINE_END)) >= 0 and self.awaited:
-            head = bytes(self._received[:end])
+        """Yield each complete response that has arrived, with the statement that it answers."""
+        while (end := self._received.find(LINE_END)) >= 0 and self.pending:
+            first_line = bytes(self._received[:end])
             size = end + len(LINE_END)
-            is_value = head[:1] == b"$"
+            is_value = first_line[:1] == b"$"
             if is_value:
-                size += int(head[1:]) + len(LINE_END)
+                size += int(first_line[1:]) + len(LINE_END)
                 if len(self._received) < size:
                     return
             del self._received[:size]
-            yield Response(self.awaited.popleft(), _kind_of(head))
+            yield Response(self.pending.popleft(), _response_kind(first_line))
 
     def close(self) -> list[Statement | None]:
-        """Close the socket; return what was not answered on it."""
+        """Close the socket; return the statements and PINGs (None) that were not answered on it."""
         assert self.socket is not None
         self.socket.close()
         self.socket = None
         self.is_connected = False
         self.output.clear()
         self._received.clear()
-        unanswered = list(self.awaited)
-        self.awaited.clear()
+        unanswered = list(self.pending)
+        self.pending.clear()
         return unanswered
 
 
-def _kind_of(head: bytes) -> ResponseKind:
-    if head[:1] == b"$":
+def _response_kind(first_line: bytes) -> ResponseKind:
+    if first_line[:1] == b"$":
         return ResponseKind.SERVED
-    if head.startswith(b"-BUSY"):
+    if first_line.startswith(b"-BUSY"):
         return ResponseKind.REFUSED
     return ResponseKind.OTHER
--- a/runloft/lab/scale/datapath/idle_measurement.py
+++ b/runloft/lab/scale/datapath/idle_measurement.py
@@ -1,4 +1,4 @@
-"""Measure one scheduler whose clients have spoken once and are idle."""
+"""Measure one scheduler whose clients have each sent one command and are then idle."""
 
 import time
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 from runloft.lab.scale.datapath.sizing import DEFAULT_LIMITS, Limits, check_size
 from runloft.lab.scale.records import Figures, Sizes
 
-LISTED_S = 1.0  # endpoint lists arrive by watch
+LIST_WAIT_S = 1.0  # the endpoint list arrives by watch
 
 
 async def measure_idle_clients(
@@ -20,16 +20,17 @@
     progress: Progress,
     limits: Limits = DEFAULT_LIMITS,
 ) -> Figures:
-    """Let clients connect and send PING once; count those open so long after the last was answered.
+    """Let clients connect and send one PING; count the open connections after each of ``count_after_s``.
 
-    The scheduler has the platform's file: what an operator's file loads takes memory of its own.
+    These times are in seconds since the last client was answered.  The scheduler runs with the platform's
+    file, because the modules that are loaded for an operator's file take memory as well.
     """
     check_size(sizes, limits)
     figures: Figures = {}
     async with process_group() as group:
         clients = await group.start_stand_in("clients")
         launch = await launch_with_platform_file(group, sizes, limits, progress)
-        await group.wait(LISTED_S)
+        await group.wait(LIST_WAIT_S)
         figures["scheduler.before.resident_mb"] = procfs.resident_mb(launch.scheduler.pid)
         order = ConnectClients(
             address=launch.address,
--- a/runloft/lab/scale/datapath/launching.py
+++ b/runloft/lab/scale/datapath/launching.py
@@ -1,4 +1,4 @@
-"""Start a scheduler before its stand-ins, and wait until it serves."""
+"""Start a scheduler in front of its stand-ins, and wait until it serves."""
 
 import json
 import time
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StandIns:
-    """The nodes' process, and the discovery that lists them."""
+    """The process that runs the nodes, and the discovery stand-in that lists them."""
 
     nodes: ChildProcess
     discovery: DiscoveryStarted
@@ -31,17 +31,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Launch:
-    """A scheduler that serves, the nodes behind it, and what its start took."""
+    """A scheduler that serves, the nodes behind it, and the figures of its start."""
 
     scheduler: ChildProcess
     nodes: ChildProcess
     address: str
-    admin_address: str  # empty where it has no [admin]
+    admin_address: str  # empty without [admin]
     figures: Figures
 
 
 async def start_nodes(group: ProcessGroup, sizes: Sizes) -> StandIns:
-    """Start the nodes and the discovery that lists them."""
+    """Start the nodes and the discovery stand-in that lists them."""
     nodes = await group.start_stand_in("nodes")
     discovery = await group.start_stand_in("discovery")
     listening = await group.ask(nodes, Listen(sizes.nodes), NodeAddresses)
@@ -52,13 +52,13 @@
 def write_operator_file(
     path: Path, sizes: Sizes, limits: Limits, discovery: DiscoveryStarted, **tables: dict[str, str]
 ) -> Path:
-    """Write an operator's TOML file; ``tables`` are [admin] and [agreement]."""
+    """Write an operator's TOML file; ``tables`` are the optional [admin] and [agreement]."""
     path.write_text(tomli_w.dumps(operator_file(sizes, limits, discovery.address, **tables)))
     return path
 
 
 def write_platform_file(path: Path, sizes: Sizes, limits: Limits, discovery: DiscoveryStarted) -> Path:
-    """Write the platform's JSON file."""
+    """Write the platform's JSON file; return its path."""
     path.write_text(json.dumps(platform_file(sizes, limits, discovery.address, discovery.listed)))
     return path
 
@@ -90,11 +90,11 @@
     scheduler = await group.start_scheduler(SCHEDULER, path)
     group.scheduler = scheduler
     address = await group.wait_for_log(scheduler, SERVING)
-    # What [admin] loads comes after the first listener, and is part of the start too.
+    # The admin server starts after the first listener; the modules loaded for it are part of the start.
     admin_address = await group.wait_for_log(scheduler, ADMIN_SERVING) if has_admin else ""
     figures = {
         "scheduler.start_s": time.monotonic() - started_at,
         "scheduler.start_cpu_s": scheduler.cpu_s(),
     }
-    progress(f"scheduler (process {scheduler.pid}) serves before {sizes.nodes} nodes")
+    progress(f"scheduler (process {scheduler.pid}) is serving in front of {sizes.nodes} nodes")
     return Launch(scheduler, stand_ins.nodes, address, admin_address, figures)
--- a/runloft/lab/scale/datapath/load_measurement.py
+++ b/runloft/lab/scale/datapath/load_measurement.py
@@ -1,4 +1,4 @@
-"""Measure one scheduler under the statements of its clients."""
+"""Measure one scheduler under load by its clients' statements."""
 
 import time
 
@@ -25,8 +25,8 @@
 from runloft.listeners.resp.limits import IDLE_TIMEOUT_NS
 
 IDLE_TIMEOUT_S = IDLE_TIMEOUT_NS / 1e9
-WARM_UP_S = 2.0  # of load before it is measured, where no connection is closed for being idle
-SCRAPES = 100  # processor time is known in ticks of 10 ms, and one scrape takes less
+WARM_UP_S = 2.0  # load before the measurement, if no connection reaches its idle timeout
+SCRAPE_COUNT = 100  # processor time is reported in ticks of 10 ms, and one scrape takes less
 
 
 async def measure_load(
@@ -37,11 +37,12 @@
     limits: Limits = DEFAULT_LIMITS,
     round_robin: bool = True,
 ) -> Figures:
-    """Measure one size for so many seconds; figures without a meaning at it are left out.
+    """Measure one size for ``seconds``; figures that are undefined for it are left out.
 
-    Clients connect, each sends PING, and is idle until its statement is due; without ``round_robin`` the
-    next statement's connection is drawn at random.  A connection that was closed is opened again when a
-    statement is due on it.  Memory and descriptors are the maximum from the start to the measurement's end.
+    Each client connects, sends a PING and is idle until its statement is due.  With ``round_robin`` the
+    connections get statements in turn, else each statement goes to one drawn at random.  A closed connection
+    is opened again when a statement is due on it.  Memory and descriptors are the maximum between the
+    scheduler's start and the end of the measurement.
     """
     check_size(sizes, limits)
     async with process_group() as group:
@@ -50,8 +51,8 @@
         order = _connect_order(sizes, launch.address, seed, round_robin)
         connected = await group.ask(clients, order, ClientsConnected)
         progress(
-            f"{connected.open} of {order.connections} connections open, "
-            f"all had come in {connected.seconds:.2f} s"
+            f"{connected.open} of {order.connections} client connections open, "
+            f"each was answered or closed within {connected.seconds:.2f} s"
         )
         if sizes.statements:
             await group.ask(clients, StartLoad(sizes.statements), Done)
@@ -60,19 +61,20 @@
         await group.stop(clients)
         figures |= await _measure_scrapes(launch.scheduler, launch.admin_address)
         await group.stop(launch.scheduler)
-    progress("all processes ended")
+    progress("all processes have exited")
     return figures
 
 
 def warm_up_s(sizes: Sizes, limits: Limits, round_robin: bool) -> float:
-    """Return how long the load runs before it is measured: longer than the idle timeout where that closes.
+    """Return how long the load runs before the measurement: beyond the idle timeout if that closes clients.
 
-    Idle connections are closed where clients are many enough for eviction, where random order leaves some
-    idle for longer than the mean, and where the mean itself is longer than the timeout.
+    Idle connections are closed in three cases: there are enough clients for connection pressure, statements
+    go to random connections, of which some are idle for much longer than the mean, or the mean time between
+    a client's statements is not shorter than the idle timeout.
     """
-    evicts_idle = sizes.clients > int(limits.sockets * PRESSURE_FRACTION) // 2
-    some_idle_long = sizes.clients > 0 and not round_robin
-    closes_idle = evicts_idle or some_idle_long or sizes.clients / sizes.statements >= IDLE_TIMEOUT_S
+    is_under_pressure = sizes.clients > int(limits.sockets * PRESSURE_FRACTION) // 2
+    has_long_idle = sizes.clients > 0 and not round_robin
+    closes_idle = is_under_pressure or has_long_idle or sizes.clients / sizes.statements >= IDLE_TIMEOUT_S
     return IDLE_TIMEOUT_S + WARM_UP_S if closes_idle else WARM_UP_S
 
 
@@ -91,7 +93,7 @@
 async def _measure(
     group: ProcessGroup, launch: Launch, clients: ChildProcess, sizes: Sizes, seconds: float
 ) -> Figures:
-    """Count for so many seconds what clients, scheduler and nodes do."""
+    """Return the figures of clients, scheduler and nodes over ``seconds``."""
     nodes_before = await group.ask(launch.nodes, Count(), NodeCounts)
     started_at = time.monotonic()
     scheduler_cpu_s = launch.scheduler.cpu_s()
@@ -128,22 +130,22 @@
 
 
 async def _measure_scrapes(scheduler: ChildProcess, admin_address: str) -> Figures:
-    """Scrape the metrics often enough for their processor time to show."""
+    """Return the figures of one scrape, from enough scrapes for their processor time to be measurable."""
     cpu_before_s = scheduler.cpu_s()
     size = 0
     try:
-        for _ in range(SCRAPES):
+        for _ in range(SCRAPE_COUNT):
             size = len(await _scrape(admin_address))
     except (OSError, anyio.BrokenResourceError) as error:
-        raise scheduler.error(f"gave no metrics: {error}") from error
+        raise scheduler.error(f"did not return its metrics: {error}") from error
     return {
         "scheduler.metrics.scrape_bytes": float(size),
-        "scheduler.metrics.scrape_cpu_s": (scheduler.cpu_s() - cpu_before_s) / SCRAPES,
+        "scheduler.metrics.scrape_cpu_s": (scheduler.cpu_s() - cpu_before_s) / SCRAPE_COUNT,
     }
 
 
 async def _scrape(admin_address: str) -> bytes:
-    """Return the body of one answer to GET /metrics."""
+    """Return the body of the response to GET /metrics."""
     async with await anyio.connect_tcp(*parse_address(admin_address)) as stream:
         await stream.send(b"GET /metrics HTTP/1.0\r\nHost: localhost\r\n\r\n")
         data = bytearray()
--- a/runloft/lab/scale/datapath/messages.py
+++ b/runloft/lab/scale/datapath/messages.py
@@ -1,7 +1,7 @@
-"""What a measurement and its stand-ins tell each other: orders and answers, one JSON object a line.
+"""Messages between a measurement and its stand-ins: orders and answers, one JSON object per line.
 
-An order's NAME stands on its line as ``do``.  A stand-in answers each order with one line, and ends once
-its standard input closes.
+The field ``do`` of an order's line is the order's NAME.  A stand-in answers each order with one line, and
+exits when its standard input is closed.
 """
 
 import json
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectClients:
-    """Open so many connections and send one PING on each; answered by ClientsConnected."""
+    """Open this number of connections and send a PING on each; answered by ClientsConnected."""
 
     NAME: ClassVar[str] = "come"
     address: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartLoad:
-    """Send statements from now on, ``rate`` a second; answered by Done."""
+    """Start sending ``rate`` statements per second; answered by Done."""
 
     NAME: ClassVar[str] = "load"
     rate: float
@@ -47,21 +47,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StartCounting:
-    """Set the counters to zero and count statements that are due from now on; answered by Done."""
+    """Reset the counters, and count the statements that are due from now on; answered by Done."""
 
     NAME: ClassVar[str] = "mark"
 
 
 @dataclass(frozen=True, slots=True)
 class FinishLoad:
-    """Send no more; answered by LoadResult once all that was counted has ended, or its time has passed."""
+    """Stop sending; answered by LoadResult once no counted statement is pending or all deadlines passed."""
 
     NAME: ClassVar[str] = "finish"
 
 
 @dataclass(frozen=True, slots=True)
 class Listen:
-    """Start listening: so many nodes, or the store; answered by NodeAddresses or StoreAddress."""
+    """Start this number of nodes, or the store; answered by NodeAddresses or StoreAddress."""
 
     NAME: ClassVar[str] = "listen"
     nodes: int = 0
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListNodes:
-    """Start a discovery that lists these nodes; answered by DiscoveryStarted."""
+    """Start discovery with an endpoint list of these nodes; answered by DiscoveryStarted."""
 
     NAME: ClassVar[str] = "list"
     addresses: list[str]
@@ -81,12 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """An order that has nothing to report was carried out."""
+    """An order was executed that has nothing to report."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientsConnected:
-    """All clients have been answered once, ``seconds`` after the first connected."""
+    """Each client's PING was answered, or its connection closed, ``seconds`` after the first connect."""
 
     seconds: float
     open: int
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientCounts:
-    """The clients' counters and the connections that are open now."""
+    """The clients' counters, and the number of connections that are open now."""
 
     sent: int
     served: int
@@ -106,7 +106,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """The clients' counters over ``seconds``; ``closes``, ``connects``, ``open`` as it was at their end."""
+    """The clients' counters over ``seconds``; ``open`` is the number of connections at the end of that time.
+
+    ``served``, ``refused`` and ``p99_ms`` also cover responses that arrived afterwards.
+    """
 
     sent: int
     served: int
@@ -120,14 +123,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeAddresses:
-    """Where each node listens, by its number."""
+    """The address of each node, in the order of their numbers."""
 
     addresses: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class NodeCounts:
-    """Bytes that all nodes have received, and the connections that are open now."""
+    """The bytes that all nodes have received, and the number of connections that are open now."""
 
     in_bytes: int
     connections: int
@@ -135,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryStarted:
-    """Where the discovery listens, and the endpoint list that it serves."""
+    """The address of the discovery stand-in, and the endpoint list that it serves."""
 
     address: str
     listed: dict[str, Any]  # a JSON document
@@ -143,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreAddress:
-    """Where the store listens."""
+    """The address of the store."""
 
     address: str
 
@@ -161,18 +164,18 @@
 
 
 def encode_order(order: Order) -> bytes:
-    """Return an order's line."""
+    """Return an order as a line of JSON."""
     return json.dumps({"do": order.NAME} | asdict(order)).encode() + b"\n"
 
 
 def decode_order(line: bytes) -> Order:
-    """Return the order that a line holds."""
+    """Return the order that a line of JSON contains."""
     document = json.loads(line)
     return ORDER_TYPES[document.pop("do")](**document)
 
 
 def encode_answer(answer: Answer) -> bytes:
-    """Return an answer's line."""
+    """Return an answer as a line of JSON."""
     return json.dumps(asdict(answer)).encode() + b"\n"
 
 
@@ -184,13 +187,13 @@
 
 
 class OrderReader:
-    """The orders that arrive on standard input."""
+    """Reads orders from standard input."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def read(self) -> list[Order] | None:
-        """Return the orders that are there, None at the end of the input."""
+        """Return the orders that have arrived, or None at the end of the input."""
         data = os.read(STANDARD_INPUT, READ_BYTES)
         if not data:
             return None
--- a/runloft/lab/scale/datapath/scheduler_files.py
+++ b/runloft/lab/scale/datapath/scheduler_files.py
@@ -1,11 +1,11 @@
-"""The configuration files of the scheduler under test, in the operator's and in the platform's form."""
+"""The configuration files of the scheduler under test, in the operator's and in the platform's format."""
 
 from typing import Any, TypeAlias
 
 from runloft.lab.scale.datapath.sizing import Limits
 from runloft.lab.scale.records import Sizes
 
-ConfigDocument: TypeAlias = dict[str, Any]  # what is written as TOML or JSON
+ConfigDocument: TypeAlias = dict[str, Any]  # to be written as TOML or JSON
 
 CLASS_NAME = "read"
 DEADLINE_S = 2.5
@@ -15,12 +15,12 @@
 
 
 def shard_of(node: int) -> int:
-    """Return the shard of a node's number."""
+    """Return the shard of the node with this number."""
     return node // NODES_PER_SHARD
 
 
 def operator_file(sizes: Sizes, limits: Limits, discovery: str, **tables: ConfigDocument) -> ConfigDocument:
-    """Return an operator's file; ``tables`` are [admin] and [agreement]."""
+    """Return the content of an operator's file; ``tables`` are the optional [admin] and [agreement]."""
     document = {
         "name": "s0",
         "listen": "127.0.0.1:0",
@@ -35,7 +35,7 @@
 def platform_file(
     sizes: Sizes, limits: Limits, discovery: str, known_nodes: ConfigDocument
 ) -> ConfigDocument:
-    """Return the platform's JSON, with the endpoint list and the schedulers' addresses in it."""
+    """Return the content of the platform's file, with the endpoint list and all schedulers' addresses."""
     peers = [f"127.0.0.1:{FIRST_PEER_PORT + number}" for number in range(max(1, sizes.schedulers))]
     return operator_file(sizes, limits, discovery) | {"known": known_nodes, "peers": peers}
 
--- a/runloft/lab/scale/datapath/sizing.py
+++ b/runloft/lab/scale/datapath/sizing.py
@@ -1,4 +1,4 @@
-"""Whether a size can be measured at all: the scheduler's limits and this machine's, checked beforehand."""
+"""Check before a measurement that its size is within the scheduler's limits and this machine's."""
 
 import math
 import re
@@ -11,9 +11,9 @@
 from runloft.listeners.accepting import CLIENT_FRACTION
 from runloft.upstream.pool import RESERVED_DESCRIPTORS
 
-MAX_BUSY_CONNECTIONS = 64  # connections that carry statements where no idle clients are wanted
-STAND_INS = 3  # processes beside the scheduler, each about as large as one without clients
-# Estimates on the high side: a size is refused rather than left to the kernel's out-of-memory killer.
+MAX_BUSY_CONNECTIONS = 64  # carry the statements of a size whose number of clients is 0
+STAND_IN_PROCESSES = 3  # each takes about as much memory as a scheduler without clients
+# Estimates, high rather than low: too large a size is refused before the kernel's out-of-memory killer acts.
 SCHEDULER_MB = 48
 CLIENT_KB = 12
 SOCKET_KB = 16
@@ -22,12 +22,12 @@
 
 
 class SizeError(LaboratoryError, ValueError):
-    """A size that this machine or the scheduler's limits can't bear: names the limit and the size."""
+    """A size exceeds a limit of this machine or of the scheduler; the message has the size and the limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the scheduler under test may use of its machine."""
+    """The limits that the scheduler under test is configured with."""
 
     memory_mb: int = 256
     sockets: int = 18_000
@@ -37,14 +37,16 @@
 
 
 def connection_count(sizes: Sizes) -> int:
-    """Return how many client connections carry the statements."""
+    """Return the number of client connections that carry the statements."""
     return sizes.clients or min(MAX_BUSY_CONNECTIONS, math.ceil(sizes.statements))
 
 
 def check_size(sizes: Sizes, limits: Limits) -> None:
-    """Raise SizeError for a size that can't be measured; nothing has been started by then."""
+    """Raise SizeError for a size that can't be measured; call it before any process is started."""
     if sizes.nodes < 1 or sizes.clients < 0 or sizes.statements < 0:
-        raise SizeError(f"{sizes}: at least one node, and no figure below 0, is wanted")
+        raise SizeError(
+            f"{sizes}: at least one node is needed, and no number of clients or statements below 0"
+        )
     _check_client_sockets(sizes, limits)
     _check_descriptors(sizes, limits)
     _check_memory(sizes, limits)
@@ -54,7 +56,7 @@
     clients = connection_count(sizes)
     capacity = int(limits.sockets * CLIENT_FRACTION)
     if clients > capacity:
-        raise SizeError(f"{clients} clients: limits.sockets of {limits.sockets} has room for {capacity}")
+        raise SizeError(f"{clients} clients: limits.sockets of {limits.sockets} allows at most {capacity}")
 
 
 def _check_descriptors(sizes: Sizes, limits: Limits) -> None:
@@ -69,20 +71,22 @@
     for process, required in required_by_process.items():
         if required > allowed:
             size = f"{clients} clients and {sizes.nodes} nodes"
-            raise SizeError(f"{size}: {process} wants {required} descriptors, RLIMIT_NOFILE is {allowed}")
+            raise SizeError(f"{size}: {process} needs {required} descriptors, RLIMIT_NOFILE is {allowed}")
 
 
 def _check_memory(sizes: Sizes, limits: Limits) -> None:
     clients = connection_count(sizes)
     scheduler_mb = SCHEDULER_MB + clients * CLIENT_KB // KB_PER_MB
     if scheduler_mb > limits.memory_mb:
-        raise SizeError(f"{clients} clients: some {scheduler_mb} MB, limits.memory_mb is {limits.memory_mb}")
+        raise SizeError(
+            f"{clients} clients: about {scheduler_mb} MB needed, limits.memory_mb is {limits.memory_mb}"
+        )
     sockets_and_nodes_kb = clients * 3 * SOCKET_KB + sizes.nodes * NODE_KB
-    required_mb = STAND_INS * SCHEDULER_MB + scheduler_mb + sockets_and_nodes_kb // KB_PER_MB
+    required_mb = STAND_IN_PROCESSES * SCHEDULER_MB + scheduler_mb + sockets_and_nodes_kb // KB_PER_MB
     available_mb = _available_memory_mb()
     if required_mb > available_mb:
         size = f"{clients} clients and {sizes.nodes} nodes"
-        raise SizeError(f"{size}: {required_mb} MB, {available_mb} MB available")
+        raise SizeError(f"{size}: about {required_mb} MB needed, {available_mb} MB available")
 
 
 def _available_memory_mb() -> int:
--- a/runloft/lab/scale/datapath/stand_ins.py
+++ b/runloft/lab/scale/datapath/stand_ins.py
@@ -1,4 +1,4 @@
-"""The stand-ins that a real scheduler is measured before: storage nodes, discovery and store."""
+"""The servers around the scheduler under test, as stand-ins: storage nodes, discovery and store."""
 
 from collections.abc import Awaitable, Callable
 from typing import cast
@@ -21,7 +21,7 @@
 )
 from runloft.lab.scale.datapath.scheduler_files import shard_of
 
-# 800 statements a second each: a node is never what is waited for.
+# 800 statements per second for each node: nodes are never the bottleneck.
 FAST_NODE = NodeKind(cores=8, unit_ms=10.0)
 
 
@@ -48,7 +48,7 @@
 
 
 async def run_nodes() -> None:
-    """Run storage nodes until standard input ends."""
+    """Run storage nodes until standard input is closed."""
     nodes: list[ByteCountingNode] = []
     async with anyio.create_task_group() as group:
         async for order in OrderReader():
@@ -65,12 +65,12 @@
 
 
 async def run_discovery() -> None:
-    """Run a discovery until standard input ends."""
+    """Run a discovery server until standard input is closed."""
     discovery = LabDiscovery()
     async with anyio.create_task_group() as group:
         async for order in OrderReader():
             if not isinstance(order, ListNodes):
-                raise ValueError(f"no order for a discovery: {order}")
+                raise ValueError(f"unexpected order for the discovery stand-in: {order}")
             for number, address in enumerate(order.addresses):
                 discovery.put(f"node-{number}", address, shard_of(number))
             await group.start(discovery.run)
@@ -79,7 +79,7 @@
 
 
 async def run_store() -> None:
-    """Run a store until standard input ends."""
+    """Run a store until standard input is closed."""
     store = RedisStandIn()
     async with anyio.create_task_group() as group:
         async for _ in OrderReader():
--- a/runloft/lab/scale/datapath/start_measurement.py
+++ b/runloft/lab/scale/datapath/start_measurement.py
@@ -1,4 +1,4 @@
-"""Measure the starts of one scheduler, by what its configuration file holds."""
+"""Measure how one scheduler starts, for each kind of configuration file."""
 
 import time
 from dataclasses import dataclass
@@ -18,12 +18,12 @@
 from runloft.lab.scale.datapath.sizing import DEFAULT_LIMITS, Limits, check_size
 from runloft.lab.scale.records import Figures, Sizes
 
-AFTER_START_S = 2.0  # by then lists have arrived and the store has answered
+START_SETTLE_S = 2.0  # the endpoint list and the store's first reply arrive within it
 
 
 @dataclass(frozen=True, slots=True)
 class StartFigures:
-    """What one start took; ``file`` names the kind of configuration file."""
+    """The figures of one start; ``file`` names the kind of configuration file."""
 
     file: str
     repeat: int
@@ -31,7 +31,10 @@
 
 
 async def measure_starts(sizes: Sizes, repeats: int, progress: Progress) -> list[StartFigures]:
-    """Start schedulers with and without [agreement] and [admin], one after another."""
+    """Start a scheduler with each kind of configuration file, one after another; return their figures.
+
+    The kinds are an operator's file with and without [agreement] and [admin], and the platform's file.
+    """
     limits = DEFAULT_LIMITS
     check_size(sizes, limits)
     measured: list[StartFigures] = []
@@ -72,7 +75,7 @@
     await group.wait_for_log(scheduler, ADMIN_SERVING if "admin" in name else SERVING)
     figures = {"scheduler.start_s": time.monotonic() - started_at}
     figures["scheduler.start_cpu_s"] = scheduler.cpu_s()
-    await group.wait(AFTER_START_S)
+    await group.wait(START_SETTLE_S)
     figures["scheduler.resident_mb"] = procfs.resident_mb(scheduler.pid)
     figures["scheduler.first_2_s.cpu_s"] = scheduler.cpu_s() - figures["scheduler.start_cpu_s"]
     await group.stop(scheduler)
--- a/tests/lab/scale/datapath/test_client_load.py
+++ b/tests/lab/scale/datapath/test_client_load.py
@@ -1,4 +1,4 @@
-"""The clients' stand-in."""
+"""The stand-in for clients."""
 
 import json
 import subprocess
@@ -21,28 +21,28 @@
     yield ask
     process.stdin.close()
     process.stdout.close()
-    assert process.wait(10) == 0  # its input's end is its own
+    assert process.wait(10) == 0  # it exits when its input is closed
 
 
-class Closing(Listener):
-    """Closes connections after a PING, answers the first statement on any, and closes that one once."""
+class ClosingScheduler(Listener):
+    """Closes each connection after a PING, and the one that brings the first statement, unanswered."""
 
-    cut = False
+    has_closed_on_statement = False
 
     def serve(self, conn, lines):
         while words := words_of(lines):
             if words[0] == b"PING":
                 conn.sendall(b"+PONG\r\n")
                 return
-            if not self.cut:
-                self.cut = True
+            if not self.has_closed_on_statement:
+                self.has_closed_on_statement = True
                 return
             conn.sendall(b"$3\r\nabc\r\n" if int(words[2], 16) % 2 else b"-BUSY 5\r\n")
 
 
 def test_closed_connections_are_counted_and_reopened_for_their_statement():
     order = {"seed": 1, "round_robin": True, "shards": 1, "hosts": 1, "volumes": 1}
-    server = Closing()
+    server = ClosingScheduler()
     with stand_in("clients") as ask:
         ask(do="come", address=server.address, connections=5, **order)
         while ask(do="count")["open"]:
@@ -52,8 +52,9 @@
         ask(do="load", rate=500.0)
         while ask(do="count")["sent"] < 25:
             pass
-        found = ask(do="finish")
+        result = ask(do="finish")
     server.close()
-    assert found["sent"] >= 25 and found["served"] and found["refused"]
-    assert found["served"] + found["refused"] == found["sent"]  # the one that was cut off was sent again
-    assert (found["closes"], found["connects"], found["open"]) == (1, 6, 5)
+    assert result["sent"] >= 25 and result["served"] and result["refused"]
+    # The statement whose connection was closed was resent.
+    assert result["served"] + result["refused"] == result["sent"]
+    assert (result["closes"], result["connects"], result["open"]) == (1, 6, 5)
--- a/tests/lab/scale/datapath/test_idle_measurement.py
+++ b/tests/lab/scale/datapath/test_idle_measurement.py
@@ -1,4 +1,4 @@
-"""One scheduler with idle clients."""
+"""Measurements of one scheduler with idle clients."""
 
 import anyio
 
@@ -7,6 +7,6 @@
 
 
 def test_idle_clients_that_stay_open_are_counted():
-    found = anyio.run(measure_idle_clients, Sizes(nodes=1, clients=5), (0.0,), 1, lambda _: None)
+    figures = anyio.run(measure_idle_clients, Sizes(nodes=1, clients=5), (0.0,), 1, lambda _: None)
     names = ("scheduler.come.clients_open_count", "scheduler.after_0_s.clients_open_count")
-    assert [found[name] for name in names] == [5, 5]
+    assert [figures[name] for name in names] == [5, 5]
