--- a/runloft/lab/scale/capacity_page/__init__.py
+++ b/runloft/lab/scale/capacity_page/__init__.py
@@ -1,1 +1,1 @@
-"""The tables of docs/CAPACITY.md, worked out from committed documents and the operators' size."""
+"""The tables of docs/CAPACITY.md, calculated from committed result documents and the sizes in load_cases."""
--- a/runloft/lab/scale/capacity_page/all_rows.py
+++ b/runloft/lab/scale/capacity_page/all_rows.py
@@ -1,4 +1,4 @@
-"""All quantities of the page, in its order."""
+"""All rows of the page by role, in the page's order."""
 
 from runloft.lab.scale.capacity_page import role_rows, scheduler_rows
 from runloft.lab.scale.capacity_page.rows import Role, Row
--- a/runloft/lab/scale/capacity_page/budgets.py
+++ b/runloft/lab/scale/capacity_page/budgets.py
@@ -1,4 +1,4 @@
-"""How much there may be of a figure, in the unit of the figure's last word (see ``records``)."""
+"""Budgets of figures, in the unit that the figure's name ends in (see ``records``)."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """How much there may be of a figure; ``is_minimum``: how much there has to be."""
+    """The largest allowed value of a figure, or the smallest if ``is_minimum``."""
 
     amount: float
     source: Source
@@ -19,7 +19,7 @@
 
 
 class BudgetName(StrEnum):
-    """What a budget is for."""
+    """The name of a budget."""
 
     CONTROL_CPU = "control cpu"
     CONTROL_MEMORY = "control memory"
@@ -34,7 +34,7 @@
     CLIENTS = "clients"
 
 
-Budgets = Mapping[str, Budget]  # by the values of BudgetName
+Budgets = Mapping[str, Budget]  # keyed by the values of BudgetName
 
 BUDGETS: Budgets = {
     BudgetName.CONTROL_CPU: Budget(0.015, Source.SPECIFIED),
--- a/runloft/lab/scale/capacity_page/documents.py
+++ b/runloft/lab/scale/capacity_page/documents.py
@@ -1,4 +1,4 @@
-"""The committed documents that the page is worked out from."""
+"""The committed result documents that the tables are calculated from."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -10,22 +10,22 @@
 
 
 class CapacityError(LaboratoryError, ValueError):
-    """A page or a document that no table can be made for; says which and why."""
+    """The page or a document is invalid; the message names it and the reason."""
 
 
 class Document(StrEnum):
-    """A document, by its file's name without the suffix."""
+    """A document, named by its file name without the suffix."""
 
-    BEFORE = "before"  # the control plane with the protocol before the present one
+    BEFORE = "before"  # the control plane with the previous protocol
     FULL = "full"  # the control plane
     DATA_PATH = "datapath"  # one real scheduler with its clients
 
 
-Documents: TypeAlias = Mapping[str, Result]  # by the values of Document
+Documents: TypeAlias = Mapping[str, Result]  # keyed by the values of Document
 
 
 def read_documents(directory: Path) -> dict[str, Result]:
-    """Return the documents that are there; raise CapacityError for one that is no result."""
+    """Return the documents that exist in a directory; raise CapacityError if one can't be parsed."""
     results: dict[str, Result] = {}
     for document in Document:
         path = directory / f"{document}.json"
--- a/runloft/lab/scale/capacity_page/estimates.py
+++ b/runloft/lab/scale/capacity_page/estimates.py
@@ -1,4 +1,4 @@
-"""Figures at any size, from the slopes that were measured along each dimension."""
+"""Estimates of figures at any size, from the slopes measured along each dimension."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
@@ -8,16 +8,17 @@
 from runloft.lab.scale.fitting import slopes
 from runloft.lab.scale.records import Event, Point, Result, Sizes, Slope, dimensions, prefixed
 
-# One scheduler with all its clients and their statements.
-CLIENTS_AT_WORK = "clients-ask-by-lot"
+# Names of events: one scheduler whose clients send statements, and one whose clients are idle.
+ACTIVE_CLIENTS = "clients-ask-by-lot"
 IDLE_CLIENTS = "clients-rest-uncrowded"
-ROUNDING = 1e-9  # of a figure: no slope is made of less
-CONVEXITY = 1.5  # the last slope between two sizes by the first, from which on it is faster than its line
+ROUNDING_FRACTION = 1e-9  # of a figure; a smaller change is a rounding error, not a slope
+# A figure grows faster than its line if its last slope between two sizes exceeds this multiple of the first.
+CONVEX_SLOPE_RATIO = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class FittedEvent:
-    """An event that is measured at several sizes: the dimension, and the prefix of its figures' names."""
+    """An event measured at several sizes of ``dimension``; ``prefix`` is put before its figures' names."""
 
     name: str
     dimension: str
@@ -26,13 +27,13 @@
 
 FITTED_EVENTS = (
     FittedEvent(IDLE_CLIENTS, "clients", "rest"),
-    FittedEvent(CLIENTS_AT_WORK, "clients", "work"),
+    FittedEvent(ACTIVE_CLIENTS, "clients", "work"),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """One slope by one size."""
+    """The product of one slope and one size."""
 
     dimension: str
     slope: float
@@ -40,13 +41,13 @@
 
     @property
     def amount(self) -> float:
-        """What it adds to the figure."""
+        """The amount that the term adds to the estimate."""
         return self.slope * self.size
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """The mean of the points that were measured at a size."""
+    """The mean of a figure's values measured at one size, and their number."""
 
     mean: float
     points: int
@@ -54,22 +55,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A figure at a size."""
+    """An estimate of a figure at a size: a constant plus the terms of the significant slopes."""
 
     constant: float
     terms: tuple[Term, ...]
-    max_measured: dict[str, float]  # the largest size measured, of each dimension that counts
-    measured: Measurement | None  # where there are points at this size
-    is_convex: bool  # grows faster than its line within what was measured
-    residual: float  # how far points lie off the lines: the largest root of a mean square
+    max_measured: dict[str, float]  # the largest measured size of each significant dimension
+    measured: Measurement | None  # None if nothing was measured at this size
+    is_convex: bool  # grows faster than its line within the measured sizes
+    residual: float  # the largest root mean square deviation of the points from a line
 
     @property
     def total(self) -> float:
-        """The figure."""
+        """The estimated value."""
         return self.constant + sum(term.amount for term in self.terms)
 
-    def times(self, factor: float) -> "Estimate":
-        """Return a multiple of the figure."""
+    def scaled(self, factor: float) -> "Estimate":
+        """Return the estimate multiplied by a factor."""
         measured = None
         if self.measured:
             measured = replace(self.measured, mean=self.measured.mean * factor)
@@ -82,11 +83,11 @@
         )
 
     def __add__(self, other: "Estimate") -> "Estimate":
-        """Return the sum of two figures at the same size."""
+        """Return the sum of two estimates at the same size."""
         return Estimate(
             constant=self.constant + other.constant,
             terms=_added_terms(self.terms, other.terms),
-            max_measured=_smaller_of_both(self.max_measured, other.max_measured),
+            max_measured=_min_by_dimension(self.max_measured, other.max_measured),
             measured=_added_measurements(self.measured, other.measured),
             is_convex=self.is_convex or other.is_convex,
             residual=self.residual + other.residual,
@@ -96,63 +97,63 @@
 def _added_terms(terms: Iterable[Term], others: Iterable[Term]) -> tuple[Term, ...]:
     by_dimension = {term.dimension: term for term in terms}
     for term in others:
-        same = by_dimension.get(term.dimension)
-        by_dimension[term.dimension] = replace(term, slope=term.slope + same.slope) if same else term
+        existing = by_dimension.get(term.dimension)
+        by_dimension[term.dimension] = replace(term, slope=term.slope + existing.slope) if existing else term
     return tuple(by_dimension.values())
 
 
-def _smaller_of_both(sizes: dict[str, float], others: dict[str, float]) -> dict[str, float]:
+def _min_by_dimension(sizes: dict[str, float], others: dict[str, float]) -> dict[str, float]:
     return {
-        dimension: min(some[dimension] for some in (sizes, others) if dimension in some)
+        dimension: min(group[dimension] for group in (sizes, others) if dimension in group)
         for dimension in {**sizes, **others}
     }
 
 
-def _added_measurements(one: Measurement | None, other: Measurement | None) -> Measurement | None:
-    if one is None or other is None:
+def _added_measurements(left: Measurement | None, right: Measurement | None) -> Measurement | None:
+    if left is None or right is None:
         return None
-    return Measurement(one.mean + other.mean, min(one.points, other.points))
+    return Measurement(left.mean + right.mean, min(left.points, right.points))
 
 
 @dataclass(slots=True)
 class DocumentFigures:
-    """The figures of one document; ``figures_of`` reads them from a result."""
+    """The measured points and fitted slopes of one document; ``figures_of`` creates them from a result."""
 
     points: list[Point] = field(default_factory=list)
-    clients_at_work: list[Event] = field(default_factory=list)
-    slopes: dict[str, dict[str, Slope]] = field(default_factory=dict)  # by figure and dimension
+    active_client_events: list[Event] = field(default_factory=list)
+    slopes: dict[str, dict[str, Slope]] = field(default_factory=dict)  # keyed by figure and dimension
 
-    def at(self, figure: str, sizes: Sizes) -> Estimate | None:
-        """Return a figure at a size; None where no slope of it was measured."""
+    def estimate_at(self, figure: str, sizes: Sizes) -> Estimate | None:
+        """Return the estimate of a figure at a size, or None if the document has no slope of it."""
         by_dimension = self.slopes.get(figure, {})
         lines = [by_dimension[name] for name in dimensions() if name in by_dimension]
         if not lines:
             return None
         points = {line.vary: self._points_along(figure, line.vary) for line in lines}
-        counted = [line for line in lines if _is_above_spread(line, points[line.vary])]
-        constant = max(_constant(line, counted, points[line.vary]) for line in counted or lines[:1])
+        significant = [line for line in lines if _is_above_spread(line, points[line.vary])]
+        constant = max(_constant(line, significant, points[line.vary]) for line in significant or lines[:1])
         return Estimate(
             constant=constant,
-            terms=tuple(Term(line.vary, line.slope, sizes.along(line.vary)) for line in counted),
-            max_measured=_max_measured(counted, points),
-            measured=self._measured_at(figure, sizes, counted),
-            is_convex=any(_is_convex(line, points[line.vary]) for line in counted),
-            residual=max((line.residual for line in counted), default=0.0),
+            terms=tuple(Term(line.vary, line.slope, sizes.along(line.vary)) for line in significant),
+            max_measured=_max_measured(significant, points),
+            measured=self._measured_at(figure, sizes, significant),
+            is_convex=any(_is_convex(line, points[line.vary]) for line in significant),
+            residual=max((line.residual for line in significant), default=0.0),
         )
 
     def _points_along(self, figure: str, dimension: str) -> list[Point]:
         return [point for point in self.points if point.vary == dimension and figure in point.figures]
 
-    def _measured_at(self, figure: str, sizes: Sizes, counted: Sequence[Slope]) -> Measurement | None:
-        if not counted:
+    def _measured_at(self, figure: str, sizes: Sizes, significant: Sequence[Slope]) -> Measurement | None:
+        if not significant:
             return None
-        # One scheduler with its clients at work, rather than points where clients or statements are missing.
-        for measured in (self.clients_at_work, self.points):
+        # Prefer events with active clients: points may lack the clients or the statements.
+        for measured in (self.active_client_events, self.points):
             values = [
-                one.figures[figure]
-                for one in measured
-                if figure in one.figures
-                and all(one.sizes.along(line.vary) == sizes.along(line.vary) for line in counted)
+                record.figures[figure]
+                for record in measured
+                if figure in record.figures
+                and all(record.sizes.along(line.vary) == sizes.along(line.vary) for line in significant)
             ]
             if values:
                 return Measurement(fmean(values), len(values))
@@ -160,7 +161,7 @@
 
 
 def figures_of(result: Result | None) -> DocumentFigures:
-    """Return a document's figures, with slopes of its points and of the events that have several sizes."""
+    """Return the figures of a document, with the slopes of its points and of FITTED_EVENTS."""
     if result is None:
         return DocumentFigures()
     figures = DocumentFigures(points=list(result.points))
@@ -173,44 +174,45 @@
         ]
         figures.points += points
         lines += slopes(points)
-        if fitted.name == CLIENTS_AT_WORK:
-            figures.clients_at_work += events
+        if fitted.name == ACTIVE_CLIENTS:
+            figures.active_client_events += events
     for line in lines:
         figures.slopes.setdefault(line.figure, {})[line.vary] = line
     return figures
 
 
 def _is_above_spread(line: Slope, points: Sequence[Point]) -> bool:
-    """Return whether a slope shows above what repeats of one size differ by."""
+    """Return whether a slope changes the figure by more than repeats of one size differ."""
     sizes = [point.sizes.along(line.vary) for point in points]
     if not sizes:
         return True
     max_value = max(abs(point.figures[line.figure]) for point in points)
-    return abs(line.slope) * (max(sizes) - min(sizes)) > max(line.spread, ROUNDING * max_value)
+    return abs(line.slope) * (max(sizes) - min(sizes)) > max(line.spread, ROUNDING_FRACTION * max_value)
 
 
-def _constant(line: Slope, counted: Sequence[Slope], points: Sequence[Point]) -> float:
-    """Return what the terms are added to, so that the sum is this line where the line was measured.
+def _constant(line: Slope, significant: Sequence[Slope], points: Sequence[Point]) -> float:
+    """Return the constant with which the estimate equals this line at the sizes where it was measured.
 
-    Lines along several dimensions seldom meet in one point; the caller takes the largest constant.
+    Lines along several dimensions seldom yield the same constant; the caller uses the largest.
+    For a line that isn't significant, and so has no term, return its mean over the points.
     """
-    if line not in counted:
+    if line not in significant:
         return line.intercept + line.slope * fmean(point.sizes.along(line.vary) for point in points)
     base = points[0].sizes if points else Sizes()
-    others = (other for other in counted if other is not line)
+    others = (other for other in significant if other is not line)
     return line.intercept - sum(other.slope * base.along(other.vary) for other in others)
 
 
-def _max_measured(counted: Sequence[Slope], points: dict[str, list[Point]]) -> dict[str, float]:
+def _max_measured(significant: Sequence[Slope], points: dict[str, list[Point]]) -> dict[str, float]:
     return {
         line.vary: max(point.sizes.along(line.vary) for point in points[line.vary])
-        for line in counted
+        for line in significant
         if points[line.vary]
     }
 
 
 def _is_convex(line: Slope, points: Sequence[Point]) -> bool:
-    """Return whether the last step between two sizes is steeper than the first: it grows ever faster."""
+    """Return whether the last slope between two neighbouring sizes is notably steeper than the first."""
     values_by_size: dict[float, list[float]] = {}
     for point in points:
         values = values_by_size.setdefault(point.sizes.along(line.vary), [])
@@ -218,6 +220,6 @@
     means = [(size, fmean(values)) for size, values in sorted(values_by_size.items())]
     if len(means) < 3:
         return False
-    steps = [(above[1] - below[1]) / (above[0] - below[0]) for below, above in pairwise(means)]
-    is_steeper = steps[0] > 0 and steps[-1] > CONVEXITY * steps[0]
+    slopes_between = [(above[1] - below[1]) / (above[0] - below[0]) for below, above in pairwise(means)]
+    is_steeper = slopes_between[0] > 0 and slopes_between[-1] > CONVEX_SLOPE_RATIO * slopes_between[0]
     return is_steeper and abs(means[-1][1] - means[-2][1]) > line.spread
--- a/runloft/lab/scale/capacity_page/event_kinds.py
+++ b/runloft/lab/scale/capacity_page/event_kinds.py
@@ -1,4 +1,4 @@
-"""The events that are played at the ordinary day's size, and what they may take."""
+"""The events that the page lists, and their budgets."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -7,27 +7,27 @@
 from runloft.lab.scale.capacity_page.budgets import BudgetName
 from runloft.lab.scale.capacity_page.load_cases import CHANGES_PER_DAY
 
-# The figure of an event that reached all: the time until the last scheduler served by what is committed.
-ALL_COMMITTED = "all_in_force_s"
+# The time until the last scheduler served with the committed state; absent if not all schedulers did.
+ALL_COMMITTED_FIGURE = "all_in_force_s"
 
 
 @dataclass(frozen=True, slots=True)
 class EventKind:
-    """Something that happens to a fleet of that size."""
+    """An event in a fleet, as the page describes it."""
 
     title: str
     frequency: str
     mechanism: str
     breaks_beyond: str
-    budgets: Mapping[str, BudgetName]  # by figure
+    budgets: Mapping[str, BudgetName]  # keyed by figure
 
 
 NETWORK_BUDGETS = {
     "store.worst_second_bytes": BudgetName.MACHINE_NETWORK,
     "discovery.worst_second_bytes": BudgetName.MACHINE_NETWORK,
 }
-CHANGE_BUDGETS = {ALL_COMMITTED: BudgetName.COMMITTED} | NETWORK_BUDGETS
-PRIMARY_BUDGETS = {ALL_COMMITTED: BudgetName.PRIMARY} | NETWORK_BUDGETS
+CHANGE_BUDGETS = {ALL_COMMITTED_FIGURE: BudgetName.COMMITTED} | NETWORK_BUDGETS
+PRIMARY_BUDGETS = {ALL_COMMITTED_FIGURE: BudgetName.PRIMARY} | NETWORK_BUDGETS
 EVENTS: Mapping[str, EventKind] = {
     "change": EventKind(
         title="a change of configuration",
--- a/runloft/lab/scale/capacity_page/event_tables.py
+++ b/runloft/lab/scale/capacity_page/event_tables.py
@@ -1,9 +1,15 @@
-"""The tables of events: all of them, one with every figure, and one scheduler measured as a whole."""
+"""The tables of events: an overview, all figures of one event, and measurements of one real scheduler."""
 
 from runloft.lab.scale.capacity_page.documents import Document, Documents
 from runloft.lab.scale.capacity_page.event_figures import EventFigures, Plays
-from runloft.lab.scale.capacity_page.event_kinds import ALL_COMMITTED, EVENTS
-from runloft.lab.scale.capacity_page.formatting import markdown_table, median_and_range, number, sized, unit
+from runloft.lab.scale.capacity_page.event_kinds import ALL_COMMITTED_FIGURE, EVENTS
+from runloft.lab.scale.capacity_page.formatting import (
+    markdown_table,
+    median_and_range,
+    number,
+    size_text,
+    unit,
+)
 from runloft.lab.scale.capacity_page.measured_tables import MEASURED_TABLES, MeasuredTable
 from runloft.lab.scale.capacity_page.sources import MISSING, NOT_REACHED, Source
 from runloft.lab.scale.records import Sizes
@@ -25,14 +31,14 @@
     lines = []
     for name, event in EVENTS.items():
         plays = figures.nearest_to_day(name)
-        durations = plays.values(ALL_COMMITTED) if plays else []
+        durations = plays.values(ALL_COMMITTED_FIGURE) if plays else []
         lines.append(
             (
                 event.title,
                 event.frequency,
                 figures.duration_text(name),
-                figures.goal_text(event, ALL_COMMITTED),
-                figures.worst_text(event, ALL_COMMITTED, durations),
+                figures.budget_text(event, ALL_COMMITTED_FIGURE),
+                figures.worst_share_text(event, ALL_COMMITTED_FIGURE, durations),
                 event.mechanism,
                 event.breaks_beyond,
             )
@@ -41,15 +47,15 @@
 
 
 def event_table(name: str, figures: EventFigures) -> str:
-    """Return the table of one event with every figure that it has."""
+    """Return the table of one event with all its figures."""
     event = EVENTS[name]
     all_plays = figures.plays(name)
-    measured = {figure for plays in all_plays for one in plays.figures for figure in one}
+    measured = {figure for plays in all_plays for play in plays.figures for figure in play}
     lines = []
-    for figure in sorted(measured | event.budgets.keys() | {ALL_COMMITTED}):
-        goal = figures.goal_text(event, figure)
+    for figure in sorted(measured | event.budgets.keys() | {ALL_COMMITTED_FIGURE}):
+        budget = figures.budget_text(event, figure)
         if not all_plays:
-            lines.append((figure, MISSING, "", "", goal, ""))
+            lines.append((figure, MISSING, "", "", budget, ""))
         for plays in all_plays:
             values = plays.values(figure)
             lines.append(
@@ -57,9 +63,9 @@
                     figure,
                     _values_text(figure, values),
                     f"{len(values)} of {len(plays.figures)}",
-                    _size_text(plays),
-                    goal,
-                    figures.worst_text(event, figure, values),
+                    _sizes_text(plays),
+                    budget,
+                    figures.worst_share_text(event, figure, values),
                 )
             )
     return markdown_table(EVENT_HEAD, lines)
@@ -68,15 +74,15 @@
 def _values_text(figure: str, values: list[float]) -> str:
     if values:
         return f"{median_and_range(values)}{unit(figure)} {Source.MEASURED}"
-    return NOT_REACHED if figure == ALL_COMMITTED else MISSING
+    return NOT_REACHED if figure == ALL_COMMITTED_FIGURE else MISSING
 
 
-def _size_text(plays: Plays) -> str:
-    return f"{sized('schedulers', plays.sizes.schedulers)}, {sized('nodes', plays.sizes.nodes)}"
+def _sizes_text(plays: Plays) -> str:
+    return f"{size_text('schedulers', plays.sizes.schedulers)}, {size_text('nodes', plays.sizes.nodes)}"
 
 
 def measured_table(name: str, documents: Documents) -> str:
-    """Return a table of what one scheduler was measured at as a whole, size by size."""
+    """Return a table of the measurements of one real scheduler, with a row for each event and size."""
     table = MEASURED_TABLES[name]
     result = documents.get(Document.DATA_PATH)
     plays_by_event: dict[tuple[str, Sizes], Plays] = {}
--- a/runloft/lab/scale/capacity_page/formatting.py
+++ b/runloft/lab/scale/capacity_page/formatting.py
@@ -1,15 +1,15 @@
-"""Numbers, units and tables as the page writes them."""
+"""Formatting of numbers, units and tables for the page."""
 
 from collections.abc import Sequence
 from statistics import median
 
 UNITS = {"cpu": " cores", "mb": " MB", "per_s": "/s", "s": " s", "ms": " ms", "bytes": " B"}
-UNITS_OF_RATE = {" B": " B/s", " s": " cores"}  # of a quantity that occurs so often a second
+UNITS_OF_RATE = {" B": " B/s", " s": " cores"}  # units after multiplication by a rate per second
 DIMENSION_TITLES = {"clients": "own clients", "statements": "own statements"}
 
 
 def number(value: float) -> str:
-    """Return three significant digits, thousands separated."""
+    """Return a number with about three significant digits and separated thousands."""
     size = abs(value)
     if value != 0 and size < 0.001:
         return f"{value:.2e}"
@@ -26,7 +26,7 @@
 
 
 def unit(figure: str) -> str:
-    """Return the unit that a figure's name ends in."""
+    """Return the unit that a figure's name ends in, with its leading blank, or an empty text."""
     last_word = figure.rpartition(".")[2]
     if last_word.endswith("bytes_per_s"):
         return " B/s"
@@ -37,30 +37,30 @@
 
 
 def dimension_title(dimension: str) -> str:
-    """Return what the page calls a dimension."""
+    """Return a dimension's name on the page."""
     return DIMENSION_TITLES.get(dimension, dimension)
 
 
-def sized(dimension: str, size: float) -> str:
+def size_text(dimension: str, size: float) -> str:
     """Return a size with its dimension, such as ``450 schedulers``."""
     return f"{number(size)} {dimension_title(dimension)}"
 
 
 def median_and_range(values: Sequence[float]) -> str:
-    """Return the median, with the smallest and largest value where they differ."""
+    """Return the median, followed by the smallest and the largest value if these differ."""
     lowest = number(min(values))
     highest = number(max(values))
-    middle = number(median(values))
-    return f"{middle} ({lowest} to {highest})" if lowest != highest else middle
+    median_text = number(median(values))
+    return f"{median_text} ({lowest} to {highest})" if lowest != highest else median_text
 
 
 def percentage(share: float) -> str:
-    """Return a share in whole per cent."""
+    """Return a share as a whole percentage."""
     return f"{100 * share:.0f}%"
 
 
 def markdown_table(head: Sequence[str], lines: Sequence[Sequence[str]]) -> str:
     """Return a Markdown table."""
     rows = [head, ["---"] * len(head), *lines]
-    # Empty cells are written with one space; neighbours overlap, hence twice.
+    # An empty cell is written as one space. Matches of adjacent empty cells overlap, so replace twice.
     return "".join(f"| {' | '.join(row)} |\n".replace("|  |", "| |").replace("|  |", "| |") for row in rows)
--- a/runloft/lab/scale/capacity_page/load_cases.py
+++ b/runloft/lab/scale/capacity_page/load_cases.py
@@ -1,4 +1,4 @@
-"""The sizes that the page speaks of: the ordinary day, and what is left after a loss."""
+"""The sizes that the page covers: the ordinary day, and after the loss of a zone or a region."""
 
 from collections.abc import Mapping
 
@@ -10,17 +10,17 @@
 DAY = Sizes(
     schedulers=450, nodes=820, clients=8222, statements=644.0, volumes=820, changes=CHANGES_PER_DAY / 24
 )
-REMAINING_WITHOUT_A_ZONE = (ZONES - 1) / ZONES
-# What each scheduler that is left bears; endpoint lists still name every node.
-ZONE_AWAY = Sizes(
-    schedulers=round(DAY.schedulers * REMAINING_WITHOUT_A_ZONE),
+FRACTION_AFTER_ZONE_LOSS = (ZONES - 1) / ZONES
+# Clients and statements are those of each remaining scheduler; endpoint lists still name every node.
+AFTER_ZONE_LOSS = Sizes(
+    schedulers=round(DAY.schedulers * FRACTION_AFTER_ZONE_LOSS),
     nodes=DAY.nodes,
     clients=9600,
-    statements=DAY.statements / REMAINING_WITHOUT_A_ZONE,
+    statements=DAY.statements / FRACTION_AFTER_ZONE_LOSS,
     volumes=DAY.volumes,
     changes=DAY.changes,
 )
-REGION_AWAY = Sizes(
+AFTER_REGION_LOSS = Sizes(
     schedulers=DAY.schedulers // REGIONS,
     nodes=DAY.nodes,
     clients=16_500,
@@ -30,11 +30,11 @@
 )
 LOAD_CASES: Mapping[str, Sizes] = {
     "the ordinary day": DAY,
-    "a zone away": ZONE_AWAY,
-    "a region away": REGION_AWAY,
+    "a zone away": AFTER_ZONE_LOSS,
+    "a region away": AFTER_REGION_LOSS,
 }
 
-ASSUMED_DIMENSIONS = ("volumes",)  # nobody has specified it: one volume for each storage node
+ASSUMED_DIMENSIONS = ("volumes",)  # the operators specify none: one volume per storage node
 SPECIFIED_FOR_DAY = ("schedulers", "nodes", "clients", "statements")
-SPECIFIED_FOR_ZONE_AWAY = ("clients",)
-SPECIFIED_FOR_REGION_AWAY = ("clients", "statements")
+SPECIFIED_AFTER_ZONE_LOSS = ("clients",)
+SPECIFIED_AFTER_REGION_LOSS = ("clients", "statements")
--- a/runloft/lab/scale/capacity_page/measured_tables.py
+++ b/runloft/lab/scale/capacity_page/measured_tables.py
@@ -1,4 +1,4 @@
-"""The tables of what one scheduler was measured at as a whole: which events and figures they show."""
+"""The events and figures that the tables of one real scheduler's measurements show."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,14 +6,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasuredTable:
-    """A table of events; what stands behind an event's colon is added to its title."""
+    """A table of events; the part of an event's name after the colon is appended to its title."""
 
     event_titles: Mapping[str, str]
     dimensions: tuple[str, ...]
-    figures: Mapping[str, str]  # column head -> figure
+    figures: Mapping[str, str]  # keyed by column heading
 
 
-COUNTED_AFTER_S = (0, 2, 5, 10, 14, 15, 17, 20)
+OPEN_COUNT_TIMES_S = (0, 2, 5, 10, 14, 15, 17, 20)
 MEASURED_TABLES: Mapping[str, MeasuredTable] = {
     "path-together": MeasuredTable(
         {
@@ -40,7 +40,7 @@
         {"memory before": "scheduler.before.resident_mb", "memory at most": "scheduler.resident_mb"}
         | {
             f"open after {after_s} s": f"scheduler.after_{after_s}_s.clients_open_count"
-            for after_s in COUNTED_AFTER_S
+            for after_s in OPEN_COUNT_TIMES_S
         },
     ),
     "path-starts": MeasuredTable(
--- a/runloft/lab/scale/capacity_page/mechanisms.py
+++ b/runloft/lab/scale/capacity_page/mechanisms.py
@@ -1,4 +1,4 @@
-"""What carries a quantity: the files, under runloft/, whose mechanism it is."""
+"""The mechanisms that handle the page's quantities, with their files under runloft/."""
 
 WATCH = "discovery/watch.py: watch, a long-lived stream of changes, resumed by index"
 HEARTBEAT = "agreement/client.py, agreement/store.py: leases with fencing, renewed by heartbeats"
--- a/runloft/lab/scale/capacity_page/page.py
+++ b/runloft/lab/scale/capacity_page/page.py
@@ -1,4 +1,4 @@
-"""All tables of the page, and the page's text with the tables between their marks."""
+"""Generate all tables of the page and insert them between their markers."""
 
 import re
 from collections.abc import Mapping
@@ -10,21 +10,21 @@
 from runloft.lab.scale.capacity_page.estimates import figures_of
 from runloft.lab.scale.capacity_page.event_figures import EventFigures
 from runloft.lab.scale.capacity_page.event_kinds import EVENTS
-from runloft.lab.scale.capacity_page.load_cases import DAY, REGION_AWAY, ZONE_AWAY
+from runloft.lab.scale.capacity_page.load_cases import AFTER_REGION_LOSS, AFTER_ZONE_LOSS, DAY
 from runloft.lab.scale.capacity_page.measured_tables import MEASURED_TABLES
 from runloft.lab.scale.capacity_page.over_budget import OverBudget, over_budget, over_budget_table
 from runloft.lab.scale.capacity_page.protocol_comparison import protocol_comparison_table
 from runloft.lab.scale.capacity_page.row_figures import RowFigures
 from runloft.lab.scale.capacity_page.rows import Role
 
-TABLE = re.compile(
+TABLE_PATTERN = re.compile(
     r"(?P<start><!-- table: (?P<name>[a-z0-9-]+) -->\n)(?P<content>.*?)(?P<end><!-- end -->)", re.DOTALL
 )
-TABLE_START = "<!-- table:"
+TABLE_START_MARKER = "<!-- table:"
 
 
 class Page:
-    """All tables of one state of the documents."""
+    """The tables that follow from a set of documents."""
 
     def __init__(self, documents: Documents) -> None:
         self.documents = documents
@@ -34,7 +34,7 @@
         self.events = EventFigures(documents, BUDGETS)
 
     def tables(self) -> dict[str, str]:
-        """Return every table by its name."""
+        """Return all tables by name."""
         path_rows = ROWS_BY_ROLE[Role.PATH]
         tables = {
             "documents": reference_tables.documents_table(self.documents),
@@ -45,8 +45,8 @@
             tables[f"day-{role}"] = row_tables.rows_table(rows, DAY, self.rows)
         for name in MEASURED_TABLES:
             tables[name] = event_tables.measured_table(name, self.documents)
-        tables["zone-away"] = row_tables.rows_table(path_rows, ZONE_AWAY, self.rows)
-        tables["region-away"] = row_tables.rows_table(path_rows, REGION_AWAY, self.rows)
+        tables["zone-away"] = row_tables.rows_table(path_rows, AFTER_ZONE_LOSS, self.rows)
+        tables["region-away"] = row_tables.rows_table(path_rows, AFTER_REGION_LOSS, self.rows)
         tables["before"] = protocol_comparison_table(self.rows, self.events)
         tables["events"] = event_tables.events_table(self.events)
         for name in EVENTS:
@@ -55,33 +55,36 @@
         tables["machines"] = row_tables.machines_table(self.rows)
         tables["over-budget"] = over_budget_table(self.rows, self.events)
         tables["notes"] = reference_tables.notes_table(self.documents)
-        tables["first"] = row_tables.first_limits_table(self.rows)
+        tables["first"] = row_tables.largest_shares_table(self.rows)
         return tables
 
     def over_budget(self) -> list[OverBudget]:
-        """Return everything that exceeds its budget."""
+        """Return all violations of budgets."""
         return over_budget(self.rows, self.events)
 
 
 def fill_tables(text: str, tables: Mapping[str, str]) -> str:
-    """Return a page's text with each table between its marks.
+    """Return a page's text with each table inserted between its markers.
 
-    Raise CapacityError where the marks and the tables don't match.
+    Raise CapacityError if the markers don't match the tables.
     """
-    names = [match["name"] for match in TABLE.finditer(text)]
-    if len(names) != text.count(TABLE_START):
-        raise CapacityError("a table's mark has no end")
+    names = [match["name"] for match in TABLE_PATTERN.finditer(text)]
+    if len(names) != text.count(TABLE_START_MARKER):
+        raise CapacityError(
+            f"{len(names)} of {text.count(TABLE_START_MARKER)} table markers are complete; "
+            "each needs a valid name and an end marker"
+        )
     for name in names:
         if name not in tables:
-            raise CapacityError(f'there is no table "{name}"')
+            raise CapacityError(f'unknown table "{name}"')
         if names.count(name) > 1:
-            raise CapacityError(f'"{name}" stands twice')
-    if absent := [name for name in tables if name not in names]:
-        raise CapacityError(f"tables that the page lacks: {', '.join(absent)}")
-    return TABLE.sub(lambda match: f"{match['start']}\n{tables[match['name']]}\n{match['end']}", text)
+            raise CapacityError(f'table "{name}" appears more than once')
+    if missing := [name for name in tables if name not in names]:
+        raise CapacityError(f"the page has no markers for tables: {', '.join(missing)}")
+    return TABLE_PATTERN.sub(lambda match: f"{match['start']}\n{tables[match['name']]}\n{match['end']}", text)
 
 
 def differing_tables(text: str, expected_text: str) -> list[str]:
-    """Return the names of the tables whose content differs between two texts of one page."""
-    pairs = zip(TABLE.finditer(text), TABLE.finditer(expected_text), strict=True)
+    """Return the names of the tables whose content differs between two versions of the page."""
+    pairs = zip(TABLE_PATTERN.finditer(text), TABLE_PATTERN.finditer(expected_text), strict=True)
     return [actual["name"] for actual, expected in pairs if actual["content"] != expected["content"]]
--- a/runloft/lab/scale/capacity_page/reference_tables.py
+++ b/runloft/lab/scale/capacity_page/reference_tables.py
@@ -1,16 +1,16 @@
-"""The tables that no figure goes into: documents and their notes, sizes, state, settings."""
+"""The tables that contain no measured figures: documents and their notes, sizes, state, settings."""
 
 from runloft.lab.scale.capacity_page.documents import Document, Documents
-from runloft.lab.scale.capacity_page.formatting import markdown_table, number, sized
+from runloft.lab.scale.capacity_page.formatting import markdown_table, number, size_text
 from runloft.lab.scale.capacity_page.load_cases import (
+    AFTER_REGION_LOSS,
+    AFTER_ZONE_LOSS,
     ASSUMED_DIMENSIONS,
     DAY,
     LOAD_CASES,
-    REGION_AWAY,
+    SPECIFIED_AFTER_REGION_LOSS,
+    SPECIFIED_AFTER_ZONE_LOSS,
     SPECIFIED_FOR_DAY,
-    SPECIFIED_FOR_REGION_AWAY,
-    SPECIFIED_FOR_ZONE_AWAY,
-    ZONE_AWAY,
 )
 from runloft.lab.scale.capacity_page.settings_needed import settings_needed
 from runloft.lab.scale.capacity_page.sources import MISSING, Source
@@ -20,13 +20,13 @@
 LOAD_CASE_HEADS = ("ordinary day", "a zone away", "a region away")
 SIZES_AND_SPECIFIED_DIMENSIONS = (
     (DAY, SPECIFIED_FOR_DAY),
-    (ZONE_AWAY, SPECIFIED_FOR_ZONE_AWAY),
-    (REGION_AWAY, SPECIFIED_FOR_REGION_AWAY),
+    (AFTER_ZONE_LOSS, SPECIFIED_AFTER_ZONE_LOSS),
+    (AFTER_REGION_LOSS, SPECIFIED_AFTER_REGION_LOSS),
 )
 
 
 def documents_table(documents: Documents) -> str:
-    """Return which documents there are, and what made them."""
+    """Return the table of the documents: how they were made, and what they contain."""
     lines = [_document_cells(document, documents.get(document)) for document in Document]
     return markdown_table(("document", "made by", "seed", "versions", "holds", "lacks"), lines)
 
@@ -43,13 +43,13 @@
 
 
 def notes_table(documents: Documents) -> str:
-    """Return the documents' notes."""
+    """Return the table of the documents' notes."""
     lines = [(f"capacity/{name}.json", note) for name, result in documents.items() for note in result.notes]
     return markdown_table(("document", "note"), lines or [("none", "")])
 
 
 def sizes_table() -> str:
-    """Return the sizes of the ordinary day and after each loss."""
+    """Return the table of the sizes on the ordinary day and after each loss."""
     lines = []
     for dimension in dimensions():
         cells = [
@@ -67,7 +67,7 @@
 
 
 def state_table() -> str:
-    """Return the state that each role holds on the ordinary day."""
+    """Return the table of the state that each role holds on the ordinary day."""
     head = ("role", "state held", "slope x size", "comes to", "grows", "carried by")
     return markdown_table(head, [_state_cells(item) for item in STATE])
 
@@ -76,7 +76,7 @@
     if item.dimension:
         size = DAY.along(item.dimension)
         source = Source.COMPUTED
-        slope = f"{number(item.count)} x {sized(item.dimension, size)}"
+        slope = f"{number(item.count)} x {size_text(item.dimension, size)}"
     else:
         size = 1.0
         source = Source.LIMIT
@@ -86,10 +86,10 @@
 
 
 def settings_table() -> str:
-    """Return what the settings have to be on the ordinary day and after each loss."""
-    needs_by_case = [settings_needed(sizes) for sizes in LOAD_CASES.values()]
+    """Return the table of the settings required on the ordinary day and after each loss."""
+    requirements_by_case = [settings_needed(sizes) for sizes in LOAD_CASES.values()]
     lines = []
-    for needs in zip(*needs_by_case, strict=True):
-        values = [f"{number(need.value)} {need.source}" for need in needs]
-        lines.append((needs[0].title, *values, needs[0].reason))
+    for requirements in zip(*requirements_by_case, strict=True):
+        values = [f"{number(requirement.value)} {requirement.source}" for requirement in requirements]
+        lines.append((requirements[0].title, *values, requirements[0].reason))
     return markdown_table(("what", *LOAD_CASE_HEADS, "why"), lines)
--- a/runloft/lab/scale/capacity_page/role_rows.py
+++ b/runloft/lab/scale/capacity_page/role_rows.py
@@ -1,4 +1,4 @@
-"""Quantities of the roles beside the schedulers."""
+"""Rows of the roles other than the schedulers."""
 
 from runloft.lab.scale.capacity_page import mechanisms
 from runloft.lab.scale.capacity_page.budgets import BudgetName
@@ -11,7 +11,7 @@
 AGREEMENT = "scheduler.agreement."
 DISCOVERY_ROWS = (
     Row(
-        table=Role.DISCOVERY,
+        role=Role.DISCOVERY,
         title="processor",
         figures=("discovery.cpu",),
         document=Document.FULL,
@@ -20,7 +20,7 @@
         breaks_beyond="changes come late",
     ),
     Row(
-        table=Role.DISCOVERY,
+        role=Role.DISCOVERY,
         title="memory",
         figures=("discovery.resident_mb",),
         document=Document.FULL,
@@ -29,7 +29,7 @@
         breaks_beyond=MACHINE,
     ),
     Row(
-        table=Role.DISCOVERY,
+        role=Role.DISCOVERY,
         title="bytes in",
         figures=("discovery.in_bytes_per_s",),
         document=Document.FULL,
@@ -38,7 +38,7 @@
         breaks_beyond=MACHINE,
     ),
     Row(
-        table=Role.DISCOVERY,
+        role=Role.DISCOVERY,
         title="bytes out",
         figures=("discovery.out_bytes_per_s",),
         document=Document.FULL,
@@ -49,7 +49,7 @@
 )
 STORE_ROWS = (
     Row(
-        table=Role.STORE,
+        role=Role.STORE,
         title="processor",
         figures=("store.cpu",),
         document=Document.FULL,
@@ -58,7 +58,7 @@
         breaks_beyond="exchanges time out",
     ),
     Row(
-        table=Role.STORE,
+        role=Role.STORE,
         title="memory",
         figures=("store.resident_mb",),
         document=Document.FULL,
@@ -67,7 +67,7 @@
         breaks_beyond=MACHINE,
     ),
     Row(
-        table=Role.STORE,
+        role=Role.STORE,
         title="bytes in",
         figures=("store.in_bytes_per_s",),
         document=Document.FULL,
@@ -76,7 +76,7 @@
         breaks_beyond=MACHINE,
     ),
     Row(
-        table=Role.STORE,
+        role=Role.STORE,
         title="bytes out",
         figures=("store.out_bytes_per_s",),
         document=Document.FULL,
@@ -85,7 +85,7 @@
         breaks_beyond=MACHINE,
     ),
     Row(
-        table=Role.STORE,
+        role=Role.STORE,
         title="commands",
         figures=("store.commands_per_s",),
         document=Document.FULL,
@@ -96,7 +96,7 @@
 )
 NODES_ROWS = (
     Row(
-        table=Role.NODES,
+        role=Role.NODES,
         title="processor, all nodes",
         figures=("node.cpu",),
         document=Document.DATA_PATH,
@@ -105,7 +105,7 @@
         breaks_beyond="what clients ask for",
     ),
     Row(
-        table=Role.NODES,
+        role=Role.NODES,
         title="bytes in, all nodes",
         figures=("node.in_bytes_per_s",),
         document=Document.DATA_PATH,
@@ -116,7 +116,7 @@
 )
 CLIENTS_ROWS = (
     Row(
-        table=Role.CLIENTS,
+        role=Role.CLIENTS,
         title="answered",
         figures=("work.client.answered_share",),
         document=Document.DATA_PATH,
@@ -125,7 +125,7 @@
         breaks_beyond="refusals",
     ),
     Row(
-        table=Role.CLIENTS,
+        role=Role.CLIENTS,
         title="refused",
         figures=("work.client.refused_share",),
         document=Document.DATA_PATH,
@@ -134,7 +134,7 @@
         breaks_beyond="more refusals",
     ),
     Row(
-        table=Role.CLIENTS,
+        role=Role.CLIENTS,
         title="99th percentile",
         figures=("work.client.p99_ms",),
         document=Document.DATA_PATH,
@@ -145,7 +145,7 @@
 )
 TOOL_ROWS = (
     Row(
-        table=Role.TOOL,
+        role=Role.TOOL,
         title="processor",
         figures=("tool.cpu_s",),
         document=Document.FULL,
@@ -154,7 +154,7 @@
         breaks_beyond="the time a change may take",
     ),
     Row(
-        table=Role.TOOL,
+        role=Role.TOOL,
         title="bytes in",
         figures=("tool.in_bytes",),
         document=Document.FULL,
@@ -163,7 +163,7 @@
         breaks_beyond="the time a change may take",
     ),
     Row(
-        table=Role.TOOL,
+        role=Role.TOOL,
         title="bytes out",
         figures=("tool.out_bytes",),
         document=Document.FULL,
@@ -172,7 +172,7 @@
         breaks_beyond="the time a change may take",
     ),
     Row(
-        table=Role.TOOL,
+        role=Role.TOOL,
         title="the fleet come together",
         figures=("fleet.together_s",),
         document=Document.FULL,
@@ -183,7 +183,7 @@
 )
 SCRAPER_ROWS = (
     Row(
-        table=Role.SCRAPER,
+        role=Role.SCRAPER,
         title="bytes in",
         figures=("scheduler.metrics.scrape_bytes",),
         document=Document.DATA_PATH,
--- a/runloft/lab/scale/capacity_page/row_tables.py
+++ b/runloft/lab/scale/capacity_page/row_tables.py
@@ -1,4 +1,4 @@
-"""The tables of rows: each quantity at a size, the largest shares of budgets, the machines set aside."""
+"""The tables of rows: quantities at a size, the largest shares of budgets, and the reserved machines."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from runloft.lab.scale.capacity_page.all_rows import ROWS_BY_ROLE
 from runloft.lab.scale.capacity_page.documents import Document
 from runloft.lab.scale.capacity_page.estimates import Estimate
-from runloft.lab.scale.capacity_page.formatting import markdown_table, number, percentage, sized
+from runloft.lab.scale.capacity_page.formatting import markdown_table, number, percentage, size_text
 from runloft.lab.scale.capacity_page.load_cases import DAY
 from runloft.lab.scale.capacity_page.row_figures import (
     RowFigures,
@@ -32,13 +32,13 @@
     "carried by",
     "breaks first beyond",
 )
-MACHINES_SET_ASIDE = 5
-ROLES_BESIDE_SCHEDULERS = (Role.DISCOVERY, Role.STORE)
+RESERVED_MACHINE_COUNT = 5
+ROLES_ON_RESERVED_MACHINES = (Role.DISCOVERY, Role.STORE)
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetShare:
-    """A row of the largest share of its budget."""
+    """A row, its estimate, and the share of its budget that it uses."""
 
     share: float
     row: Row
@@ -46,7 +46,7 @@
 
 
 def rows_table(rows: Sequence[Row], sizes: Sizes, figures: RowFigures) -> str:
-    """Return the table of some rows at a size."""
+    """Return the table of the given rows at a size."""
     return markdown_table(ROW_HEAD, [_cells(row, sizes, figures) for row in rows])
 
 
@@ -79,12 +79,12 @@
 
 
 def _max_measured_text(estimate: Estimate) -> str:
-    sizes = ", ".join(sized(dimension, size) for dimension, size in estimate.max_measured.items())
+    sizes = ", ".join(size_text(dimension, size) for dimension, size in estimate.max_measured.items())
     return f"{sizes} {Source.MEASURED}" if sizes else ""
 
 
-def first_limits_table(figures: RowFigures) -> str:
-    """Return for each role which quantity meets its budget first as the size grows."""
+def largest_shares_table(figures: RowFigures) -> str:
+    """Return the table of each role's quantity with the largest share of its budget on the ordinary day."""
     lines = []
     for role, rows in ROWS_BY_ROLE.items():
         largest = _largest_share(rows, figures)
@@ -104,26 +104,26 @@
         budget = figures.budget(row, DAY)
         if estimate is not None and budget is not None and not budget.is_minimum:
             shares.append(BudgetShare(estimate.total / budget.amount, row, estimate))
-    return max(shares, key=lambda one: one.share, default=None)
+    return max(shares, key=lambda usage: usage.share, default=None)
 
 
 def machines_table(figures: RowFigures) -> str:
-    """Return what the roles beside the schedulers take, for the machines set aside."""
+    """Return the table of the resources used by the roles on the reserved machines."""
     lines = []
-    for role in ROLES_BESIDE_SCHEDULERS:
+    for role in ROLES_ON_RESERVED_MACHINES:
         quantities = (
             (f"{role}.cpu",),
             (f"{role}.resident_mb",),
             (f"{role}.in_bytes_per_s", f"{role}.out_bytes_per_s"),
         )
         lines.append((role, *(_quantity_text(role, names, figures) for names in quantities)))
-    lines.append(("machines set aside", f"{MACHINES_SET_ASIDE} {Source.SPECIFIED}", "", ""))
+    lines.append(("machines set aside", f"{RESERVED_MACHINE_COUNT} {Source.SPECIFIED}", "", ""))
     return markdown_table(("role", "processor", "memory", "bytes in and out"), lines)
 
 
 def _quantity_text(role: Role, names: tuple[str, ...], figures: RowFigures) -> str:
     row = Row(
-        table=role,
+        role=role,
         title="",
         figures=names,
         document=Document.FULL,
--- a/runloft/lab/scale/capacity_page/rows.py
+++ b/runloft/lab/scale/capacity_page/rows.py
@@ -1,4 +1,4 @@
-"""One quantity of a role: which figures it is made of, what its budget is, what carries it."""
+"""The rows of the page: a quantity of a role, with its figures, budget and mechanism."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,11 +6,11 @@
 from runloft.lab.scale.capacity_page.budgets import BudgetName
 from runloft.lab.scale.capacity_page.documents import Document
 
-SCRAPE_INTERVAL_S = 15.0  # a guess
+SCRAPE_INTERVAL_S = 15.0  # assumed, so rows that use it set rate_is_assumed
 
 
 class Role(StrEnum):
-    """Whose quantity it is; the first two are both of one scheduler."""
+    """The role that a quantity belongs to; PATH and CONTROL are both parts of one scheduler."""
 
     PATH = "path"
     CONTROL = "control"
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """The sum of some figures, times ``rate_per_s`` where it occurs so often."""
+    """A quantity: the sum of ``figures``, multiplied by ``rate_per_s``."""
 
-    table: Role
+    role: Role
     title: str
     figures: tuple[str, ...]
     document: Document
@@ -36,10 +36,10 @@
     rate_per_s: float = 1.0
     rate_is_assumed: bool = False
     without_clients: bool = False
-    # Dimensions without whose slopes the sum would be too low.
+    # The quantity counts as not measured unless each figure has slopes along these dimensions.
     required_dimensions: tuple[str, ...] = ()
 
     @property
-    def is_of_scheduler(self) -> bool:
-        """Whether the figure is one scheduler's, so that all of them have it as often."""
-        return self.figures[0].startswith("scheduler.") and self.table in (Role.PATH, Role.CONTROL)
+    def is_per_scheduler(self) -> bool:
+        """Whether the quantity is that of one scheduler, so that the fleet has it once per scheduler."""
+        return self.figures[0].startswith("scheduler.") and self.role in (Role.PATH, Role.CONTROL)
--- a/runloft/lab/scale/capacity_page/scheduler_rows.py
+++ b/runloft/lab/scale/capacity_page/scheduler_rows.py
@@ -1,4 +1,4 @@
-"""Quantities of one scheduler: its data path and its control plane."""
+"""Rows of one scheduler: its data path and its control plane."""
 
 from runloft.lab.scale.capacity_page import mechanisms
 from runloft.lab.scale.capacity_page.budgets import BudgetName
@@ -10,7 +10,7 @@
 AGREEMENT = "scheduler.agreement."
 PATH_ROWS = (
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="processor, clients at work",
         figures=("work.scheduler.cpu",),
         document=Document.DATA_PATH,
@@ -19,7 +19,7 @@
         breaks_beyond="answers miss their deadline",
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="processor, by its parts",
         figures=("scheduler.cpu",),
         document=Document.DATA_PATH,
@@ -29,7 +29,7 @@
         required_dimensions=("clients", "statements"),
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="memory, clients at rest",
         figures=("rest.scheduler.resident_mb",),
         document=Document.DATA_PATH,
@@ -38,7 +38,7 @@
         breaks_beyond="the machine's limit: idle clients' memory is not counted",
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="memory, clients at work",
         figures=("work.scheduler.resident_mb",),
         document=Document.DATA_PATH,
@@ -47,7 +47,7 @@
         breaks_beyond="the machine's limit: idle clients' memory is not counted",
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="descriptors",
         figures=("work.scheduler.descriptors_count",),
         document=Document.DATA_PATH,
@@ -56,7 +56,7 @@
         breaks_beyond="idle clients go, then calls wait in the kernel",
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="clients open",
         figures=("work.scheduler.clients_open_count",),
         document=Document.DATA_PATH,
@@ -65,7 +65,7 @@
         breaks_beyond="clients are closed and connect again",
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="clients closed",
         figures=("work.scheduler.client_closes_per_s",),
         document=Document.DATA_PATH,
@@ -74,7 +74,7 @@
         breaks_beyond="each connects again",
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="clients connecting",
         figures=("work.scheduler.client_connects_per_s",),
         document=Document.DATA_PATH,
@@ -83,7 +83,7 @@
         breaks_beyond="the backlog of 1,024",
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="connections to nodes",
         figures=("work.scheduler.node_connections_count",),
         document=Document.DATA_PATH,
@@ -92,7 +92,7 @@
         breaks_beyond="an attempt waits for one, 5 ms at a time",
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="start, processor",
         figures=("scheduler.start_cpu_s",),
         document=Document.DATA_PATH,
@@ -101,7 +101,7 @@
         breaks_beyond="many starts on one machine",
     ),
     Row(
-        table=Role.PATH,
+        role=Role.PATH,
         title="start, until it serves",
         figures=("scheduler.start_s",),
         document=Document.DATA_PATH,
@@ -112,7 +112,7 @@
 )
 CONTROL_ROWS = (
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="watch, bytes in",
         figures=("scheduler.watch.in_bytes_per_s",),
         document=Document.FULL,
@@ -121,7 +121,7 @@
         breaks_beyond="each change goes to each scheduler",
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="agreement, bytes out",
         figures=(AGREEMENT + "out_bytes_per_s",),
         document=Document.FULL,
@@ -130,7 +130,7 @@
         breaks_beyond="the budget",
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="agreement, bytes in",
         figures=(AGREEMENT + "in_bytes_per_s",),
         document=Document.FULL,
@@ -139,7 +139,7 @@
         breaks_beyond="the budget",
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="agreement, exchanges",
         figures=(AGREEMENT + "exchanges_per_s",),
         document=Document.FULL,
@@ -148,7 +148,7 @@
         breaks_beyond="the store's thread",
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="agreement, processor",
         figures=(AGREEMENT + "cpu",),
         document=Document.FULL,
@@ -157,7 +157,7 @@
         breaks_beyond=LATE_ITERATIONS,
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="watch and agreement, bytes",
         figures=(
             "scheduler.watch.in_bytes_per_s",
@@ -170,7 +170,7 @@
         breaks_beyond="the budget",
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="watch and agreement, processor",
         figures=("scheduler.control.cpu",),
         document=Document.FULL,
@@ -179,7 +179,7 @@
         breaks_beyond=LATE_ITERATIONS,
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="watch and agreement, memory",
         figures=("scheduler.control.resident_mb",),
         document=Document.FULL,
@@ -188,7 +188,7 @@
         breaks_beyond="the budget",
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="the program without clients, memory",
         figures=("scheduler.resident_mb",),
         document=Document.DATA_PATH,
@@ -198,7 +198,7 @@
         without_clients=True,
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="metrics, bytes a scrape",
         figures=("scheduler.metrics.scrape_bytes",),
         document=Document.DATA_PATH,
@@ -207,7 +207,7 @@
         breaks_beyond="bounded by the volumes shown",
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="metrics, processor a scrape",
         figures=("scheduler.metrics.scrape_cpu_s",),
         document=Document.DATA_PATH,
@@ -216,7 +216,7 @@
         breaks_beyond=LATE_ITERATIONS,
     ),
     Row(
-        table=Role.CONTROL,
+        role=Role.CONTROL,
         title="metrics, processor",
         figures=("scheduler.metrics.scrape_cpu_s",),
         document=Document.DATA_PATH,
--- a/runloft/lab/scale/capacity_page/sources.py
+++ b/runloft/lab/scale/capacity_page/sources.py
@@ -1,21 +1,21 @@
-"""Where a cell of the page comes from."""
+"""The sources of the page's figures, and the texts that cells share."""
 
 from enum import StrEnum
 
 
 class Source(StrEnum):
-    """Where a figure comes from, as the page writes it."""
+    """The source of a figure, as the page writes it."""
 
     MEASURED = "m"
     COMPUTED = "w"
     ASSUMED = "g"
     SPECIFIED = "given"  # by the operators
-    LIMIT = "limit"  # of the program, or of what carries it
+    LIMIT = "limit"  # of the program or of its platform
 
 
 MISSING = "not measured"
 EXCEEDED = "OVER"
 TOO_LOW = "SHORT"
 NOT_REACHED = "NOT reached"
-FASTER = ", faster than its line"
+CONVEX_SUFFIX = ", faster than its line"
 NO_BUDGET = "none"
--- a/runloft/lab/scale/capacity_page/state.py
+++ b/runloft/lab/scale/capacity_page/state.py
@@ -1,4 +1,4 @@
-"""The state that each role holds, by the size."""
+"""The state that each role holds, as a function of the size."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateItem:
-    """Entries of one kind: ``count`` for each unit of a dimension, or in all where there is none."""
+    """Entries of one kind: ``count`` for each unit of ``dimension``, or in total if there is none."""
 
     role: str
     title: str
--- a/tests/lab/scale/capacity_page/test_documents.py
+++ b/tests/lab/scale/capacity_page/test_documents.py
@@ -1,4 +1,4 @@
-"""The committed documents that the page is made from."""
+"""The committed documents that the tables are calculated from."""
 
 import pytest
 
@@ -9,15 +9,15 @@
 
 def test_committed_slopes_match_their_points():
     for name, document in read_documents(PAGE.parent / "capacity").items():
-        if not document.slopes:  # the page fits them itself, by the same lines
+        if not document.slopes:  # the page fits the slopes itself, with the same function
             continue
-        again = {(s.vary, s.figure): s for s in slopes(document.points)}
-        assert again.keys() == {(s.vary, s.figure) for s in document.slopes}, name
-        for one in document.slopes:
-            other = again[one.vary, one.figure]
-            near = pytest.approx((other.slope, other.intercept), rel=1e-6, abs=1e-9)
-            assert (one.slope, one.intercept) == near, (name, one)
-            assert (one.spread, one.points) == (pytest.approx(other.spread), other.points), (name, one)
+        refitted = {(s.vary, s.figure): s for s in slopes(document.points)}
+        assert refitted.keys() == {(s.vary, s.figure) for s in document.slopes}, name
+        for slope in document.slopes:
+            fit = refitted[slope.vary, slope.figure]
+            expected = pytest.approx((fit.slope, fit.intercept), rel=1e-6, abs=1e-9)
+            assert (slope.slope, slope.intercept) == expected, (name, slope)
+            assert (slope.spread, slope.points) == (pytest.approx(fit.spread), fit.points), (name, slope)
 
 
 def test_invalid_document_is_named(tmp_path):
--- a/tests/lab/scale/capacity_page/test_estimates.py
+++ b/tests/lab/scale/capacity_page/test_estimates.py
@@ -1,11 +1,11 @@
-"""Figures at a size, worked out from slopes, as the tables of rows show them."""
+"""Estimates of figures from slopes, as the tables of rows show them."""
 
 import re
 from dataclasses import replace
 
 from runloft.lab.scale.capacity_page.page import Page
 from runloft.lab.scale.capacity_page.sources import MISSING
-from tests.support.capacity import BYTES, FULL, at_work, make_document, make_line, row_cells
+from tests.support.capacity import BYTES, FULL, make_active_client_events, make_document, make_line, row_cells
 
 
 def test_estimate_is_the_sum_of_slopes_by_sizes():
@@ -33,7 +33,7 @@
     assert cells[1:3] == ["150 w", "150 B/s w"] and cells[5] == "constant"
 
 
-def test_largest_constant_is_used_where_lines_do_not_meet():
+def test_largest_constant_is_used_if_lines_have_different_constants():
     path = make_document(
         make_line("clients", "scheduler.cpu", 1e-5, 0.0, (0, 8000)),
         make_line("statements", "scheduler.cpu", 5e-4, 0.1, (100, 600)),
@@ -44,36 +44,40 @@
 
 def test_points_without_slopes_are_fitted_as_by_a_run():
     bare = replace(FULL, slopes=())
-    wants = row_cells(Page({"full": FULL}).tables(), "day-control", "watch and agreement, processor")
-    assert row_cells(Page({"full": bare}).tables(), "day-control", "watch and agreement, processor") == wants
+    expected = row_cells(Page({"full": FULL}).tables(), "day-control", "watch and agreement, processor")
+    assert (
+        row_cells(Page({"full": bare}).tables(), "day-control", "watch and agreement, processor") == expected
+    )
 
 
 def test_large_residual_is_reported():
     full = make_document(make_line("schedulers", BYTES, 1.0, 0.0, (50, 450)))
-    far = tuple(replace(one, residual=60.0) for one in full.slopes)
-    cells = row_cells(Page({"full": replace(full, slopes=far)}).tables(), "day-control", "watch, bytes in")
+    scattered = tuple(replace(slope, residual=60.0) for slope in full.slopes)
+    cells = row_cells(
+        Page({"full": replace(full, slopes=scattered)}).tables(), "day-control", "watch, bytes in"
+    )
     assert cells[5].endswith("points lie 60 off the line")
 
 
 def test_convex_growth_is_reported():
     full = make_document(make_line("schedulers", BYTES, 1.0, 0.0, (50, 150, 450)))
-    bent = [
+    convex_points = [
         replace(p, figures={BYTES: p.sizes.schedulers**2 / 100}) if p.vary == "schedulers" else p
         for p in full.points
     ]
-    tables = Page({"full": replace(full, points=tuple(bent))}).tables()
+    tables = Page({"full": replace(full, points=tuple(convex_points))}).tables()
     assert "faster than its line" in row_cells(tables, "day-control", "watch, bytes in")[5]
 
 
 def test_figure_without_a_slope_is_reported_as_not_measured():
     tables = Page({}).tables()
-    some = row_cells(tables, "day-control", "watch and agreement, processor")
-    assert some[1:4] == [MISSING] * 3 and some[7] == ""
-    # One part of a sum that is missing leaves no sum.
+    cells = row_cells(tables, "day-control", "watch and agreement, processor")
+    assert cells[1:4] == [MISSING] * 3 and cells[7] == ""
+    # A sum is not measured if one of its parts is not.
     full = make_document(make_line("schedulers", BYTES, 1.0, 50.0, (50, 450)))
     assert row_cells(Page({"full": full}).tables(), "day-control", "watch and agreement, bytes")[2] == MISSING
-    words = [text for name, text in tables.items() if re.match("day-|event|zone|region|before|first", name)]
-    assert not re.search(r"[0-9] m\b", "".join(words))
+    texts = [text for name, text in tables.items() if re.match("day-|event|zone|region|before|first", name)]
+    assert not re.search(r"[0-9] m\b", "".join(texts))
 
 
 def test_estimate_from_an_assumption_is_marked_as_assumed():
@@ -86,7 +90,7 @@
 
 
 def test_remaining_schedulers_have_more_clients_after_a_loss():
-    path = make_document(events=at_work("scheduler.clients_open_count", 1.0))
-    for table, wants in (("day-path", "8,222"), ("zone-away", "9,600"), ("region-away", "16,500")):
+    path = make_document(events=make_active_client_events("scheduler.clients_open_count", 1.0))
+    for table, expected in (("day-path", "8,222"), ("zone-away", "9,600"), ("region-away", "16,500")):
         cells = row_cells(Page({"datapath": path}).tables(), table, "clients open")
-        assert cells[2] == f"{wants} w" and cells[6:8] == [f"{wants} given", "100% w"]
+        assert cells[2] == f"{expected} w" and cells[6:8] == [f"{expected} given", "100% w"]
--- a/tests/lab/scale/capacity_page/test_page.py
+++ b/tests/lab/scale/capacity_page/test_page.py
@@ -1,11 +1,11 @@
-"""The page about capacity: its tables follow from the committed documents, and from nothing else."""
+"""The capacity page: its tables match those generated from the committed documents."""
 
 import re
 
 from runloft.lab.scale.capacity_page.documents import read_documents
 from runloft.lab.scale.capacity_page.event_kinds import EVENTS
 from runloft.lab.scale.capacity_page.load_cases import DAY
-from runloft.lab.scale.capacity_page.page import TABLE, Page, fill_tables
+from runloft.lab.scale.capacity_page.page import TABLE_PATTERN, Page, fill_tables
 from tests.support.capacity import FULL, PAGE
 
 
@@ -15,16 +15,16 @@
 
 
 def test_each_figure_is_marked_with_its_source():
-    """A cell with a figure says where it is from: m, w, g, given or limit."""
+    """A cell with a figure ends in its source: m, w, g, given or limit."""
     for name, text in Page({"full": FULL}).tables().items():
         if name == "documents":
             continue
-        for row_ in text.splitlines()[2:]:
-            for cell in row_.strip("|").split("|")[1:]:
+        for row in text.splitlines()[2:]:
+            for cell in row.strip("|").split("|")[1:]:
                 if re.match(r" [0-9][0-9.,]*(%| (?!given|limit|[mwg] )[A-Za-z/]+)? $", cell):
-                    assert name.startswith(("event-", "path-")), (name, cell)  # plays and sizes are counted
+                    assert name.startswith(("event-", "path-")), (name, cell)  # counts of plays, and sizes
 
 
 def test_page_is_made_for_the_operators_sizes_and_events():
     assert (DAY.schedulers, DAY.nodes, DAY.clients, DAY.statements) == (450, 820, 8222, 644.0)
-    assert len(EVENTS) == 12 and TABLE.search("<!-- table: x -->\n<!-- end -->")
+    assert len(EVENTS) == 12 and TABLE_PATTERN.search("<!-- table: x -->\n<!-- end -->")
--- a/tests/lab/scale/capacity_page/test_protocol_comparison.py
+++ b/tests/lab/scale/capacity_page/test_protocol_comparison.py
@@ -1,4 +1,4 @@
-"""The table of the previous protocol beside the present one."""
+"""The table that compares the previous protocol with the present one."""
 
 from runloft.lab.scale.capacity_page.page import Page
 from runloft.lab.scale.records import Event, Sizes
@@ -9,10 +9,10 @@
     full = make_document(
         make_line("schedulers", BYTES, 1.0, 50.0, (50, 450)), events=[make_event("change", 3.0)]
     )
-    old = make_document(
+    before = make_document(
         make_line("schedulers", BYTES, 9.0, 950.0, (50, 450)), events=[Event("change", Sizes(450), 0, {})]
     )
-    tables = Page({"full": full, "before": old}).tables()
+    tables = Page({"full": full, "before": before}).tables()
     assert row_cells(tables, "before", "control: watch, bytes in")[1:] == [
         "9 x 450 schedulers + 950 = 5,000 B/s w",
         "1 x 450 schedulers + 50 = 500 B/s w",
--- a/tests/lab/scale/test_capacity.py
+++ b/tests/lab/scale/test_capacity.py
@@ -52,10 +52,16 @@
 @pytest.mark.parametrize(
     ("change", "says"),
     [
-        (lambda text: text.replace("table: sizes", "table: seizes"), 'no table "seizes"'),
-        (lambda text: text.replace("table: sizes", "table: state"), '"state" stands twice'),
-        (lambda text: text.replace("<!-- table: sizes -->\n<!-- end -->\n", ""), "page lacks: sizes"),
-        (lambda text: text.removesuffix("<!-- end -->\nLast words.\n"), "mark has no end"),
+        (lambda text: text.replace("table: sizes", "table: seizes"), 'unknown table "seizes"'),
+        (lambda text: text.replace("table: sizes", "table: state"), 'table "state" appears more than once'),
+        (
+            lambda text: text.replace("<!-- table: sizes -->\n<!-- end -->\n", ""),
+            "page has no markers for tables: sizes",
+        ),
+        (
+            lambda text: text.removesuffix("<!-- end -->\nLast words.\n"),
+            "table markers are complete; each needs a valid name and an end marker",
+        ),
     ],
 )
 def test_page_whose_marks_do_not_match_the_tables_is_left_alone(change, says, page, tmp_path, capsys):
--- a/tests/support/capacity.py
+++ b/tests/support/capacity.py
@@ -1,4 +1,4 @@
-"""Made-up documents of the page about capacity, and the cells of its tables."""
+"""Artificial documents for tests of the capacity page, and access to the cells of its tables."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 
 def make_line(vary, figure, slope, constant, sizes, spread=0.0):
-    """Make the points of one dimension that lie on a line, and its slope: made up, never on the page."""
+    """Return artificial points along one dimension that lie on a line, and the line's slope."""
     points = [
         Point(vary, replace(Sizes(), **{vary: size}), repeat, 10.0, {figure: constant + slope * size})
         for size in sizes
@@ -21,22 +21,30 @@
     return points, [Slope(vary, figure, slope, constant, 0.0, spread, len(points))]
 
 
-def at_work(figure, slope):
-    """Make one scheduler's events with clients at work."""
+def make_active_client_events(figure, slope):
+    """Return events of one scheduler with active clients; the figure is the slope times the clients."""
     sizes = [replace(DAY, clients=clients, statements=clients / 12.8) for clients in (500, 8000)]
-    return [Event("clients-ask-by-lot", one, 0, {figure: slope * one.clients}) for one in sizes]
+    return [Event("clients-ask-by-lot", size, 0, {figure: slope * size.clients}) for size in sizes]
 
 
 def make_document(*lines, events=()):
-    points = [point for some, _ in lines for point in some]
-    return Result("made up", 1, {}, tuple(points), tuple(s for _, some in lines for s in some), tuple(events))
+    points = [point for line_points, _ in lines for point in line_points]
+    return Result(
+        "made up",
+        1,
+        {},
+        tuple(points),
+        tuple(slope for _, line_slopes in lines for slope in line_slopes),
+        tuple(events),
+    )
 
 
-def make_event(name, took, schedulers=450, **figures):
-    return Event(name, Sizes(schedulers, 820), 0, {"all_in_force_s": took} | figures)
+def make_event(name, duration_s, schedulers=450, **figures):
+    return Event(name, Sizes(schedulers, 820), 0, {"all_in_force_s": duration_s} | figures)
 
 
-# 0.002 + 0.00001 a scheduler, and of 100 nodes 0.001 of them: at 450 and 820, 0.002 + 0.0045 + 0.0072.
+# The constant is 0.002: 0.003 less 0.001 for 100 nodes, or 0.0025 less 0.0005 for 50 schedulers.
+# The estimate for 450 schedulers and 820 nodes is 0.002 + 0.0045 + 0.0082 = 0.0147.
 FULL = make_document(
     make_line("schedulers", CPU, 1e-5, 0.003, (50, 150, 450)),
     make_line("nodes", CPU, 1e-5, 0.0025, (100, 400)),
@@ -44,8 +52,8 @@
 )
 
 
-def row_cells(tables, table, what):
-    """Return one row's cells."""
-    found = [text for text in tables[table].splitlines() if text.startswith(f"| {what} |")]
+def row_cells(tables, table, title):
+    """Return the cells of the only row with this title."""
+    found = [text for text in tables[table].splitlines() if text.startswith(f"| {title} |")]
     assert len(found) == 1
     return [cell.strip() for cell in found[0].strip("|").split("|")]
