--- a/runloft/agreement/ballot.py
+++ b/runloft/agreement/ballot.py
@@ -86,7 +86,7 @@
         for name, lease in view.leases.items():
             self._sidecars.setdefault(name, SidecarTracker()).observe(lease, now)
 
-    def count(
+    def tally(
         self, view: StoreView, verdicts: Mapping[str, Verdict], base: CommittedGeneration | None
     ) -> Ballot:
         """Return the ballot on a stage that is to replace ``base``, given the verdicts on it."""
@@ -104,7 +104,7 @@
                 ballot.missing.add(name)
         return ballot
 
-    def late_sidecars(self, view: StoreView, version: Version) -> frozenset[str]:
+    def outdated_sidecars(self, view: StoreView, version: Version) -> frozenset[str]:
         """Return the sidecars that receive answers but don't serve ``version``."""
         return frozenset(
             name
--- a/runloft/agreement/content.py
+++ b/runloft/agreement/content.py
@@ -88,7 +88,7 @@
     return {key: value for key, value in row.items() if key != "Name"}
 
 
-def merged(contents: Iterable[Content]) -> Content:
+def merge_contents(contents: Iterable[Content]) -> Content:
     """Return the union of several contents; later entries replace earlier ones of the same name."""
     result = Content({}, {}, {}, {})
     for content in contents:
@@ -101,13 +101,13 @@
     return result
 
 
-def completed(content: Content, defaults: Content) -> Content:
+def with_defaults(content: Content, defaults: Content) -> Content:
     """Return a content with the entries of ``defaults`` that it lacks, or ``content`` itself if none."""
-    result = merged((defaults, content))
+    result = merge_contents((defaults, content))
     return content if result == content else result
 
 
-def intermediate(old: Content, new: Content) -> Content:
+def intermediate_content(old: Content, new: Content) -> Content:
     """Return a step between two contents, in which each plan has the smaller reserve of both.
 
     While sidecars serve the step and either content at the same time, no volume counts for more than that
--- a/runloft/agreement/planning.py
+++ b/runloft/agreement/planning.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from runloft.agreement.content import Content, Json, content_of_file, intermediate, merged
+from runloft.agreement.content import Content, Json, content_of_file, intermediate_content, merge_contents
 from runloft.agreement.errors import NoSafePathError
 from runloft.agreement.rollout import Plan
 from runloft.config.faults import Fault, blocking_faults
@@ -16,7 +16,7 @@
 
 def content_of_fleet(fleet: Fleet, files: Iterable[Json]) -> Content:
     """Return the content of a fleet: the volumes are the fleet file's, all else is the sidecars' files'."""
-    content = merged(content_of_file(raw) for raw in files)
+    content = merge_contents(content_of_file(raw) for raw in files)
     volumes = {
         volume.name: {
             "id": f"{volume.id:016x}",
@@ -58,7 +58,7 @@
             raise NoSafePathError("; ".join(map(str, faults)))
         if old is None or not capacity_faults(new, old):
             return [new]
-        step = intermediate(old, new)
+        step = intermediate_content(old, new)
         faults = capacity_faults(step, old) or capacity_faults(new, step)
         if faults:
             raise NoSafePathError(
--- a/runloft/agreement/records.py
+++ b/runloft/agreement/records.py
@@ -154,7 +154,7 @@
         """Return the known sidecars whose lease is missing, corrupt or in another version's format."""
         return set(self.sidecars - self.leases.keys())
 
-    def lagging_sidecars(self) -> set[str]:
+    def outdated_sidecars(self) -> set[str]:
         """Return the sidecars that don't serve the committed generation."""
         if self.committed is None:
             return set()
--- a/runloft/agreement/rendering.py
+++ b/runloft/agreement/rendering.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from runloft.agreement.records import CommittedGeneration, Lease, StoreView
-from runloft.agreement.rollout_driver import RolloutReport
+from runloft.agreement.rollout_driver import RolloutResult
 from runloft.config.tool.output import print_table
 
 NS_PER_S = 1e9
@@ -97,7 +97,7 @@
     print(f"{seconds:7.3f} s  {text}", flush=True)
 
 
-def print_rollout(report: RolloutReport, as_json: bool) -> None:
+def print_rollout(report: RolloutResult, as_json: bool) -> None:
     """Print how a rollout ended."""
     if as_json:
         values = {
--- a/runloft/agreement/replica.py
+++ b/runloft/agreement/replica.py
@@ -35,7 +35,7 @@
 from dataclasses import replace
 from enum import Enum
 
-from runloft.agreement.content import Content, completed
+from runloft.agreement.content import Content, with_defaults
 from runloft.agreement.effects import (
     AddOwnEntries,
     AgreementEvent,
@@ -291,7 +291,7 @@
         """Request to add the file's entries that the generation lacks, unless a rollout committed it."""
         if committed.token or self.change_due_at is not None:
             return []
-        content = completed(committed.content, self.file_content)
+        content = with_defaults(committed.content, self.file_content)
         if content is committed.content:
             return []
         extended = CommittedGeneration(
@@ -310,7 +310,9 @@
         self.heartbeat.send_by(now)  # to report the new version at once
         # Until a rollout commits a generation, entries that only this sidecar's file has are served too.
         is_rolled_out = bool(committed.token)
-        self.content = committed.content if is_rolled_out else completed(committed.content, self.file_content)
+        self.content = (
+            committed.content if is_rolled_out else with_defaults(committed.content, self.file_content)
+        )
         return [
             ApplyConfig(self.content, committed.generation, self.holds_reserves),
             LogEvent(AgreementEvent.GENERATION_APPLIED, committed.generation),
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -242,7 +242,7 @@
             return self._stop("another generation was committed, or the store has opened another epoch")
         if obstacle := stage_obstacle(view, self._stage_token, verdicts):
             return self._stop(obstacle)
-        ballot = self._observer.count(view, verdicts, self.base)
+        ballot = self._observer.tally(view, verdicts, self.base)
         if view.stage is None or ballot.missing:
             return self._await_verdicts(view, ballot, now)
         return self._commit(view, ballot, now)
@@ -304,7 +304,7 @@
         assert target is not None
         if view.committed is not None and view.committed.rank > target.rank:
             return self._finish_step(now)  # a later generation has been committed
-        late = self._observer.late_sidecars(view, target.version)
+        late = self._observer.outdated_sidecars(view, target.version)
         is_effective = view.committed is not None and view.now_ns >= view.committed.effective_at_ns
         if is_effective and not late:
             return self._finish_step(now)
--- a/runloft/agreement/rollout_driver.py
+++ b/runloft/agreement/rollout_driver.py
@@ -23,10 +23,10 @@
 from runloft.agreement.errors import StoreError
 from runloft.agreement.rollout import Plan, Rollout, RolloutPhase
 from runloft.agreement.store import AgreementStore
-from runloft.config.settings import FENCE_LEASES
+from runloft.config.settings import DEFAULT_FENCE_LEASES
 
 POLLS_PER_LEASE = 10
-FAST_RETRY_DIVISOR = 10  # the poll interval is divided by this after a failed store operation
+RETRY_POLL_DIVISOR = 10  # the poll interval is divided by this after a failed store operation
 STORE_TIMEOUT_LEASES = 4  # the rollout stops when the store fails for longer
 TOKEN_DIGITS = 12
 NS_PER_MS = 1_000_000
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutReport:
+class RolloutResult:
     """The result of a rollout."""
 
     done: bool
@@ -59,7 +59,7 @@
     plan: Plan,
     fence_ns: int = 0,
     on_progress: Callable[[float, str], None] = lambda seconds, text: None,
-) -> RolloutReport:
+) -> RolloutResult:
     """Carry out a rollout and return its result.
 
     ``fence_ns`` is the sidecars' fence (0: the default for the store's lease); a longer one in a sidecar's
@@ -92,13 +92,13 @@
             operator_name(),
             plan,
             self._lease_ns,
-            fence_ns or int(FENCE_LEASES * self._lease_ns),
+            fence_ns or int(DEFAULT_FENCE_LEASES * self._lease_ns),
             time.monotonic_ns(),
         )
 
-    def report(self) -> RolloutReport:
+    def report(self) -> RolloutResult:
         """Return the result of the rollout as it is now."""
-        return RolloutReport(
+        return RolloutResult(
             done=self._rollout.phase is RolloutPhase.DONE,
             reason=self._rollout.reason,
             seconds=time.monotonic() - self._started_at_s,
@@ -129,7 +129,7 @@
 
     def _poll_wait_s(self) -> float:
         wait_s = self._lease_ns / NS_PER_S / POLLS_PER_LEASE
-        return wait_s if self._unavailable_since_s is None else wait_s / FAST_RETRY_DIVISOR
+        return wait_s if self._unavailable_since_s is None else wait_s / RETRY_POLL_DIVISOR
 
     async def _abort(self, reason: str) -> None:
         # A stage that can't be removed expires by itself.
--- a/runloft/config/comparison/claims.py
+++ b/runloft/config/comparison/claims.py
@@ -40,7 +40,7 @@
     def location(self) -> str:
         """File and line of the value, or the file alone if its text is not known."""
         reader = self.source.reader
-        return reader.place(self.path) if reader.text else self.source.file
+        return reader.location(self.path) if reader.text else self.source.file
 
     def fault(self, code: str, reason: str, remedy: str, severity: Severity = Severity.FAULT) -> Fault:
         """Return a fault at this claim's file, line and key."""
--- a/runloft/config/faults.py
+++ b/runloft/config/faults.py
@@ -76,7 +76,7 @@
     return [fault for fault in faults if strict or fault.severity is Severity.FAULT]
 
 
-def nearest_word(word: str, known: Iterable[str]) -> str:
+def closest_match(word: str, known: Iterable[str]) -> str:
     """Return the known word closest to ``word``, or else a list of the first few known words, as a remedy."""
     words = list(known)
     folded = {name.casefold(): name for name in words}
--- a/runloft/config/fleet/checks.py
+++ b/runloft/config/fleet/checks.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from runloft.config.documents import KeyPath
-from runloft.config.faults import nearest_word
+from runloft.config.faults import closest_match
 from runloft.config.fleet.model import Fleet, Node, Volume
 from runloft.config.fleet.records import (
     RESTATABLE_PLAN_KEYS,
@@ -80,7 +80,7 @@
     for index, node in enumerate(nodes):
         if node.kind is not None and node.kind not in machines:
             reason = f'there is no machine kind "{node.kind}"'
-            remedy = nearest_word(node.kind, machines)
+            remedy = closest_match(node.kind, machines)
             fleet.reader.fault(("nodes", str(index), "kind"), "unknown-kind", reason, remedy)
 
 
@@ -144,7 +144,7 @@
     """Check that a volume's plan, sidecars and shards exist."""
     if volume.plan is not None and references.plans and volume.plan not in references.plans:
         reason = f'there is no plan "{volume.plan}"'
-        remedy = nearest_word(volume.plan, references.plans)
+        remedy = closest_match(volume.plan, references.plans)
         fleet.reader.fault((*path, "plan"), "unknown-plan", reason, remedy)
     _check_sidecars(fleet, volume, path, references.sidecars)
     if references.shards is not None:
@@ -157,7 +157,7 @@
     for index, sidecar in enumerate(volume.sidecars or ()):
         if sidecar not in known_sidecars:
             reason = f'there is no application "{sidecar}"'
-            remedy = nearest_word(sidecar, known_sidecars)
+            remedy = closest_match(sidecar, known_sidecars)
             fleet.reader.fault((*path, "sidecars", str(index)), "unknown-sidecar", reason, remedy)
 
 
--- a/runloft/config/fleet/node_list.py
+++ b/runloft/config/fleet/node_list.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from runloft.config.faults import Fault, Severity, nearest_word
+from runloft.config.faults import Fault, Severity, closest_match
 from runloft.config.fleet.model import Node
 from runloft.config.fleet.records import NODE_STATES, MachineRecord
 from runloft.config.schema.kinds import quote_value
@@ -76,4 +76,4 @@
         first_rows.setdefault(node.uid, index)
         if node.kind not in machines:
             reason = f'there is no machine kind "{node.kind}"'
-            yield Fault(path, 0, f"{key}.model", "unknown-kind", reason, nearest_word(node.kind, machines))
+            yield Fault(path, 0, f"{key}.model", "unknown-kind", reason, closest_match(node.kind, machines))
--- a/runloft/config/fleet/records.py
+++ b/runloft/config/fleet/records.py
@@ -80,9 +80,9 @@
     """An application and its sidecar."""
 
     name: str = setting("name", kinds.name(), description="its sidecar has the same name")
-    listen: str = setting("listen", Address(listens=True), "127.0.0.1:6379", "RESP2")
-    objects_listen: str = setting("objects_listen", Address(listens=True), None, "object API; absent: off")
-    admin_listen: str = setting("admin_listen", Address(listens=True), None, "metrics; absent: off")
+    listen: str = setting("listen", Address(bindable=True), "127.0.0.1:6379", "RESP2")
+    objects_listen: str = setting("objects_listen", Address(bindable=True), None, "object API; absent: off")
+    admin_listen: str = setting("admin_listen", Address(bindable=True), None, "metrics; absent: off")
     settings: Document = setting("settings", Table(Record), None, "layer over the fleet's")
     limits: Document = setting("limits", Table(Record), None, "layer over the fleet's")
 
@@ -91,7 +91,7 @@
 class ServiceRecord(Record):
     """Services that all sidecars use, and the object API's shared settings."""
 
-    discovery: str = setting("discovery", Address(any_port=False), "127.0.0.1:8500", "the agent")
+    discovery: str = setting("discovery", Address(allow_any_port=False), "127.0.0.1:8500", "the agent")
     store: str = setting("store", STORE_URL, None, "the shared store")
     server_port: int = setting("server_port", count(0, 65535), 0, "of object servers")
     unit_bytes: int = setting("unit_bytes", kinds.size(1, 1 << 30), 65536, "bytes that count one unit")
--- a/runloft/config/operator/agreement_checks.py
+++ b/runloft/config/operator/agreement_checks.py
@@ -6,7 +6,7 @@
 from runloft.config.faults import Severity
 from runloft.config.operator.records import AgreementRecord, OperatorRecord
 from runloft.config.schema.violations import Violation
-from runloft.config.settings import FENCE_DRIFT_DIVISOR, FENCE_LEASES
+from runloft.config.settings import DEFAULT_FENCE_LEASES, FENCE_DRIFT_DIVISOR
 
 MAX_CHANGE_MS = 10_000.0  # time within which a change must be in force on all sidecars
 # If a sidecar is silent, a change takes the sum of these (docs/design/agreement.md): the fence with allowance
@@ -30,14 +30,14 @@
 
 def _check_fence(agreement: AgreementRecord) -> Iterator[Violation]:
     lease_ms = agreement.lease_ms
-    fence_ms = agreement.fence_ms or FENCE_LEASES * lease_ms
+    fence_ms = agreement.fence_ms or DEFAULT_FENCE_LEASES * lease_ms
     if fence_ms < lease_ms:
         reason = f"it would be fenced while its lease of {lease_ms:g} ms still allows it to be silent"
         yield Violation(("agreement", "fence_ms"), "fence-below-lease", reason, f"at least {lease_ms:g}")
     change_ms = fence_ms * FENCE_WITH_DRIFT + lease_ms * LEASES_AFTER_FENCE
     if change_ms > MAX_CHANGE_MS:
         reason = f"with a sidecar silent a change may take {change_ms:g} ms, its fence of {fence_ms:g} first"
-        max_lease_ms = int(MAX_CHANGE_MS / (FENCE_LEASES * FENCE_WITH_DRIFT + LEASES_AFTER_FENCE))
+        max_lease_ms = int(MAX_CHANGE_MS / (DEFAULT_FENCE_LEASES * FENCE_WITH_DRIFT + LEASES_AFTER_FENCE))
         remedy = (
             f"a lease up to {max_lease_ms} and its own fence, or a shorter fence: "
             f"{MAX_CHANGE_MS:g} ms at most"
--- a/runloft/config/operator/machine_checks.py
+++ b/runloft/config/operator/machine_checks.py
@@ -12,7 +12,7 @@
 from runloft.config.faults import Severity
 from runloft.config.operator.records import MachineLimitsRecord, OperatorRecord
 from runloft.config.schema.violations import Violation
-from runloft.config.settings import MEMORY_MB, PROGRAM_MB
+from runloft.config.settings import DEFAULT_MEMORY_MB, PROGRAM_MB
 
 # Descriptors.
 MAX_CLIENT_FRACTION = 1 / 2  # of all descriptors: most client connections
@@ -49,7 +49,7 @@
 def request_memory_mb(record: OperatorRecord) -> float:
     """Return the memory in MB that is left for requests, bodies and buffers."""
     limits = record.limits or MachineLimitsRecord()
-    return (limits.memory_mb or MEMORY_MB) - PROGRAM_MB
+    return (limits.memory_mb or DEFAULT_MEMORY_MB) - PROGRAM_MB
 
 
 def check_memory(record: OperatorRecord) -> Iterator[Violation]:
--- a/runloft/config/operator/object_checks.py
+++ b/runloft/config/operator/object_checks.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator, Sequence
 
 from runloft.config.documents import KeyPath
-from runloft.config.faults import Severity, nearest_word
+from runloft.config.faults import Severity, closest_match
 from runloft.config.operator.machine_checks import MIN_REQUEST_MEMORY_MB
 from runloft.config.operator.records import ObjectsRecord, VolumeRecord
 from runloft.config.operator.settings_records import SettingsRecord
@@ -34,7 +34,7 @@
         path = ("objects", "classes", operation)
         if name is not None and classes and name not in classes:
             reason = f'there is no class "{name}"'
-            yield Violation(path, "unknown-class", reason, nearest_word(name, classes))
+            yield Violation(path, "unknown-class", reason, closest_match(name, classes))
         elif operation in WRITE_OPERATIONS and name in read_only:
             reason = f'"{name}" is a class that reads'
             yield Violation(path, "class-does-not-write", reason, "a class that writes", Severity.WARNING)
@@ -65,7 +65,7 @@
 ) -> Iterator[Violation]:
     if volume.plan is not None and plans and volume.plan not in plans:
         reason = f'there is no plan "{volume.plan}"'
-        yield Violation((*path, "plan"), "unknown-plan", reason, nearest_word(volume.plan, plans))
+        yield Violation((*path, "plan"), "unknown-plan", reason, closest_match(volume.plan, plans))
     if volume.hosts is not None and hosts is not None and volume.hosts > hosts:
         reason = f"it works through {volume.hosts:g} sidecars, and there are {hosts}"
         yield Violation((*path, "hosts"), "hosts-above-group", reason, f"at most {hosts}")
--- a/runloft/config/operator/records.py
+++ b/runloft/config/operator/records.py
@@ -58,7 +58,7 @@
 class ObjectsRecord(Record):
     """The object API, which is off without this table."""
 
-    listen: str = setting("listen", Address(listens=True), description="where HTTP clients connect")
+    listen: str = setting("listen", Address(bindable=True), description="where HTTP clients connect")
     store: str = setting("store", STORE_URL, description="the shared store")
     unit_bytes: int = setting("unit_bytes", size(1, 1 << 30), 65536, "that count one unit")
     max_body: int = setting("max_body", size(1, 16 << 20), 8 << 20, "of a body; an upload's part is one body")
@@ -96,7 +96,7 @@
 class AdminRecord(Record):
     """The HTTP listener for metrics and status, which is off without this table."""
 
-    listen: str = setting("listen", Address(listens=True), description="where metrics are read")
+    listen: str = setting("listen", Address(bindable=True), description="where metrics are read")
 
 
 @attrs.frozen
@@ -104,8 +104,10 @@
     """One sidecar's operator's file."""
 
     name: str = setting("name", kinds.name(), description="the sidecar's name, its own in the fleet")
-    listen: str = setting("listen", Address(listens=True), description="where RESP2 clients connect")
-    discovery: str = setting("discovery", Address(any_port=False), description="the agent with the node list")
+    listen: str = setting("listen", Address(bindable=True), description="where RESP2 clients connect")
+    discovery: str = setting(
+        "discovery", Address(allow_any_port=False), description="the agent with the node list"
+    )
     seed: str = setting("seed", HexNumber(), "0", "of random numbers")
     limits: MachineLimitsRecord = setting(
         "limits", Table(MachineLimitsRecord), MachineLimitsRecord(), "of the machine"
--- a/runloft/config/platform_config.py
+++ b/runloft/config/platform_config.py
@@ -11,8 +11,8 @@
 from runloft.config.faults import ConfigError
 from runloft.config.object_settings import read_objects
 from runloft.config.settings import (
-    FENCE_LEASES,
-    MEMORY_MB,
+    DEFAULT_FENCE_LEASES,
+    DEFAULT_MEMORY_MB,
     AgreementSettings,
     Config,
     ObjectSettings,
@@ -161,10 +161,10 @@
     def _limits(self) -> _Limits:
         limits = self._document.get("limits") or {}
         sockets: Any = 0
-        memory_mb: Any = MEMORY_MB
+        memory_mb: Any = DEFAULT_MEMORY_MB
         if isinstance(limits, dict):
             sockets = limits.get("sockets", DEFAULT_SOCKETS)
-            memory_mb = limits.get("memory_mb", MEMORY_MB)
+            memory_mb = limits.get("memory_mb", DEFAULT_MEMORY_MB)
         if not isinstance(sockets, int) or sockets < MIN_SOCKETS:
             self._faults.append("limits.sockets: a number of at least 32 is wanted")
         if isinstance(memory_mb, bool) or not isinstance(memory_mb, int | float) or not memory_mb >= 1:
@@ -204,6 +204,8 @@
         directory=str(document["directory"]),
         prefix=str(document.get("prefix", "runloft")),
         lease_ns=lease_ns,
-        fence_ns=int(float(fence_ms) * NS_PER_MS) if fence_ms is not None else int(FENCE_LEASES * lease_ns),
+        fence_ns=int(float(fence_ms) * NS_PER_MS)
+        if fence_ms is not None
+        else int(DEFAULT_FENCE_LEASES * lease_ns),
         cut_off=str(document.get("cut_off", "unreserved")),
     )
--- a/runloft/config/schema/kinds.py
+++ b/runloft/config/schema/kinds.py
@@ -207,10 +207,10 @@
 
 @dataclass(frozen=True)
 class Address(Kind):
-    """An address of the form host:port; ``listens`` requires a host that a listener can bind to."""
+    """An address of the form host:port; ``bindable`` requires a host that a listener can bind to."""
 
-    listens: bool = False
-    any_port: bool = True  # accept port 0, for which the system chooses a port
+    bindable: bool = False
+    allow_any_port: bool = True  # accept port 0, for which the system chooses a port
 
     def parse(self, value: Any) -> str:
         """Return the address unchanged."""
@@ -219,9 +219,9 @@
         host, _, port = value.rpartition(":")
         if not host or not _is_port(port):
             raise self._bad_address(f"{quote_value(value)} is not host:port")
-        if not self.any_port and int(port) == 0:
+        if not self.allow_any_port and int(port) == 0:
             raise self._bad_address("port 0 can't be connected to")
-        if self.listens and not _can_be_bound(host):
+        if self.bindable and not _can_be_bound(host):
             raise self._bad_address(f"{quote_value(host)} is no address of a machine")
         return value
 
--- a/runloft/config/schema/layers.py
+++ b/runloft/config/schema/layers.py
@@ -67,7 +67,7 @@
             source_path,
             "layers-disagree",
             f"{layer.name} sets {quote_value(value)}, {origin.layer.name} sets {quote_value(existing)} "
-            f"at {self._reader.place(origin.source_path)}",
+            f"at {self._reader.location(origin.source_path)}",
             "one value, in one of the two places",
         )
 
--- a/runloft/config/schema/reader.py
+++ b/runloft/config/schema/reader.py
@@ -9,7 +9,7 @@
 from typing import Any, TypeVar
 
 from runloft.config.documents import KeyPath
-from runloft.config.faults import MIN_SIMILARITY, Fault, Severity, nearest_word
+from runloft.config.faults import MIN_SIMILARITY, Fault, Severity, closest_match
 from runloft.config.schema.kinds import InvalidValueError, Kind, quote_value
 from runloft.config.schema.positions import Positions
 from runloft.config.schema.records import REQUIRED, Named, Record, Rows, Setting, Table, settings_of
@@ -35,7 +35,7 @@
         """Return the line of a key, or 0 if the file's text is unknown."""
         return self.positions.line(path) if self.text else 0
 
-    def place(self, path: Sequence[str]) -> str:
+    def location(self, path: Sequence[str]) -> str:
         """Return a key's position as FILE:LINE, for reasons of faults."""
         return f"{self.file}:{self.positions.line(path)}"
 
@@ -69,7 +69,7 @@
         unknown = [key for key in raw if key not in keys]
         for key in unknown:
             reason = f"{quote_value(key)} is no key here"
-            self.fault((*path, key), "unknown-key", reason, nearest_word(key, keys))
+            self.fault((*path, key), "unknown-key", reason, closest_match(key, keys))
         misspelled = [key.casefold() for key in unknown]
         values: dict[str, Any] = {}
         invalid: set[str] = set()
--- a/runloft/config/settings.py
+++ b/runloft/config/settings.py
@@ -13,13 +13,13 @@
 OPERATIONS = ("get", "head", "put", "delete", "create", "part", "complete", "abort", "parts")
 MAX_PORT = 65535
 
-MEMORY_MB = 192  # default memory limit
+DEFAULT_MEMORY_MB = 192  # default memory limit
 PROGRAM_MB = 24  # used by the program itself; the rest is for requests, bodies and buffers
 MIN_SPARE_MB = 4
 MAX_OPEN_REQUESTS = 2048
 OPEN_REQUEST_BYTES = 4096  # memory budgeted per open request
 
-FENCE_LEASES = 1.5  # default of the fence, in leases
+DEFAULT_FENCE_LEASES = 1.5  # default of the fence, in leases
 FENCE_DRIFT_DIVISOR = 16  # allowed clock drift during a fence: the fence divided by this
 
 
@@ -91,7 +91,7 @@
     max_sockets: int
     zones: tuple[str, ...] = ()
     objects: ObjectSettings | None = None
-    memory_mb: int = MEMORY_MB
+    memory_mb: int = DEFAULT_MEMORY_MB
     agreement: AgreementSettings | None = None
     admin: SocketAddress | None = None
     accounted_volumes: int = 0  # volumes with a latency account of their own; 0: no accounts
--- a/runloft/config/tool/explain_command.py
+++ b/runloft/config/tool/explain_command.py
@@ -2,7 +2,7 @@
 
 import argparse
 
-from runloft.config.faults import nearest_word
+from runloft.config.faults import closest_match
 from runloft.config.tool.explanation import explain, find_keys, known_keys
 from runloft.config.tool.output import print_error
 
@@ -14,7 +14,7 @@
     keys = find_keys(options.key)
     if not keys:
         last_segments = {path.split(".")[-1] for path in known_keys()}
-        suggestion = nearest_word(options.key.split(".")[-1], last_segments)
+        suggestion = closest_match(options.key.split(".")[-1], last_segments)
         print_error(f'there is no key "{options.key}"; did you mean {suggestion}?')
         return 1
     for number, key in enumerate(keys):
--- a/runloft/core/attempts.py
+++ b/runloft/core/attempts.py
@@ -145,7 +145,7 @@
         if not attempt.outcome_reported:
             latency_ns = context.now - attempt.dispatched_at
             result = self._result(
-                attempt, event.outcome, latency_ns, event.used_percent, event.elsewhere_units
+                attempt, event.outcome, latency_ns, event.used_percent, event.other_sidecars_units
             )
             context.scheduler_events.append(result)
         self._remove(attempt)
@@ -275,7 +275,7 @@
         outcome: AttemptOutcome,
         latency_ns: int,
         used_percent: int | None = None,
-        elsewhere_units: int = 0,
+        other_sidecars_units: int = 0,
     ) -> contract.AttemptResult:
         """Return the result of an attempt as an event for the scheduler."""
         return contract.AttemptResult(
@@ -286,7 +286,7 @@
             attempt.request.is_complete,
             latency_ns,
             used_percent,
-            elsewhere_units,
+            other_sidecars_units,
             _never_started(attempt, outcome),
         )
 
--- a/runloft/core/client_ids.py
+++ b/runloft/core/client_ids.py
@@ -13,7 +13,7 @@
 class ClientRequestId(NamedTuple):
     """A client-chosen request id, unique among the requests of one protocol."""
 
-    wire: str
+    protocol: str
     id: bytes
 
 
--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -38,7 +38,7 @@
     """The data that a connection pool needs to write an attempt; opaque to the core."""
 
     @property
-    def wire(self) -> str:
+    def protocol(self) -> str:
         """The name of the protocol, and of the connection pool that can write the payload."""
 
     @property
@@ -179,7 +179,7 @@
     outcome: AttemptOutcome
     value: object = None
     used_percent: int | None = None
-    elsewhere_units: int = 0
+    other_sidecars_units: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/core/permissions.py
+++ b/runloft/core/permissions.py
@@ -84,13 +84,14 @@
 class SendPermit:
     """Permission to send the first byte of an attempt now; true if granted.
 
-    ``wait_ns`` is how long to wait for the outcome, or 0 if refused.  ``verify`` is the sink whose client
-    must be checked for a disconnect before the byte is sent, or None if the request was received just now.
+    ``wait_ns`` is how long to wait for the outcome, or 0 if refused.  ``sink_to_check`` is the sink whose
+    client must be checked for a disconnect before the byte is sent, or None if the request was received
+    just now.
     """
 
     wait_ns: int = 0
     refusal: SendRefusal | None = None
-    verify: ResponseSink | None = None
+    sink_to_check: ResponseSink | None = None
 
     def __bool__(self) -> bool:
         return self.refusal is None
@@ -166,7 +167,7 @@
         return SendPermit(refusal=SendRefusal.DEADLINE_EXCEEDED)
     request = attempt.request
     received_just_now = now - request.received_at <= VERIFY_AFTER_NS
-    return SendPermit(wait_ns, verify=None if received_just_now else request.sink)
+    return SendPermit(wait_ns, sink_to_check=None if received_just_now else request.sink)
 
 
 def _node_refusal(at_dispatch: NodeUpdate, current: NodeUpdate | None) -> SendRefusal | None:
--- a/runloft/core/reducer.py
+++ b/runloft/core/reducer.py
@@ -64,7 +64,7 @@
 )
 from runloft.core.permissions import SendPermit
 from runloft.core.records import Attempt, PendingRequest
-from runloft.core.requests import RequestLifecycle, WireUsage
+from runloft.core.requests import ProtocolUsage, RequestLifecycle
 from runloft.core.timers import TimerQueue
 from runloft.decisions import contract
 from runloft.decisions.contract import Settings
@@ -138,7 +138,7 @@
         return self._requests.client_ids
 
     @property
-    def usage(self) -> Mapping[str, WireUsage]:
+    def usage(self) -> Mapping[str, ProtocolUsage]:
         """The buffer usage of requests that are not released, by protocol."""
         return self._requests.usage
 
--- a/runloft/core/requests.py
+++ b/runloft/core/requests.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class WireUsage:
+class ProtocolUsage:
     """Number and buffered bytes of the pending requests of one protocol."""
 
     open_requests: int = 0
@@ -41,13 +41,13 @@
         self.pending: dict[int, PendingRequest] = {}
         self.by_sink: dict[ResponseSink, PendingRequest] = {}  # incomplete requests only
         self.client_ids = ClientRequestIds()
-        self.usage: dict[str, WireUsage] = {}  # by protocol
+        self.usage: dict[str, ProtocolUsage] = {}  # by protocol
         self._next_ids = count(1)
 
     def receive(self, sink: ResponseSink, spec: RequestSpec) -> None:
         """Admit a request and pass it to the scheduler, or reject it at once if it may not start."""
-        usage = self._usage_of(spec.payload.wire)
-        client_id = ClientRequestId(spec.payload.wire, spec.id)
+        usage = self._usage_of(spec.payload.protocol)
+        client_id = ClientRequestId(spec.payload.protocol, spec.id)
         refusal = permissions.permit_start(
             usage.open_requests,
             usage.buffered_bytes,
@@ -107,8 +107,8 @@
             return
         del self.pending[request.id]
         payload = request.spec.payload
-        self.client_ids.release(ClientRequestId(payload.wire, request.spec.id), self._context.now)
-        usage = self.usage[payload.wire]
+        self.client_ids.release(ClientRequestId(payload.protocol, request.spec.id), self._context.now)
+        usage = self.usage[payload.protocol]
         usage.open_requests -= 1
         usage.buffered_bytes -= payload.buffered_bytes
 
@@ -125,11 +125,11 @@
         deadline_near = context.now + 2 * context.settings.tick_ns >= request.deadline
         return AttemptOutcome.TIMEOUT if deadline_near and request.attempt_count else request.last_outcome
 
-    def _usage_of(self, wire: str) -> WireUsage:
-        usage = self.usage.get(wire)
+    def _usage_of(self, protocol: str) -> ProtocolUsage:
+        usage = self.usage.get(protocol)
         if usage is None:
-            usage = WireUsage()
-            self.usage[wire] = usage
+            usage = ProtocolUsage()
+            self.usage[protocol] = usage
         return usage
 
     def _refusal_reply(self, refusal: StartRefusal) -> Shed | InvalidRequest:
--- a/runloft/decisions/events.py
+++ b/runloft/decisions/events.py
@@ -55,7 +55,7 @@
     complete: bool
     latency_ns: int = 0
     used_percent: int | None = None
-    elsewhere_units: int = 0
+    other_sidecars_units: int = 0
     never_started: bool = False  # no byte was sent, so the attempt can't have been executed
     report: tuple[float, ...] = ()
 
--- a/runloft/lab/fleet_rollout.py
+++ b/runloft/lab/fleet_rollout.py
@@ -63,4 +63,4 @@
 def _has_converged(view: StoreView, sidecar_count: int) -> bool:
     """Return whether all sidecars have joined and serve the committed generation."""
     holding_reserves = sum(lease.holds_reserves for lease in view.leases.values())
-    return view.committed is not None and holding_reserves >= sidecar_count and not view.lagging_sidecars()
+    return view.committed is not None and holding_reserves >= sidecar_count and not view.outdated_sidecars()
--- a/runloft/lab/scale/capacity_page/budgets.py
+++ b/runloft/lab/scale/capacity_page/budgets.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from runloft.config.settings import MEMORY_MB
+from runloft.config.settings import DEFAULT_MEMORY_MB
 from runloft.lab.scale.capacity_page.load_cases import DAY
 from runloft.lab.scale.capacity_page.sources import Source
 
@@ -43,7 +43,7 @@
     BudgetName.COMMITTED: Budget(10.0, Source.SPECIFIED),
     BudgetName.PRIMARY: Budget(8.0, Source.SPECIFIED),
     BudgetName.THREAD: Budget(1.0, Source.LIMIT),
-    BudgetName.MEMORY: Budget(float(MEMORY_MB), Source.LIMIT),
+    BudgetName.MEMORY: Budget(float(DEFAULT_MEMORY_MB), Source.LIMIT),
     BudgetName.MACHINE_MEMORY: Budget(8000.0, Source.ASSUMED),
     BudgetName.MACHINE_NETWORK: Budget(125e6, Source.ASSUMED),
     BudgetName.DESCRIPTORS: Budget(131_072.0, Source.ASSUMED),
--- a/runloft/lab/scale/capacity_page/settings_needed.py
+++ b/runloft/lab/scale/capacity_page/settings_needed.py
@@ -5,7 +5,7 @@
 
 from runloft.config.operator.agreement_checks import FENCE_WITH_DRIFT, LEASES_AFTER_FENCE, MAX_CHANGE_MS
 from runloft.config.operator.machine_checks import BASE_MEMORY_WITH_TOOLS_MB, CLIENT_MEMORY_KB
-from runloft.config.settings import FENCE_LEASES, AgreementSettings
+from runloft.config.settings import DEFAULT_FENCE_LEASES, AgreementSettings
 from runloft.lab.scale.capacity_page.budgets import BudgetName
 from runloft.lab.scale.capacity_page.mechanisms import (
     AGREEMENT_CHECKS_FILE,
@@ -17,7 +17,7 @@
 from runloft.lab.scale.records import Sizes
 from runloft.listeners.accepting import CLIENT_FRACTION, PRESSURE_FRACTION
 from runloft.listeners.resp.limits import IDLE_TIMEOUT_NS, PRESSURE_IDLE_TIMEOUT_NS
-from runloft.upstream.pool import IDLE_FRACTION, RESERVED_DESCRIPTORS
+from runloft.upstream.pool import IDLE_TIMEOUT_FRACTION, RESERVED_DESCRIPTORS
 
 NS_PER_S = 1e9
 MS_PER_S = 1e3
@@ -26,7 +26,7 @@
 CROWDED_IDLE_TIMEOUT_S = PRESSURE_IDLE_TIMEOUT_NS / NS_PER_S
 DEFAULT_LEASE_S = AgreementSettings("", "").lease_ns / NS_PER_S
 LEASES_PER_CHANGE = (
-    FENCE_LEASES * FENCE_WITH_DRIFT + LEASES_AFTER_FENCE
+    DEFAULT_FENCE_LEASES * FENCE_WITH_DRIFT + LEASES_AFTER_FENCE
 )  # of a change while one scheduler is silent
 
 
@@ -91,7 +91,7 @@
         Need(
             "a node connection's mean rest, s",
             sizes.nodes / sizes.statements,
-            f"nodes / statements; idle ones are closed after {IDLE_FRACTION:g} of ConnIdle",
+            f"nodes / statements; idle ones are closed after {IDLE_TIMEOUT_FRACTION:g} of ConnIdle",
         ),
     )
 
--- a/runloft/listeners/objects/listener.py
+++ b/runloft/listeners/objects/listener.py
@@ -74,7 +74,7 @@
         """Raise TimeoutError if the body of the ``with`` statement takes longer."""
         return within(self.timers, self.clock, seconds)
 
-    def stop(self, last: bool = False) -> None:
+    def stop(self, final: bool = False) -> None:
         """Close idle clients now, and the others after their response."""
         self.stopping = True
         for client in list(self.clients):
--- a/runloft/listeners/resp/listener.py
+++ b/runloft/listeners/resp/listener.py
@@ -109,14 +109,14 @@
             ),
         )
 
-    def stop(self, last: bool = False) -> None:
+    def stop(self, final: bool = False) -> None:
         """Close idle clients now, and the others once their responses are written.
 
-        ``last``: read no further commands, also of busy clients, and close after the pending responses.
+        ``final``: read no further commands, also of busy clients, and close after the pending responses.
         """
         self.stopping = True
         for client in list(self.clients):
-            if last:
+            if final:
                 client.close_after_responses()
             else:
                 client.close_if_idle()
--- a/runloft/net/resp2/replies.py
+++ b/runloft/net/resp2/replies.py
@@ -44,7 +44,7 @@
     """A node's load: percent in use, None if not reported, and units used by other sidecars."""
 
     used_percent: int | None
-    elsewhere_units: int
+    other_sidecars_units: int
 
 
 def reply_size(data: bytearray, start: int, end: int) -> int:
--- a/runloft/service/interfaces.py
+++ b/runloft/service/interfaces.py
@@ -39,14 +39,14 @@
     def clients(self) -> Collection[object]:
         """The open client connections."""
 
-    async def accept(self, listener: socket.socket) -> None:
+    async def accept(self, listening_socket: socket.socket) -> None:
         """Accept connections until the listening socket is closed."""
 
-    def accept_waiting(self, listener: socket.socket) -> bool:
+    def accept_waiting(self, listening_socket: socket.socket) -> bool:
         """Accept the connections queued by the kernel; return False if some may still be queued."""
 
-    def stop(self, last: bool = False) -> None:
-        """Close connections as they become idle; with `last`, those of clients that keep sending too."""
+    def stop(self, final: bool = False) -> None:
+        """Close connections as they become idle; with `final`, those of clients that keep sending too."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/runloft/service/runner.py
+++ b/runloft/service/runner.py
@@ -99,7 +99,7 @@
         for effect in effects:
             match effect:
                 case Dispatch():
-                    self.pools[effect.payload.wire].dispatch(effect)
+                    self.pools[effect.payload.protocol].dispatch(effect)
                 case AbortAttempt(attempt):
                     for pool in self.pools.values():
                         pool.abandon(attempt)
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -208,7 +208,7 @@
 
     def _add_pool(
         self,
-        wire: str,
+        protocol: str,
         connection_type: type[UpstreamConnection],
         endpoint: Callable[[NodeUpdate], str],
         *,
@@ -216,7 +216,7 @@
     ) -> None:
         """Add the connection pool of one protocol, limited to 1/``descriptors_divisor`` of the sockets."""
         runner = self.runner
-        runner.pools[wire] = ConnectionPool(
+        runner.pools[protocol] = ConnectionPool(
             self.tasks,
             runner.post,
             runner.timers,
--- a/runloft/service/shutdown.py
+++ b/runloft/service/shutdown.py
@@ -72,7 +72,7 @@
     while runner.core.by_sink or any(listener.clients for listener in listeners):
         if clock() >= schedule.serve_until:
             for listener in listeners:
-                listener.stop(last=clock() >= schedule.answer_until)
+                listener.stop(final=clock() >= schedule.answer_until)
         if clock() >= schedule.answer_until:
             runner.post(ShutdownStarted())
         if clock() >= schedule.exit_at:
--- a/runloft/simulator/translation.py
+++ b/runloft/simulator/translation.py
@@ -74,7 +74,7 @@
         latency_ns,
         complete,
         used_percent_plus_1,
-        elsewhere_units,
+        other_sidecars_units,
         report_count,
         *report,
     ) = record.fields
@@ -86,7 +86,7 @@
         complete=bool(complete),
         latency_ns=latency_ns,
         used_percent=used_percent_plus_1 - 1 if used_percent_plus_1 else None,
-        elsewhere_units=elsewhere_units,
+        other_sidecars_units=other_sidecars_units,
         report=tuple(report[:report_count]),
     )
 
--- a/runloft/upstream/payloads.py
+++ b/runloft/upstream/payloads.py
@@ -24,7 +24,7 @@
     words: tuple[bytes, ...]
     before_wait: bytes
     after_wait: bytes
-    wire: str = "resp"
+    protocol: str = "resp"
 
     @property
     def buffered_bytes(self) -> int:
@@ -45,7 +45,7 @@
     target: bytes
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body: bytes = b""
-    wire: str = "http"
+    protocol: str = "http"
 
     @property
     def buffered_bytes(self) -> int:
--- a/runloft/upstream/pool.py
+++ b/runloft/upstream/pool.py
@@ -18,7 +18,8 @@
 from runloft.upstream.connection import Peer, UpstreamConnection
 
 log = structlog.get_logger()
-IDLE_FRACTION = 0.7  # of the nodes' idle timeout, so that the pool closes idle connections before they do
+# Of the nodes' idle timeout, so that the pool closes idle connections before they do.
+IDLE_TIMEOUT_FRACTION = 0.7
 MAX_REPLY_BYTES = 4 << 20
 MAX_REPLY_DIVISOR = 8  # of the spare memory: the size limit of one reply if below MAX_REPLY_BYTES
 REPLY_BUDGET_DIVISOR = 3  # of the spare memory: the shared budget for long replies that are partly received
@@ -68,7 +69,7 @@
     def configure(self, config: Config) -> None:
         """Apply the timeouts, connection limit and memory limits of a configuration."""
         self.connect_timeout_ns = config.settings.connect_timeout_ns or DEFAULT_CONNECT_TIMEOUT_NS
-        self.idle_timeout_ns = int(config.idle_timeout_ns * IDLE_FRACTION)
+        self.idle_timeout_ns = int(config.idle_timeout_ns * IDLE_TIMEOUT_FRACTION)
         self.max_connections = max(1, (config.max_sockets - RESERVED_DESCRIPTORS) // self.descriptors_divisor)
         self.reports_written_requests = config.accounted_volumes > 0
         self.max_reply_bytes = min(MAX_REPLY_BYTES, config.spare_bytes // MAX_REPLY_DIVISOR)
@@ -117,7 +118,7 @@
         """
         permit = self.permit(attempt, self.clock())
         refusal = permit.refusal
-        if refusal is None and permit.verify is not None and permit.verify.has_disconnected():
+        if refusal is None and permit.sink_to_check is not None and permit.sink_to_check.has_disconnected():
             refusal = SendRefusal.CLIENT_DISCONNECTED
         if refusal is not None:
             COUNTERS.add(CounterName.ATTEMPTS_NOT_SENT, refusal)
--- a/runloft/upstream/resp_connection.py
+++ b/runloft/upstream/resp_connection.py
@@ -73,6 +73,6 @@
     load = resp2.parse_load_report(reply.usage)
     if reply.error is None:
         outcome = AttemptOutcome.OK
-        return AttemptFinished(attempt, outcome, reply.value, load.used_percent, load.elsewhere_units)
+        return AttemptFinished(attempt, outcome, reply.value, load.used_percent, load.other_sidecars_units)
     outcome = AttemptOutcome.FULL if reply.error == NODE_FULL else AttemptOutcome.ERROR
-    return AttemptFinished(attempt, outcome, None, load.used_percent, load.elsewhere_units)
+    return AttemptFinished(attempt, outcome, None, load.used_percent, load.other_sidecars_units)
--- a/tests/agreement/test_rollout.py
+++ b/tests/agreement/test_rollout.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from runloft.agreement.content import intermediate
+from runloft.agreement.content import intermediate_content
 from runloft.agreement.effects import (
     CommitGeneration,
     PutStage,
@@ -185,7 +185,7 @@
     if fleet.store.rank != before:
         assert reserves_of(fleet.store.committed.content) in (
             reserves_of(CONTENTS[2]),
-            reserves_of(intermediate(CONTENTS[0], CONTENTS[2])),
+            reserves_of(intermediate_content(CONTENTS[0], CONTENTS[2])),
         )
     assert roll_out(fleet, CONTENTS[2], 400, "again").phase is RolloutPhase.DONE
 
--- a/tests/core/test_golden_sequence.py
+++ b/tests/core/test_golden_sequence.py
@@ -16,7 +16,7 @@
 
 STEPS = 1500
 UIDS = [f"node-{number}" for number in range(8)]
-WIRES = ["http", "resp"]
+PROTOCOLS = ["http", "resp"]
 
 # Digests by (seed, whether actions are random).  Random actions replace the scheduler's decisions, and
 # include actions that the scheduler would never request.
@@ -117,7 +117,7 @@
 
     def request(self):
         self.request_count += 1
-        wire = self.random.choice(WIRES)
+        protocol = self.random.choice(PROTOCOLS)
         reuse_id = self.ids and self.random.random() < 0.1
         id_ = self.random.choice(self.ids[-20:]) if reuse_id else b"id-%d" % self.request_count
         if self.random.random() < 0.3:
@@ -126,7 +126,7 @@
             self.ids.append(id_)
         return core_api.request_received(
             core_api.Sink(self.request_count),
-            core_api.Payload(self.request_count, wire, self.random.choice([10, 100, 400])),
+            core_api.Payload(self.request_count, protocol, self.random.choice([10, 100, 400])),
             request_class=self.random.randrange(core_api.class_count(self.core)),
             plan=self.random.randrange(2),
             volume=self.random.randrange(6),
@@ -156,8 +156,8 @@
         self.record_end(attempt)
         value = b"value-%d" % attempt if outcome is core_api.OUTCOME_OK else None
         used_percent = self.random.choice([None, 10, 95])
-        elsewhere_units = self.random.choice([0, 0, 2])
-        return core_api.attempt_finished(attempt, outcome, value, used_percent, elsewhere_units)
+        other_sidecars_units = self.random.choice([0, 0, 2])
+        return core_api.attempt_finished(attempt, outcome, value, used_percent, other_sidecars_units)
 
     def withdraw(self):
         attempt = self.any_attempt(is_started=False)
--- a/tests/core/test_permissions.py
+++ b/tests/core/test_permissions.py
@@ -73,7 +73,7 @@
     if permit:
         assert state is NodeState.READY and permit.wait_ns == due_at - now
         assert ambiguous_since is None or idempotency is not Idempotency.NOT_IDEMPOTENT
-        assert permit.verify is (None if now - received_at <= permissions.VERIFY_AFTER_NS else "sink")
+        assert permit.sink_to_check is (None if now - received_at <= permissions.VERIFY_AFTER_NS else "sink")
 
 
 CHANGED_NODES = [
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -27,7 +27,7 @@
     large = FakePayload("http", 8 << 20)
     effects = [harness.receive(payload=large)[1] for _ in range(4)]
     assert effects[:3] == [[], [], []] and effects[3][0].reply == Shed()
-    assert harness.receive(wire="resp")[1] == []
+    assert harness.receive(protocol="resp")[1] == []
 
 
 @pytest.mark.parametrize("after, is_admitted", [(0, False), (1000, False), (2100, True)])
--- a/tests/listeners/test_resp_closing.py
+++ b/tests/listeners/test_resp_closing.py
@@ -93,7 +93,7 @@
         harness.listener.stop()
         sock.sendall(read_command(0))
         await harness.wait_until(lambda: len(harness.received()) == 2)  # a busy connection is still read
-        harness.listener.stop(last=True)
+        harness.listener.stop(final=True)
         await anyio.wait_all_tasks_blocked()
         sock.sendall(read_command(0))
         for sink in harness.received():
@@ -268,7 +268,7 @@
             harness.advance(10)
         client = next(iter(harness.listener.clients))
         assert client.reader.inbox.end > client.reader.inbox.start
-        harness.listener.stop(last=True)
+        harness.listener.stop(final=True)
         for sink in harness.received():
             sink.answer(Served(b"ok"))
         await harness.wait_until(lambda: harness.advance(10) or client.lingering)
@@ -303,7 +303,7 @@
         assert not client.closed and not client.is_closing
         for sink in harness.received()[1:]:
             sink.answer(Served(b"ok"))
-        harness.listener.stop(last=True)
+        harness.listener.stop(final=True)
         expected = len(value) + len(b"$4194304\r\n\r\n") + 3 * len(OK)
 
         def read():
--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -42,12 +42,12 @@
         self.full_until = 0
         self.never_disconnects = False
 
-    def accept_waiting(self, listener):
-        assert listener.fileno() >= 0
+    def accept_waiting(self, listening_socket):
+        assert listening_socket.fileno() >= 0
         self.scene.closed_at = self.scene.now
         return self.scene.now >= self.full_until
 
-    def stop(self, last=False):
+    def stop(self, final=False):
         self.stopped_at = self.stopped_at or self.scene.now
         self.close_if_idle()
 
@@ -58,7 +58,7 @@
     def send_if_due(self):
         if self.clients and self.scene.now >= self.next_at:
             self.next_at = self.scene.now + self.interval
-            payload = SimpleNamespace(wire="resp", buffered_bytes=1)
+            payload = SimpleNamespace(protocol="resp", buffered_bytes=1)
             request = SimpleNamespace(payload=payload, time_left_ns=self.deadline, **REQUEST)
             self.scene.runner.post(RequestReceived(ResponseSink(self), request))
 
--- a/tests/support/agreement.py
+++ b/tests/support/agreement.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from runloft.agreement.codec import decode_committed, encode_committed
-from runloft.agreement.content import Content, intermediate
+from runloft.agreement.content import Content, intermediate_content
 from runloft.agreement.effects import (
     AddOwnEntries,
     ApplyConfig,
@@ -67,7 +67,7 @@
 
     def plan(old):
         if old is not None and total_reserve([old, target]) > CAPACITY:
-            return [intermediate(old, target), target]
+            return [intermediate_content(old, target), target]
         return [target]
 
     return plan
--- a/tests/support/core_harness.py
+++ b/tests/support/core_harness.py
@@ -26,7 +26,7 @@
 
 @dataclass(eq=False)
 class FakePayload:
-    wire: str = "resp"
+    protocol: str = "resp"
     buffered_bytes: int = 100
 
 
@@ -70,10 +70,10 @@
                 self.core.begin_attempt(effect.attempt, effect.wait_ns, self.now)
         return effects
 
-    def receive(self, actions=(), wire="resp", **overrides):
+    def receive(self, actions=(), protocol="resp", **overrides):
         """Step with a new request; return its sink and the effects."""
         sink = object()
-        fields = {"shard": 0, "payload": FakePayload(wire)} | overrides
+        fields = {"shard": 0, "payload": FakePayload(protocol)} | overrides
         volume = fields.pop("volume", 1)
         spec = RequestSpec(0, 0, volume, 1.0, 600 * MS, **fields)
         return sink, self.step(RequestReceived(sink, spec), actions=actions)
--- a/tests/support/core_vocabulary.py
+++ b/tests/support/core_vocabulary.py
@@ -54,7 +54,7 @@
     """The payload of a request, identified by the number of the request."""
 
     number: int
-    wire: str
+    protocol: str
     buffered_bytes: int
 
 
@@ -210,8 +210,8 @@
 
 def usage(core):
     """Return the buffer usage of pending requests, by protocol."""
-    by_wire = sorted(core.usage.items())
-    rows = [[wire, usage_.open_requests, usage_.buffered_bytes] for wire, usage_ in by_wire]
+    by_protocol = sorted(core.usage.items())
+    rows = [[protocol, usage_.open_requests, usage_.buffered_bytes] for protocol, usage_ in by_protocol]
     return [row for row in rows if any(row[1:])]
 
 
@@ -270,8 +270,8 @@
     return model.ResponseBuffered(attempt)
 
 
-def attempt_finished(attempt, outcome, value, used_percent, elsewhere_units):
-    return model.AttemptFinished(attempt, outcome, value, used_percent, elsewhere_units)
+def attempt_finished(attempt, outcome, value, used_percent, other_sidecars_units):
+    return model.AttemptFinished(attempt, outcome, value, used_percent, other_sidecars_units)
 
 
 def attempt_withdrawn(attempt):
@@ -328,7 +328,7 @@
 def permit_first_byte(core, attempt, now):
     """Return the rendered permit, and the wait if the first byte may be sent, else None."""
     permit = core.permit_first_byte(attempt, now)
-    return render([permit.wait_ns, permit.refusal, permit.verify]), permit.wait_ns if permit else None
+    return render([permit.wait_ns, permit.refusal, permit.sink_to_check]), permit.wait_ns if permit else None
 
 
 def begin_attempt(core, attempt, wait_ns, now):
