--- a/runloft/lab/discovery.py
+++ b/runloft/lab/discovery.py
@@ -29,7 +29,7 @@
         self._encoded_revision = 0
         self._encoded_list = b""
 
-    def empty(self) -> None:
+    def clear(self) -> None:
         """Reset to an empty list at the first revision, like an agent restarted without stored state."""
         self.revision = FIRST_REVISION
         self.targets = {}
@@ -67,7 +67,7 @@
         self.changed.set()
         self.changed = anyio.Event()
 
-    def listed(self) -> ListDocument:
+    def list_document(self) -> ListDocument:
         """Return the complete list."""
         return {"rev": self.revision, "all": True, "targets": list(self.targets.values())}
 
@@ -75,7 +75,7 @@
         """Return the complete list as JSON; it is encoded once per revision."""
         if self._encoded_revision != self.revision:
             self._encoded_revision = self.revision
-            self._encoded_list = json.dumps(self.listed()).encode()
+            self._encoded_list = json.dumps(self.list_document()).encode()
         return self._encoded_list
 
     def encoded_changes(self, since: int) -> bytes:
@@ -95,7 +95,7 @@
         self.put = self.instances.put
         self.drain = self.instances.drain
         self.remove = self.instances.remove
-        self.listed = self.instances.listed
+        self.list_document = self.instances.list_document
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
         """Answer the request of a connection: a poll, or a watch until the connection is closed."""
--- a/runloft/lab/keyspace.py
+++ b/runloft/lab/keyspace.py
@@ -56,21 +56,21 @@
         self.data: dict[bytes, Any] = {}
         self.expires: dict[bytes, int] = {}  # Unix time in milliseconds
         self.versions: dict[bytes, int] = {}
-        self.count = 0
+        self.command_count = 0
 
     @property
     def now_ms(self) -> int:
         """The Unix time in milliseconds, against which keys expire."""
         return self.unix_ns() // NS_PER_MS
 
-    def empty(self) -> None:
+    def clear(self) -> None:
         """Delete every key."""
         for key in list(self.data):
             self._remove(key)
 
-    def act(self, session: Session, words: list[bytes]) -> Reply:
+    def execute(self, session: Session, words: list[bytes]) -> Reply:
         """Execute a connection's command, or queue it if the connection has a transaction open."""
-        self.count += 1
+        self.command_count += 1
         name = words[0].upper().decode("ascii", "replace")
         if session.queue is not None and name not in TRANSACTION_COMMANDS:
             return self._enqueue(session, name, words)
@@ -84,9 +84,9 @@
                 return Simple()
             case "EXEC":
                 return self._exec(session)
-        return self._execute(name, words[1:])
+        return self._call(name, words[1:])
 
-    def _execute(self, name: str, arguments: list[bytes]) -> Reply:
+    def _call(self, name: str, arguments: list[bytes]) -> Reply:
         command = getattr(self, f"do_{name.lower()}", None)
         if command is None:
             return Error(f"ERR unknown command '{name}'")
@@ -130,7 +130,7 @@
             self._unexpired_value(key)
             if self.versions.get(key, 0) != version:
                 return None
-        return [self.act(Session(), words) for words in queue]
+        return [self.execute(Session(), words) for words in queue]
 
     def _unexpired_value(self, key: bytes) -> Any:
         """Return the value of a key, None if it doesn't exist; an expired key is deleted first."""
--- a/runloft/lab/load.py
+++ b/runloft/lab/load.py
@@ -17,7 +17,7 @@
 import anyio.abc
 
 from runloft.lab.requests import encode_command, quantile, trace_id
-from runloft.lab.serving import BROKEN, Lines
+from runloft.lab.serving import CONNECTION_ERRORS, Lines
 
 GRACE_S = 0.25  # added to timeouts for delays of this event loop; a missing answer still times out
 MAX_IN_FLIGHT = 4000  # a request beyond this is not sent, and is lost
@@ -182,7 +182,9 @@
             await anyio.aclose_forcefully(connection.stream)
 
     async def request(self, command: bytes) -> bytes:
-        """Send a command and return the first line of its reply; raise one of BROKEN if the connection fails.
+        """Send a command and return the first line of its reply.
+
+        Raise one of CONNECTION_ERRORS if the connection fails.
 
         The sidecar may close an idle connection while the command is being written: if a reused connection
         fails, the command is sent again on a new one.
@@ -190,7 +192,7 @@
         if self.idle:
             try:
                 return await self._request_on(self.idle.pop(), command)
-            except BROKEN:
+            except CONNECTION_ERRORS:
                 pass
         stream = await anyio.connect_tcp(self.host, self.port)
         return await self._request_on(Connection(stream, Lines(stream.receive)), command)
@@ -268,7 +270,7 @@
         try:
             with anyio.fail_after(remaining_s + GRACE_S):
                 head = await pool.request(self._command(result.arrival, remaining_s))
-        except BROKEN:  # includes TimeoutError, which is an OSError
+        except CONNECTION_ERRORS:  # includes TimeoutError, which is an OSError
             result.outcome = RequestOutcome.LOST
             return b""
         except TimeoutError:
--- a/runloft/lab/node.py
+++ b/runloft/lab/node.py
@@ -9,7 +9,7 @@
 import anyio
 import anyio.abc
 
-from runloft.lab.serving import BROKEN, LabServer, Lines
+from runloft.lab.serving import CONNECTION_ERRORS, LabServer, Lines
 
 VALUE = b"v" * 64
 REQUEST_VERBS = (b"IO.IN", b"IO.OUT")
@@ -159,7 +159,7 @@
             nonlocal outcome
             try:
                 lines.push(await stream.receive())
-            except BROKEN:
+            except CONNECTION_ERRORS:
                 outcome = WorkOutcome.CLIENT_DISCONNECTED
                 waiting.cancel()
 
--- a/runloft/lab/redis.py
+++ b/runloft/lab/redis.py
@@ -54,7 +54,7 @@
             replies = b""
 
     def _execute(self, session: Session, words: list[bytes]) -> bytes:
-        reply = self.keys.act(session, words)
+        reply = self.keys.execute(session, words)
         is_aborted_transaction = words[:1] == [b"EXEC"] and reply is None
         # RESP2 answers an aborted EXEC with a null array; encode_reply would return a null bulk string.
         return b"*-1\r\n" if is_aborted_transaction else encode_reply(reply)
--- a/runloft/lab/scale/capacity_page/estimates.py
+++ b/runloft/lab/scale/capacity_page/estimates.py
@@ -6,7 +6,7 @@
 from statistics import fmean
 
 from runloft.lab.scale.fitting import slopes
-from runloft.lab.scale.records import Event, Point, Result, Sizes, Slope, dimensions, prefixed
+from runloft.lab.scale.records import Event, Point, Result, Sizes, Slope, dimensions, with_prefix
 
 # One scheduler with all its clients and their statements.
 CLIENTS_AT_WORK = "clients-ask-by-lot"
@@ -168,7 +168,7 @@
     for fitted in FITTED_EVENTS:
         events = [event for event in result.events if event.name == fitted.name]
         points = [
-            Point(fitted.dimension, event.sizes, event.repeat, 0.0, prefixed(event.figures, fitted.prefix))
+            Point(fitted.dimension, event.sizes, event.repeat, 0.0, with_prefix(event.figures, fitted.prefix))
             for event in events
         ]
         figures.points += points
--- a/runloft/lab/scale/datapath/stand_ins.py
+++ b/runloft/lab/scale/datapath/stand_ins.py
@@ -74,7 +74,7 @@
             for number, address in enumerate(order.addresses):
                 discovery.put(f"node-{number}", address, shard_of(number))
             await group.start(discovery.run)
-            send_answer(DiscoveryStarted(discovery.address, discovery.listed()))
+            send_answer(DiscoveryStarted(discovery.address, discovery.list_document()))
         group.cancel_scope.cancel()
 
 
--- a/runloft/lab/scale/points.py
+++ b/runloft/lab/scale/points.py
@@ -14,7 +14,7 @@
 from runloft.lab.scale.fleet import TOOL_LISTENER, Fleet, Reading, Rollout, Setup, start_fleet
 from runloft.lab.scale.messages import Traffic
 from runloft.lab.scale.processes import Children
-from runloft.lab.scale.records import Figures, Sizes, prefixed
+from runloft.lab.scale.records import Figures, Sizes, with_prefix
 
 BASELINE_TIME_FRACTION = 0.5  # of the measurement time, for the baseline without agreement
 ROLLOUT_TIMEOUT_S = 60.0
@@ -84,7 +84,7 @@
             "in_bytes_per_s": rates.received,
             "out_bytes_per_s": rates.sent,
         }
-        figures |= prefixed(role_figures, role)
+        figures |= with_prefix(role_figures, role)
     return figures
 
 
--- a/runloft/lab/scale/records.py
+++ b/runloft/lab/scale/records.py
@@ -118,6 +118,6 @@
     return tuple(dimension.name for dimension in fields(Sizes))
 
 
-def prefixed(figures: Figures, prefix: str) -> Figures:
+def with_prefix(figures: Figures, prefix: str) -> Figures:
     """Return the figures with ``prefix`` and a dot put before their names."""
     return {f"{prefix}.{name}": float(value) for name, value in figures.items()}
--- a/runloft/lab/scale/stand_ins.py
+++ b/runloft/lab/scale/stand_ins.py
@@ -103,12 +103,12 @@
             worst_second_bytes=traffic.worst_second_bytes,
             connections=traffic.connections,
             round_trips=[store.round_trips for store in self.stores],
-            commands=self.keys.count,
+            commands=self.keys.command_count,
             keys=len(self.keys.data),
         )
 
     def _empty(self) -> None:
-        self.keys.empty()
+        self.keys.clear()
 
 
 class DiscoveryRole(StandInRole):
@@ -132,4 +132,4 @@
         return await super().carry_out(command)
 
     def _empty(self) -> None:
-        self.instances.empty()
+        self.instances.clear()
--- a/runloft/lab/serving.py
+++ b/runloft/lab/serving.py
@@ -10,7 +10,13 @@
 import anyio
 import anyio.abc
 
-BROKEN = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError, ValueError)
+CONNECTION_ERRORS = (
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    anyio.EndOfStream,
+    OSError,
+    ValueError,
+)
 SILENCE_POLL_S = 0.02
 LINE_END = b"\r\n"
 
@@ -106,7 +112,7 @@
             try:
                 if not self.failures.refusing:
                     await self.serve(stream)
-            except BROKEN:
+            except CONNECTION_ERRORS:
                 pass
             finally:
                 self.streams.discard(stream)
--- a/runloft/lab/soak/clients.py
+++ b/runloft/lab/soak/clients.py
@@ -12,7 +12,7 @@
 import anyio.abc
 
 from runloft.lab.requests import encode_command
-from runloft.lab.serving import BROKEN, Lines
+from runloft.lab.serving import CONNECTION_ERRORS, Lines
 from runloft.lab.soak.records import HALF_COMMAND, RequestOutcome, RequestRecord, RunRecord
 from runloft.lab.soak.schedule import NODES, FaultKind, Schedule
 from runloft.lab.soak.streams import arrival_of, raw_socket_of, reset_on_close
@@ -93,7 +93,7 @@
         while self.now() < until_s:
             try:
                 await self._run_iteration()
-            except BROKEN:
+            except CONNECTION_ERRORS:
                 await self._disconnect()
             await anyio.sleep(self.random.expovariate(1 / MEAN_THINK_TIME_S))
         await self._disconnect()
@@ -155,7 +155,7 @@
         except TimeoutError as error:
             request.ended_at = time.monotonic()
             raise anyio.ClosedResourceError from error
-        except BROKEN:
+        except CONNECTION_ERRORS:
             for open_request in pipeline:
                 if open_request.outcome is RequestOutcome.SILENT:
                     open_request.outcome = RequestOutcome.CLOSED
@@ -196,7 +196,7 @@
                 await self.lines.line()
         except TimeoutError:
             request.outcome = RequestOutcome.SILENT
-        except BROKEN:
+        except CONNECTION_ERRORS:
             pass  # a close is as valid as an error
         request.ended_at = time.monotonic()
         self.record.requests.append(request)
--- a/runloft/lab/soak/fault_player.py
+++ b/runloft/lab/soak/fault_player.py
@@ -65,7 +65,7 @@
 
     async def _reload(self, fault: Fault, process: SoakProcess) -> None:
         for _ in range(1 + int(fault.amount * MAX_EXTRA_RELOADS)):
-            process.write_config(self.instances.listed())
+            process.write_config(self.instances.list_document())
             process.signal(signal.SIGHUP)
             await anyio.sleep(fault.for_s / (MAX_EXTRA_RELOADS + 1))
 
@@ -75,7 +75,7 @@
         process.is_restarting = True
         await stop()
         if self.now() < self.seconds:
-            await process.spawn(process.write_config(self.instances.listed()))
+            await process.spawn(process.write_config(self.instances.list_document()))
         process.is_restarting = False
 
     async def _play_discovery_fault(self, fault: Fault, agent: SoakDiscovery) -> None:
--- a/runloft/lab/soak/proxy.py
+++ b/runloft/lab/soak/proxy.py
@@ -8,7 +8,7 @@
 import anyio
 import anyio.abc
 
-from runloft.lab.serving import BROKEN, LabServer
+from runloft.lab.serving import CONNECTION_ERRORS, LabServer
 from runloft.lab.soak.node_faults import NodeFaults
 from runloft.lab.soak.records import AttemptRecord
 from runloft.lab.soak.schedule import FaultKind
@@ -67,7 +67,7 @@
             local_port = upstream.extra(anyio.abc.SocketAttribute.local_port)
             self.connections[local_port] = connection
             group.start_soon(self._relay_responses, upstream, stream, connection)
-            with suppress(*BROKEN):
+            with suppress(*CONNECTION_ERRORS):
                 await self._relay_requests(stream, upstream, connection)
             connection.end_attempts()
             self.connections.pop(local_port, None)
@@ -91,7 +91,7 @@
         try:
             while await self._relay_response(await upstream.receive(CHUNK_BYTES), stream):
                 connection.end_attempts()
-        except BROKEN:
+        except CONNECTION_ERRORS:
             connection.end_attempts()
             await anyio.aclose_forcefully(stream)
 
--- a/runloft/lab/soak/run.py
+++ b/runloft/lab/soak/run.py
@@ -83,7 +83,7 @@
     async def _play(self, group: anyio.abc.TaskGroup, processes: Sequence[SoakProcess]) -> None:
         async with anyio.create_task_group() as starts:
             for process in processes:
-                starts.start_soon(process.spawn, process.write_config(self.instances.listed()))
+                starts.start_soon(process.spawn, process.write_config(self.instances.list_document()))
         await anyio.sleep(max(0.0, self.epoch - time.monotonic()))
         group.start_soon(self._record_delays)
         await self._play_faults_and_clients(processes)
--- a/tests/agreement/test_sidecars.py
+++ b/tests/agreement/test_sidecars.py
@@ -76,7 +76,7 @@
 
     # An emptied store is repaired by the sidecars.
     generation = pair.status()["generation"]
-    pair.store.keys.empty()
+    pair.store.keys.clear()
     pair.wait_until_agreed()
     assert pair.status()["generation"] == generation
 
--- a/tests/agreement/test_store.py
+++ b/tests/agreement/test_store.py
@@ -138,10 +138,10 @@
 
     async def check(server, store, other):
         async def cost_of_exchange():
-            before = server.keys.count, server.traffic.received, server.traffic.sent
+            before = server.keys.command_count, server.traffic.received, server.traffic.sent
             await store.exchange(Exchange(make_lease()))
             return (
-                server.keys.count - before[0],
+                server.keys.command_count - before[0],
                 server.traffic.received - before[1],
                 server.traffic.sent - before[2],
             )
@@ -168,8 +168,8 @@
         committed = CommittedGeneration(2, SECOND_CONTENT, 0, FIRST_CONTENT, "t.0", "me", 7)
         assert await other.commit(CommitGeneration(committed, rank, frozenset(("s0", "s1")), LEASE_NS))
         read = []
-        act = server.keys.act
-        server.keys.act = lambda session, words: read.append(words[1:]) or act(session, words)
+        execute = server.keys.execute
+        server.keys.execute = lambda session, words: read.append(words[1:]) or execute(session, words)
         assembled = (await store.exchange(Exchange(make_lease("s1")))).committed
         assert [b"t:force"] not in read
         assert assembled == (await other.exchange(Exchange(make_lease()))).committed and [b"t:force"] in read
@@ -198,7 +198,7 @@
         await store.repair(RepairStore(CommittedGeneration(5, FIRST_CONTENT)))
         await other.repair(RepairStore(CommittedGeneration(4, SECOND_CONTENT)))
         assert (await store.view()).committed.generation == 5
-        server.keys.empty()
+        server.keys.clear()
         await other.repair(RepairStore(CommittedGeneration(4, SECOND_CONTENT)))
         await store.repair(RepairStore(CommittedGeneration(5, FIRST_CONTENT)))
         assert (await store.view()).committed.generation == 5
@@ -239,7 +239,7 @@
             case "reset":
                 server.failures.reply_loss_probability = 1.0
             case "types":
-                server.keys.empty()
+                server.keys.clear()
                 server.keys.data[b"t:force:rank"] = {b"a": b"b"}
             case "foreign":
                 server.keys.data[b"t:force"] = b'{"format": 9}'
--- a/tests/agreement/test_stored_records.py
+++ b/tests/agreement/test_stored_records.py
@@ -170,14 +170,14 @@
     commands = []
     with running(RedisStandIn()) as (server,):
         server.keys.unix_ns = lambda: UNIX_NS
-        real_act = server.keys.act
+        real_execute = server.keys.execute
 
         def record(session, words):
             commands.append([word.decode() for word in words])
-            reply = real_act(session, words)
+            reply = real_execute(session, words)
             return reply
 
-        server.keys.act = record
+        server.keys.execute = record
 
         async def main():
             store = AgreementStore(f"redis://{server.address}/0", "runloft", LEASE_NS, 1.0)
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -13,5 +13,5 @@
     assert instances.encoded_changes(3) == b"" and instances.encoded_list() is instances.encoded_list()
     instances.remove("a")
     assert [one["uid"] for one in json.loads(instances.encoded_list())["targets"]] == ["b"]
-    instances.empty()
+    instances.clear()
     assert json.loads(instances.encoded_list()) == {"rev": 1, "all": True, "targets": []}
--- a/tests/lab/test_redis.py
+++ b/tests/lab/test_redis.py
@@ -34,7 +34,7 @@
                 7,
             )
             assert sum(one.traffic.by_second.values()) == 53
-            assert keys.count == 3 and two.round_trips == 1
+            assert keys.command_count == 3 and two.round_trips == 1
             for stream in streams:
                 await stream.aclose()
             group.cancel_scope.cancel()
