--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -13,7 +13,7 @@
     ShedRequest,
 )
 from tests.support.core_harness import CoreHarness
-from tests.support.driver import Host, gone, request_class, settings
+from tests.support.driver import Host, gone_entry, request_class, settings
 
 
 def test_state_of_removed_nodes_and_their_requests_is_released():
@@ -47,17 +47,19 @@
 
 def test_node_with_an_attempt_in_flight_is_not_forgotten():
     host = Host(settings(request_class(deadline=300_000)))
-    host.ask()
+    host.receive_request()
     for _ in range(3):
         host.wait(61_000)
-        assert ForgetNode(10) not in host.tell(gone(10))
-    host.end(1)
+        assert ForgetNode(10) not in host.update_nodes(gone_entry(10))
+    host.finish_attempt(1)
     host.wait(61_000)
-    assert ForgetNode(10) in host.tell(gone(10))
+    assert ForgetNode(10) in host.update_nodes(gone_entry(10))
 
 
 def test_request_that_cannot_connect_in_half_its_time_is_shed_at_once():
     host = Host(settings(request_class(deadline=1000)))
-    id_ = host.ask()
+    id_ = host.receive_request()
     host.wait(480)
-    assert any(isinstance(action, ShedRequest) for action in host.end(id_, AttemptOutcome.CONNECT_FAILED))
+    assert any(
+        isinstance(action, ShedRequest) for action in host.finish_attempt(id_, AttemptOutcome.CONNECT_FAILED)
+    )
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -63,7 +63,7 @@
     [(*size, zones, {}) for size in SIZES for zones in (2, 3)]
     + [
         (*SIZES[0], 3, {"idempotency": Idempotency.NOT_IDEMPOTENT}),
-        (*SIZES[0], 3, {"aim": 3000, "deadline": 12000}),
+        (*SIZES[0], 3, {"objective_ms": 3000, "deadline": 12000}),
     ],
 )
 def test_nodes_serve_again_soon_after_a_network_partition(hosts, nodes, capacity, load, zones, request_class):
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -22,18 +22,18 @@
 
 
 def test_result_is_processed_before_a_timer_of_the_same_instant():
-    host = Host(settings(request_class(aim=100, deadline=600)))
-    request_id = host.ask()
+    host = Host(settings(request_class(objective_ms=100, deadline=600)))
+    request_id = host.receive_request()
     host.now += 700 * MS
     host.feed(TimerFired(request_id), AttemptResult(request_id, 0, 10, AttemptOutcome.OK, True, 20 * MS))
-    assert not host.answers(request_id)
+    assert not host.final_responses(request_id)
 
 
 def test_events_of_finished_or_unknown_requests_are_ignored():
     host = Host(settings(request_class(Idempotency.NOT_IDEMPOTENT)))
-    request_id = host.ask()
-    host.end(request_id)
-    host.end(request_id)
+    request_id = host.receive_request()
+    host.finish_attempt(request_id)
+    host.finish_attempt(request_id)
     host.feed(
         AttemptResult(999, 0, 10, AttemptOutcome.OK, True),
         ClientGone(999),
@@ -41,7 +41,7 @@
         ClientGone(request_id),
     )
     host.wait(1000)
-    assert not host.answers(request_id) and len(host.sends(request_id)) == 1
+    assert not host.final_responses(request_id) and len(host.sends(request_id)) == 1
 
 
 def test_same_events_give_the_same_actions():
@@ -49,9 +49,9 @@
     for _ in range(2):
         host = Host(settings(), nodes=[NodeEntry(10 + n, n) for n in range(4)])
         for n in range(50):
-            host.ask(shard=None, units=1 + n % 3)
+            host.receive_request(shard=None, units=1 + n % 3)
             host.wait(3)
             if n % 4 == 0:
-                host.end_all()
+                host.finish_all_attempts()
         logs.append(host.log)
     assert logs[0] == logs[1]
--- a/tests/decisions/test_service_rate.py
+++ b/tests/decisions/test_service_rate.py
@@ -9,13 +9,13 @@
 
 
 def test_quick_errors_do_not_raise_the_service_rate():
-    host = Host(settings(request_class(aim=100, deadline=600), max_attempts=1))
+    host = Host(settings(request_class(objective_ms=100, deadline=600), max_attempts=1))
     host.serve(30, latency=20)
     rate_before = host.scheduler.nodes[10].rate.units_per_second
     for _ in range(200):
-        host.ask()
+        host.receive_request()
         host.wait(1)
-        host.end_all(AttemptOutcome.ERROR)
+        host.finish_all_attempts(AttemptOutcome.ERROR)
     assert host.scheduler.nodes[10].rate.units_per_second <= rate_before
 
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -16,7 +16,7 @@
 def test_warming_up_node_gets_this_schedulers_share_of_its_capacity():
     conf = settings(slow_start_units=20, scheduler_count=4, max_attempts=1, **SLOW_START)
     host = Host(conf, at=100 * SECOND)
-    host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
+    host.update_nodes(NodeEntry(10, 0, started_ns=100 * SECOND))
     assert send_flood(host, 1500) <= 20 / 4
     host.wait(20_000)
     assert send_flood(host, 200) > 20 / 4
@@ -28,11 +28,11 @@
     sends: list[int] = []
     for number in range(150):
         host = Host(replace(conf, scheduler_count=150, scheduler_number=number), at=100 * SECOND)
-        host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
+        host.update_nodes(NodeEntry(10, 0, started_ns=100 * SECOND))
         for _ in range(24):
-            host.ask(left=240)
+            host.receive_request(time_left_ms=240)
             host.wait(125)
-            host.end_all()
+            host.finish_all_attempts()
             host.wait(125)
         sends += [at for at, _ in host.sends()]
     windows = [sum(at <= other < at + 2 * SECOND for other in sends) for at in sends]
@@ -43,7 +43,7 @@
     """Let connects fail, with nothing served, for as long as a restart takes."""
     for _ in range(2):
         host.wait(600)
-        host.end(host.ask(), AttemptOutcome.CONNECT_FAILED)
+        host.finish_attempt(host.receive_request(), AttemptOutcome.CONNECT_FAILED)
 
 
 def test_start_inferred_from_failed_connects_ends_early_and_gives_way_to_the_list():
@@ -52,7 +52,7 @@
     node = host.scheduler.nodes[10]
     assert host.scheduler.slow_start.started_at(node, host.now) == host.now
     assert host.scheduler.slow_start.started_at(node, host.now + 6 * SECOND) is None
-    host.tell(NodeEntry(10, 0, started_ns=98 * SECOND))
+    host.update_nodes(NodeEntry(10, 0, started_ns=98 * SECOND))
     assert host.scheduler.slow_start.started_at(node, host.now) == 98 * SECOND
 
 
@@ -66,7 +66,7 @@
         replace(unusual, scheduler_count=-1, tick_ns=0),
     ):
         host = Host(conf, at=100 * SECOND)
-        host.tell(NodeEntry(10, 0, started_ns=100 * SECOND))
+        host.update_nodes(NodeEntry(10, 0, started_ns=100 * SECOND))
         send_flood(host, 100)
         host.wait(20_000)
         assert send_flood(host, 100, AttemptOutcome.OK) > 0
@@ -89,12 +89,12 @@
         )
         host.serve(served, latency=40)
         host.wait(1000)
-        host.tell(NodeEntry(10, 0, started_ns=host.now))
+        host.update_nodes(NodeEntry(10, 0, started_ns=host.now))
         before = len(host.sends())
         for _ in range(40):
-            host.ask(left=90)
+            host.receive_request(time_left_ms=90)
             host.wait(100)
-            host.end_all()
+            host.finish_all_attempts()
         return len(host.sends()) - before
 
     baseline_rate = 100 / (100 * 0.041 + 1)  # units per second served before the start
@@ -117,10 +117,10 @@
         settings(slow_start_units=8, scheduler_count=4, max_attempts=1, **SLOW_START), at=100 * SECOND
     )
     for _ in range(5):
-        host.end(host.ask(), AttemptOutcome.CONNECT_FAILED)
+        host.finish_attempt(host.receive_request(), AttemptOutcome.CONNECT_FAILED)
         host.wait(300 if outcome_between else 90)
         if outcome_between:
-            host.end(host.ask(), outcome_between)
+            host.finish_attempt(host.receive_request(), outcome_between)
     assert host.scheduler.slow_start.started_at(host.scheduler.nodes[10], host.now) is None
 
 
@@ -130,9 +130,9 @@
     host.serve(120, latency=20, shard=0)
     before = len(host.sends())
     for _ in range(40):
-        host.ask(shard=1, left=800)
+        host.receive_request(shard=1, time_left_ms=800)
         host.wait(250)
-        host.end_all()
+        host.finish_all_attempts()
     assert 2 <= len(host.sends()) - before <= 20
 
 
@@ -142,14 +142,14 @@
 
     def ask(times, response_ms):
         for _ in range(times):
-            host.ask(left=900)
+            host.receive_request(time_left_ms=900)
             host.wait(response_ms)
-            host.end_all(latency=response_ms)
+            host.finish_all_attempts(latency=response_ms)
             host.wait(1000 - response_ms)
         return len(host.sends())
 
     sent_before = ask(20, 50)
-    host.tell(NodeEntry(10, 0, NodeState.GONE), NodeEntry(11, 0, started_ns=host.now))
+    host.update_nodes(NodeEntry(10, 0, NodeState.GONE), NodeEntry(11, 0, started_ns=host.now))
     return ask(14, latency) - sent_before
 
 
--- a/tests/decisions/test_volume_quota.py
+++ b/tests/decisions/test_volume_quota.py
@@ -14,19 +14,19 @@
     host = Host(conf)
     host.serve(20, latency=20, volume=9)
     for _ in range(20):
-        host.ask(volume=1)
-    within_reserve = host.ask(volume=2)
+        host.receive_request(volume=1)
+    within_reserve = host.receive_request(volume=2)
     for _ in range(4):  # volume 1 uses up its reserve, then volume 2 is served
-        host.end(min(host.open))
+        host.finish_attempt(min(host.open))
     assert host.sends(within_reserve)
 
 
 def test_least_recently_used_volumes_are_evicted():
     host = Host(settings(request_class()))
     for volume in range(MAX_VOLUMES + 5):
-        host.ask(volume=volume)
+        host.receive_request(volume=volume)
         host.wait(1)
-        host.end_all()
+        host.finish_all_attempts()
     assert len(host.scheduler.volumes) == MAX_VOLUMES and 0 not in host.scheduler.volumes
 
 
@@ -37,7 +37,7 @@
     host = Host(settings(request_class(deadline=50), plan=LIMITED))
     assert send_flood(host, 1000, AttemptOutcome.OK, volume_hosts=2.0) <= 40 / 2
     host.wait(60)
-    host.end_all(AttemptOutcome.OK)
+    host.finish_all_attempts(AttemptOutcome.OK)
     host.wait(10_000)
     assert 12 <= send_flood(host, 1000, AttemptOutcome.OK, volume_hosts=2.0) <= 12 + 40 / 2
 
@@ -45,7 +45,7 @@
 def test_retry_takes_no_tokens_from_the_limit():
     host = Host(settings(plan=LIMITED))
     host.wait(1000)
-    first = host.ask(units=24)
-    host.end(first, AttemptOutcome.ERROR)
+    first = host.receive_request(units=24)
+    host.finish_attempt(first, AttemptOutcome.ERROR)
     host.wait(30)
     assert len(host.sends(first)) == 2
--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -188,16 +188,16 @@
     ],
 )
 def test_open_request_gets_one_response_that_fits_what_may_have_executed(idempotency, action):
-    host = Host(settings(request_class(idempotency, aim=1000, deadline=9000)), at=SECOND)
-    sent = host.ask()
-    queued = host.ask(shard=7)  # no node serves this shard
-    done = host.ask()
-    host.end(done)
+    host = Host(settings(request_class(idempotency, objective_ms=1000, deadline=9000)), at=SECOND)
+    sent = host.receive_request()
+    queued = host.receive_request(shard=7)  # no node serves this shard
+    done = host.receive_request()
+    host.finish_attempt(done)
     host.feed(contract.ShutdownStarted())
     host.feed(contract.ShutdownStarted())
-    assert [type(answer) for _, answer in host.answers(sent)] == [action]
-    assert [type(answer) for _, answer in host.answers(queued)] == [ShedRequest]
-    assert host.answers(queued)[0][1].retry_after_ns > 0 and not host.answers(done)
-    host.end(sent, AttemptOutcome.RESET)
+    assert [type(answer) for _, answer in host.final_responses(sent)] == [action]
+    assert [type(answer) for _, answer in host.final_responses(queued)] == [ShedRequest]
+    assert host.final_responses(queued)[0][1].retry_after_ns > 0 and not host.final_responses(done)
+    host.finish_attempt(sent, AttemptOutcome.RESET)
     host.wait(20_000)
-    assert len(host.answers(sent)) == 1 and not host.scheduler.requests
+    assert len(host.final_responses(sent)) == 1 and not host.scheduler.requests
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -147,7 +147,7 @@
 
 def test_scheduler_keeps_learned_state_under_new_settings():
     host = Host(settings(plan=PlanSettings(rate=10.0, reserve=1000.0)))
-    host.ask()
+    host.receive_request()
     host.wait(10)
     node, fresh = (
         host.scheduler.nodes[10],
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -28,9 +28,11 @@
 SECOND = 1000 * MS
 
 
-def request_class(idempotency=Idempotency.IDEMPOTENT, aim=100, deadline=600, **more) -> ClassSettings:
+def request_class(
+    idempotency=Idempotency.IDEMPOTENT, objective_ms=100, deadline=600, **more
+) -> ClassSettings:
     return ClassSettings(
-        latency_objective_ns=aim * MS, deadline_ns=deadline * MS, idempotency=idempotency, **more
+        latency_objective_ns=objective_ms * MS, deadline_ns=deadline * MS, idempotency=idempotency, **more
     )
 
 
@@ -86,17 +88,19 @@
         self.now = end
         return actions
 
-    def ask(self, **more) -> int:
+    def receive_request(self, **more) -> int:
         """Feed the arrival of a request; return its id."""
         request_id = self.next_id
         self.next_id += 1
         class_index = more.get("request_class", 0)
-        time_left_ms = more.pop("left", self.scheduler.settings.classes[class_index].deadline_ns // MS)
+        time_left_ms = more.pop(
+            "time_left_ms", self.scheduler.settings.classes[class_index].deadline_ns // MS
+        )
         fields = {"request_class": 0, "plan": 0, "volume": 1, "units": 1.0, "shard": 0} | more
         self.feed(Request(id=request_id, time_left_ns=int(time_left_ms * MS), **fields))
         return request_id
 
-    def end(
+    def finish_attempt(
         self, request_id: int, outcome=AttemptOutcome.OK, latency: float = 10, attempt=None
     ) -> list[Action]:
         """Feed the result of an attempt, by default the request's last one; return the actions."""
@@ -106,24 +110,24 @@
         node = self.nodes[request_id]
         return self.feed(AttemptResult(request_id, number, node, outcome, complete, int(latency * MS)))
 
-    def end_all(self, outcome=AttemptOutcome.OK, latency: float = 10) -> None:
+    def finish_all_attempts(self, outcome=AttemptOutcome.OK, latency: float = 10) -> None:
         """End all attempts in flight, including those that are sent as a result."""
         while self.open:
-            self.end(min(self.open), outcome, latency)
+            self.finish_attempt(min(self.open), outcome, latency)
 
     def serve(self, count: int, latency: float = 10, **more) -> None:
         """Let the node serve ``count`` requests, one after another, so that its rate is known."""
         for _ in range(count):
-            request_id = self.ask(**more)
+            request_id = self.receive_request(**more)
             for _ in range(500):
                 if request_id in self.attempts:
                     break
                 self.wait(1)
             self.wait(latency)
-            self.end(request_id, latency=latency)
+            self.finish_attempt(request_id, latency=latency)
             self.wait(1)
 
-    def tell(self, *entries: NodeEntry, kind=ListKind.DELTA) -> list[Action]:
+    def update_nodes(self, *entries: NodeEntry, kind=ListKind.DELTA) -> list[Action]:
         """Feed an update of the node list; return the actions."""
         return self.feed(NodeList(kind, entries))
 
@@ -135,7 +139,7 @@
             if isinstance(action, SendAttempt) and request_id in (None, action.id)
         ]
 
-    def answers(self, request_id: int) -> list[tuple[int, Action]]:
+    def final_responses(self, request_id: int) -> list[tuple[int, Action]]:
         """Return the times and actions by which the scheduler shed or failed a request."""
         return [
             (at, action)
@@ -144,7 +148,7 @@
         ]
 
 
-def gone(node: int, shard: int = 0, state=NodeState.GONE) -> NodeEntry:
+def gone_entry(node: int, shard: int = 0, state=NodeState.GONE) -> NodeEntry:
     return NodeEntry(node, shard, state)
 
 
@@ -152,10 +156,10 @@
     """Feed a request every 5 ms and end each attempt at once; return the number of attempts."""
     before = len(host.sends())
     for _ in range(milliseconds // 5):
-        host.ask(**more)
-        host.end_all(outcome)
+        host.receive_request(**more)
+        host.finish_all_attempts(outcome)
         host.wait(5)
-        host.end_all(outcome)
+        host.finish_all_attempts(outcome)
     return len(host.sends()) - before
 
 
@@ -170,15 +174,15 @@
 def overloaded_host(hosts: int, outcome=AttemptOutcome.OK) -> Host:
     """Return a host whose node answered late or not at all; class 0 has a higher priority than class 1."""
     classes = [
-        request_class(aim=100, deadline=3000, priority_weight=weight, late_priority_weight=0.5)
+        request_class(objective_ms=100, deadline=3000, priority_weight=weight, late_priority_weight=0.5)
         for weight in (4.0, 1.0)
     ]
     host = Host(settings(*classes, scheduler_count=hosts), nodes=[NodeEntry(10, 0), NodeEntry(11, 1)])
     for _ in range(6 if outcome is AttemptOutcome.OK else 3):
         host.wait(400)
         latency = 90 if outcome is AttemptOutcome.OK else 150
-        request_id = host.ask()
+        request_id = host.receive_request()
         host.wait(latency)
-        host.end(request_id, outcome, latency=latency)
+        host.finish_attempt(request_id, outcome, latency=latency)
     host.wait(400)
     return host
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -23,7 +23,9 @@
     fields = {"slow_start_units": 3.0, "mean_units": 2.0, "max_units": 6.0} | more
     fields = {"within_quota_factor": 0.3, "beyond_quota_factor": 0.08} | fields
     fleet = settings(
-        request_class(**{"aim": 1000, "deadline": 6000, "late_priority_weight": 0.1} | dict(one_class)),
+        request_class(
+            **{"objective_ms": 1000, "deadline": 6000, "late_priority_weight": 0.1} | dict(one_class)
+        ),
         scheduler_count=hosts,
         scheduler_number=number,
         slow_start_initial_fraction=SLOW_START_INITIAL_FRACTION,
@@ -108,7 +110,7 @@
         entry = NodeEntry(new_number, old.entry.shard, started_ns=self.now)
         self.nodes[new_number] = ModelNode(entry, old.capacity)
         for host in self.hosts:
-            host.tell(NodeEntry(old_number, old.entry.shard, NodeState.GONE), entry)
+            host.update_nodes(NodeEntry(old_number, old.entry.shard, NodeState.GONE), entry)
 
     def restart(self, numbers) -> None:
         """Restart hosts; they keep the node list, but no state of the requests that they sent."""
@@ -152,7 +154,7 @@
         if plan:
             self.beyond_reserve.add((number, host.next_id))
         self.asked += not plan
-        host.ask(shard=shard, plan=plan, volume=volume, units=units)
+        host.receive_request(shard=shard, plan=plan, volume=volume, units=units)
         self._collect(number)
 
     def is_partitioned(self, number: int, node: int) -> bool:
@@ -191,7 +193,7 @@
         )
         self.served += in_time and key not in self.beyond_reserve
         host.now = self.now
-        host.end(attempt.id, outcome, latency=(self.now - attempt.sent_at) / MS)
+        host.finish_attempt(attempt.id, outcome, latency=(self.now - attempt.sent_at) / MS)
         self._collect(attempt.host)
 
     def _collect(self, number: int) -> None:
