--- a/runloft/config/commands.py
+++ b/runloft/config/commands.py
@@ -47,13 +47,13 @@
 
 def add_rollout_parsers(actions: Any) -> None:
     """Add the options of the actions that use the store, which ``runloft.agreement.commands`` runs."""
-    roll = actions.add_parser("roll", help="put a configuration into force on all sidecars")
+    roll = actions.add_parser("roll", help="commit a configuration on all sidecars")
     directions = roll.add_subparsers(dest="way", required=True)
     out = directions.add_parser("out", help="roll out a directory of operators' files")
     out.add_argument("directory", metavar="DIR")
     out.add_argument("--fleet", metavar="FLEET", help="default: fleet.toml in DIR")
     out.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
-    back = directions.add_parser("back", help="put the previous generation back into force")
+    back = directions.add_parser("back", help="roll back to the previous generation")
     back.add_argument("--fleet", metavar="FLEET", required=True)
     status = actions.add_parser("status", help="show which generation each sidecar applies, and since when")
     forget = actions.add_parser("forget", help="remove a decommissioned sidecar from the known sidecars")
--- a/runloft/config/comparison/files.py
+++ b/runloft/config/comparison/files.py
@@ -69,7 +69,7 @@
     subject = _subject(topic)
     # The longest fence that a lease announces is respected, so a change may be applied file by file.
     severity = Severity.WARNING if topic[0] == "agreement" else Severity.FAULT
-    remedy = f"the same in all, such as {quote_value(first.value)}"
+    remedy = f"the same value in all files, such as {quote_value(first.value)}"
     for claim in claims:
         if claim not in reference:
             reason = (
@@ -105,18 +105,18 @@
         if slot is not None:
             claim = Claim(file, ("settings", "SlotNo"), slot)
             if slot in slots:
-                reason = f"slot {slot} is taken by another sidecar, at {slots[slot].location}"
-                yield claim.fault("slot-taken", reason, "a slot of its own")
+                reason = f"slot {slot} is already used by another sidecar, at {slots[slot].location}"
+                yield claim.fault("slot-taken", reason, "an unused slot")
             slots.setdefault(slot, claim)
 
 
 def _compare_name(claim: Claim, other: Claim | None, fleet: Fleet | None) -> Iterator[Fault]:
     if other is not None:
-        reason = f'"{claim.value}" is the name of another sidecar, at {other.location}'
-        yield claim.fault("sidecar-twice", reason, "a name of its own")
+        reason = f'"{claim.value}" is already used by another sidecar, at {other.location}'
+        yield claim.fault("sidecar-twice", reason, "an unused name")
     elif fleet and claim.value not in [application.name for application in fleet.record.applications]:
         reason = f'the fleet has no application "{claim.value}"'
-        yield claim.fault("sidecar-not-in-fleet", reason, "a name of the fleet's")
+        yield claim.fault("sidecar-not-in-fleet", reason, "the name of one of the fleet's applications")
 
 
 def _node_connection_faults(files: Sequence[CheckedFile], nodes: int) -> Iterator[Fault]:
--- a/runloft/config/comparison/volumes.py
+++ b/runloft/config/comparison/volumes.py
@@ -26,8 +26,8 @@
             claim = _id_claim(file, name)
             owner = owners.setdefault(int(volume.id, 16), claim)
             if owner.value != name and owner.source is not file:
-                reason = f'id {volume.id} is that of "{owner.value}" at {owner.location}'
-                yield claim.fault("id-of-two-volumes", reason, "an id of its own")
+                reason = f'id {volume.id} is already used by volume "{owner.value}" at {owner.location}'
+                yield claim.fault("id-of-two-volumes", reason, "a unique id")
 
 
 def _id_claim(file: CheckedFile, name: str) -> Claim:
@@ -50,9 +50,11 @@
         for name in _volumes_with_id(file):
             claim = _id_claim(file, name)
             if name not in volumes:
-                yield claim.fault("volume-not-in-fleet", f'the fleet has no volume "{name}"', "one of its")
+                yield claim.fault(
+                    "volume-not-in-fleet", f'the fleet has no volume "{name}"', "a volume of the fleet"
+                )
             elif sidecar not in volumes[name].sidecars:
-                reason = f'the fleet doesn\'t serve "{name}" through {sidecar}'
+                reason = f'the fleet doesn\'t assign volume "{name}" to sidecar {sidecar}'
                 yield claim.fault("volume-not-here", reason, ", ".join(volumes[name].sidecars))
 
 
--- a/runloft/config/feasibility/conflicts.py
+++ b/runloft/config/feasibility/conflicts.py
@@ -31,10 +31,10 @@
         names = _join_some(self.volumes)
         shards = _join_some([str(shard) for shard in self.shards])
         verb = "reserves" if len(self.volumes) == 1 else "reserve"
-        shard, bear = ("shard", "bears") if len(self.shards) == 1 else ("shards", "bear")
+        shard, have = ("shard", "has") if len(self.shards) == 1 else ("shards", "have")
         return (
             f"{names} {verb} {self.reserved / RATE_SCALE:g} units/s on {shard} {shards}, "
-            f"which {bear} {self.capacity / RATE_SCALE:g}"
+            f"which {have} capacity for {self.capacity / RATE_SCALE:g}"
         )
 
 
--- a/runloft/config/fleet/checks.py
+++ b/runloft/config/fleet/checks.py
@@ -41,7 +41,9 @@
             if name is not None and name in first_rows:
                 path = (table, str(index), _name_key(table))
                 code = "node-twice" if table == "nodes" else "name-twice"
-                fleet.reader.fault(path, code, f'"{name}" stands in row {first_rows[name]} too', "each once")
+                fleet.reader.fault(
+                    path, code, f'"{name}" is already used in row {first_rows[name]}', "a unique value"
+                )
             first_rows.setdefault(name, index)
 
 
@@ -92,7 +94,7 @@
     total = sum(row.share for row in classes)
     if total > 1.0 + SHARE_TOLERANCE:
         reason = f"the classes' shares add up to {total:g}"
-        fleet.reader.fault(("classes", "0", "share"), "shares-above-1", reason, "1 in all")
+        fleet.reader.fault(("classes", "0", "share"), "shares-above-1", reason, "a sum of at most 1")
 
 
 def _fill_volumes(fleet: Fleet) -> None:
@@ -105,8 +107,8 @@
         if volume.id is not None:
             number = int(volume.id, 16)
             if number in owners:
-                reason = f'id {volume.id} is that of "{owners[number]}" already'
-                fleet.reader.fault((*path, "id"), "id-twice", reason, "an id of its own")
+                reason = f'id {volume.id} is already used by volume "{owners[number]}"'
+                fleet.reader.fault((*path, "id"), "id-twice", reason, "a unique id")
             owners.setdefault(number, volume.name)
         if plan is None:
             continue
--- a/runloft/config/fleet/generated_checks.py
+++ b/runloft/config/fleet/generated_checks.py
@@ -29,7 +29,7 @@
             path = _fleet_path(fleet, index, violation.path)
             if (path, violation.code) not in seen:
                 seen.add((path, violation.code))
-                reason = f"{violation.reason} (in the file of {application.name})"
+                reason = f"{violation.reason} (in the generated file of {application.name})"
                 fleet.reader.add([replace(violation, path=path, reason=reason)])
 
 
--- a/runloft/config/fleet/generated_file.py
+++ b/runloft/config/fleet/generated_file.py
@@ -25,7 +25,7 @@
     """The file to write was changed since it was generated."""
 
     def __init__(self, path: Path) -> None:
-        super().__init__(f"{path} was changed by hand")
+        super().__init__(f"{path} was edited by hand")
         self.path = path
 
 
--- a/runloft/config/fleet/node_list.py
+++ b/runloft/config/fleet/node_list.py
@@ -11,7 +11,7 @@
 from runloft.config.schema.kinds import quote_value
 from runloft.config.schema.reader import Reader
 
-EXPECTED_LIST = "a list in discovery's form"
+EXPECTED_LIST = "a node list in discovery's format"
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,13 +56,13 @@
                 zone=str(entry.get("az", "")),
             )
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            reason = f"{quote_value(entry)} can't be read: {error!r}"
+            reason = f"{quote_value(entry)} is not a valid node: {error!r}"
             reader.fault(path, "bad-node", reason, "uid, model, pod_group")
             continue
         if state in NODE_STATES:
             yield node
         else:
-            reason = f"{quote_value(state)} is no state"
+            reason = f"{quote_value(state)} is not a node state"
             reader.fault((*path, "state"), "not-a-choice", reason, ", ".join(NODE_STATES))
 
 
@@ -71,8 +71,8 @@
     for index, node in enumerate(nodes):
         key = f"targets.{index}"
         if node.uid in first_rows:
-            reason = f'"{node.uid}" stands in row {first_rows[node.uid]} too'
-            yield Fault(path, 0, f"{key}.uid", "node-twice", reason, "each node once")
+            reason = f'"{node.uid}" is already used in row {first_rows[node.uid]}'
+            yield Fault(path, 0, f"{key}.uid", "node-twice", reason, "a unique uid")
         first_rows.setdefault(node.uid, index)
         if node.kind not in machines:
             reason = f'there is no machine kind "{node.kind}"'
--- a/runloft/config/fleet/records.py
+++ b/runloft/config/fleet/records.py
@@ -27,33 +27,33 @@
 class MachineRecord(Record):
     """A kind of machine."""
 
-    cores: float = setting("cores", Number(above=0.0, maximum=1024.0), description="cores")
+    cores: float = setting("cores", Number(above=0.0, maximum=1024.0), description="number of cores")
     speed: list[float] = setting(
-        "speed", Range(POSITIVE), description="of a core: least and most; 1 is usual"
+        "speed", Range(POSITIVE), description="lowest and highest speed of a core; 1 is nominal"
     )
     cold_fraction: float = setting(
-        "cold_share", Number(above=0.0, maximum=1.0), 1.0, "part of its power when it starts"
+        "cold_share", Number(above=0.0, maximum=1.0), 1.0, "fraction of its rate at its start"
     )
-    warm_up_ms: float = setting("warm_up_ms", milliseconds(), 0.0, "warm by then")
+    warm_up_ms: float = setting("warm_up_ms", milliseconds(), 0.0, "time until a started node is warm")
 
 
 @attrs.frozen
 class NodeRecord(Record):
     """A storage node."""
 
-    uid: str = setting("uid", kinds.name(), description="the same at every sidecar")
+    uid: str = setting("uid", kinds.name(), description="the node's id, the same at all sidecars")
     kind: str = setting("kind", kinds.name(), description="its machine kind, by name")
-    shard: int = setting("shard", count(0, 65535), description="the shard that it holds")
+    shard: int = setting("shard", count(0, 65535), description="shard that it holds")
     zone: str = setting("zone", kinds.name(), "", "its zone")
-    state: str = setting("state", Text(NODE_STATES), "in_service", "as discovery tells it")
+    state: str = setting("state", Text(NODE_STATES), "in_service", "its state as in discovery's node list")
 
 
 @attrs.frozen
 class FleetClassRecord(ClassRecord):
     """A request class, with its work per request and its share of all requests."""
 
-    work_ms: float = setting("work_ms", milliseconds(0.001), 1.0, "a usual request's work on one core")
-    share: float = setting("share", Number(minimum=0.0, maximum=1.0), 0.0, "of all requests")
+    work_ms: float = setting("work_ms", milliseconds(0.001), 1.0, "work of a mean request on one core")
+    share: float = setting("share", Number(minimum=0.0, maximum=1.0), 0.0, "fraction of all requests")
     writes: bool = setting("writes", Boolean(), False, "whether it writes")
 
     CONSTRAINTS = ClassRecord.CONSTRAINTS
@@ -64,15 +64,19 @@
     """A volume, the shards of its data and the sidecars that serve it."""
 
     name: str = setting("name", kinds.name(), description="its name")
-    id: str = setting("id", HexNumber(), description="the volume as the platform counts it")
+    id: str = setting("id", HexNumber(), description="the platform's id of the volume")
     plan: str = setting("plan", kinds.name(), description="its plan, by name")
-    shards: list[int] = setting("shards", ListOf(count(0, 65535), 1, True), description="where its data lies")
-    sidecars: list[str] = setting("sidecars", ListOf(kinds.name(), 1, True), description="that serve it")
-    rate: float = setting("BaseRate", Number(above=0.0), None, "restates the plan's")
-    reserve: float = setting("Guaranteed", Number(minimum=0.0), None, "restates the plan's")
-    weight: float = setting("Parts", Number(above=0.0), None, "restates the plan's")
-    price: float = setting("ValueFactor", Number(above=0.0), None, "restates the plan's")
-    limit: float = setting("Limit", Number(minimum=0.0), None, "restates the plan's")
+    shards: list[int] = setting(
+        "shards", ListOf(count(0, 65535), 1, True), description="shards that hold its data"
+    )
+    sidecars: list[str] = setting(
+        "sidecars", ListOf(kinds.name(), 1, True), description="sidecars that serve it"
+    )
+    rate: float = setting("BaseRate", Number(above=0.0), None, "optional; must equal the plan's value")
+    reserve: float = setting("Guaranteed", Number(minimum=0.0), None, "optional; must equal the plan's value")
+    weight: float = setting("Parts", Number(above=0.0), None, "optional; must equal the plan's value")
+    price: float = setting("ValueFactor", Number(above=0.0), None, "optional; must equal the plan's value")
+    limit: float = setting("Limit", Number(minimum=0.0), None, "optional; must equal the plan's value")
 
 
 @attrs.frozen
@@ -83,20 +87,22 @@
     listen: str = setting("listen", Address(listens=True), "127.0.0.1:6379", "RESP2")
     objects_listen: str = setting("objects_listen", Address(listens=True), None, "object API; absent: off")
     admin_listen: str = setting("admin_listen", Address(listens=True), None, "metrics; absent: off")
-    settings: Document = setting("settings", Table(Record), None, "layer over the fleet's")
-    limits: Document = setting("limits", Table(Record), None, "layer over the fleet's")
+    settings: Document = setting("settings", Table(Record), None, "unified with the fleet's table")
+    limits: Document = setting("limits", Table(Record), None, "unified with the fleet's table")
 
 
 @attrs.frozen
 class ServiceRecord(Record):
     """Services that all sidecars use, and the object API's shared settings."""
 
-    discovery: str = setting("discovery", Address(any_port=False), "127.0.0.1:8500", "the agent")
+    discovery: str = setting(
+        "discovery", Address(any_port=False), "127.0.0.1:8500", "address of the discovery agent"
+    )
     store: str = setting("store", STORE_URL, None, "the shared store")
-    server_port: int = setting("server_port", count(0, 65535), 0, "of object servers")
-    unit_bytes: int = setting("unit_bytes", kinds.size(1, 1 << 30), 65536, "bytes that count one unit")
-    max_body: int = setting("max_body", kinds.size(1, 16 << 20), 8 << 20, "of a body")
-    operations: Document | None = setting("classes", Table(Record), None, "operations to classes")
+    server_port: int = setting("server_port", count(0, 65535), 0, "port of object servers")
+    unit_bytes: int = setting("unit_bytes", kinds.size(1, 1 << 30), 65536, "bytes per unit")
+    max_body: int = setting("max_body", kinds.size(1, 16 << 20), 8 << 20, "largest body")
+    operations: Document | None = setting("classes", Table(Record), None, "class of each operation")
 
 
 @attrs.frozen
@@ -108,7 +114,7 @@
         "unit_work_ms", milliseconds(0.001), description="work of one unit on one core"
     )
     usable_fraction: float = setting(
-        "usable", Number(above=0.0, maximum=1.0), 0.9, "part of the nodes' power that reserves may take"
+        "usable", Number(above=0.0, maximum=1.0), 0.9, "fraction of the nodes' rate that reserves may use"
     )
     machines: dict[str, MachineRecord] = setting("machines", Named(MachineRecord, kinds.name()), {})
     nodes: list[NodeRecord] = setting("nodes", Rows(NodeRecord), [])
@@ -117,6 +123,6 @@
     volumes: list[FleetVolumeRecord] = setting("volumes", Rows(FleetVolumeRecord), [])
     applications: list[ApplicationRecord] = setting("applications", Rows(ApplicationRecord, 1))
     service: ServiceRecord = setting("service", Table(ServiceRecord), ServiceRecord())
-    settings: Document = setting("settings", Table(Record), {}, "of every sidecar")
-    limits: Document = setting("limits", Table(Record), {}, "of every sidecar")
+    settings: Document = setting("settings", Table(Record), {}, "for every sidecar")
+    limits: Document = setting("limits", Table(Record), {}, "for every sidecar")
     agreement: AgreementRecord | None = setting("agreement", Table(AgreementRecord), None)
--- a/runloft/config/object_settings.py
+++ b/runloft/config/object_settings.py
@@ -31,7 +31,7 @@
     Each fault is added to ``faults`` as a text.
     """
     if not isinstance(document, dict):
-        faults.append("objects: an object is wanted")
+        faults.append("objects: expected an object")
         return None
     reader = _ObjectsReader(document)
     settings = ObjectSettings(
@@ -69,7 +69,7 @@
         """Return the URL of the shared store."""
         store = self._document.get("store")
         if not isinstance(store, str) or not store.startswith(STORE_SCHEME):
-            self.faults.append("objects.store: an address of the form redis://host:port/0 is wanted")
+            self.faults.append("objects.store: expected an address of the form redis://host:port/0")
         return str(store)
 
     def integer(self, key: str, bounds: _IntegerBounds) -> int:
@@ -79,7 +79,7 @@
         if is_integer and bounds.minimum <= value <= bounds.maximum:
             return int(value)
         self.faults.append(
-            f"objects.{key}: a whole number from {bounds.minimum} to {bounds.maximum} is wanted"
+            f"objects.{key}: expected a whole number from {bounds.minimum} to {bounds.maximum}"
         )
         return bounds.default
 
@@ -95,14 +95,14 @@
             if table.get(operation) in names:
                 classes[operation] = names.index(table[operation])
             else:
-                self.faults.append(f"objects.classes.{operation}: one of {', '.join(names)} is wanted")
+                self.faults.append(f"objects.classes.{operation}: expected one of {', '.join(names)}")
         return classes
 
     def volumes(self, plan_names: Sequence[str]) -> dict[str, VolumeSettings]:
         """Return the volumes by name."""
         table = self._document.get("volumes")
         if not isinstance(table, dict) or not table:
-            self.faults.append("objects.volumes: at least one volume is wanted")
+            self.faults.append("objects.volumes: expected at least one volume")
             return {}
         volumes = {}
         for name, entry in table.items():
@@ -115,13 +115,13 @@
         path = f"objects.volumes.{name}"
         plan = entry.get("plan")
         if plan not in plan_names:
-            self.faults.append(f"{path}.plan: one of {', '.join(plan_names)} is wanted")
+            self.faults.append(f"{path}.plan: expected one of {', '.join(plan_names)}")
         hosts = entry.get("hosts", 1)
         if isinstance(hosts, bool) or not isinstance(hosts, int | float) or hosts < 1:
-            self.faults.append(f"{path}.hosts: a number of at least 1 is wanted")
+            self.faults.append(f"{path}.hosts: expected a number of at least 1")
         try:
             volume_id = int(str(entry["id"]), 16)
         except (KeyError, ValueError):
-            self.faults.append(f"{path}.id: 16 hexadecimal digits are wanted")
+            self.faults.append(f"{path}.id: expected 16 hexadecimal digits")
             return None
         return VolumeSettings(volume_id, plan_names.index(plan), hosts) if plan in plan_names else None
--- a/runloft/config/operator/checks.py
+++ b/runloft/config/operator/checks.py
@@ -60,8 +60,8 @@
             continue
         for other_path, other in seen.items():
             if _collide(address, other):
-                reason = f"{address} is taken by {'.'.join(other_path)} already"
-                yield Violation(path, "listeners-collide", reason, "a port of its own")
+                reason = f"{address} is already used by {'.'.join(other_path)}"
+                yield Violation(path, "listeners-collide", reason, "an unused port")
                 break
         seen[path] = address
 
@@ -84,8 +84,8 @@
         for index, name in enumerate(table_names):
             if name is not None and name in table_names[:index]:
                 path = ("settings", table, str(index), "Name")
-                reason = f'"{name}" names row {table_names.index(name)} already'
-                yield Violation(path, "name-twice", reason, "another name")
+                reason = f'"{name}" is already the name of row {table_names.index(name)}'
+                yield Violation(path, "name-twice", reason, "a unique name")
 
 
 def _check_classes(settings: SettingsRecord) -> Iterator[Violation]:
@@ -93,13 +93,13 @@
     writes = (settings.extra or ExtraRecord()).writes_by_class
     if writes and len(writes) != len(classes):
         path: KeyPath = ("settings", "Extra", "ClassWrites")
-        reason = f"it speaks of {len(writes)} classes, and there are {len(classes)}"
+        reason = f"it has {len(writes)} values, but the number of classes is {len(classes)}"
         yield Violation(path, "writes-length", reason, f"{len(classes)} values")
     connect = (settings.permits or PermissionsRecord()).connect_timeout
     for index, row in enumerate(classes):
         if row.deadline is not None and connect is not None and connect >= row.deadline:
             path = ("settings", "Classes", str(index), "HardLimit")
-            reason = f"connecting may take {connect} ns, all the time that {row.name} has"
+            reason = f"connecting may take {connect} ns, which is not below the deadline of {row.name}"
             yield Violation(path, "no-time-to-connect", reason, f"more than {connect}")
 
 
@@ -113,8 +113,10 @@
 
 def _check_plan(plan: PlanRecord, path: KeyPath, min_burst: float, min_reserve: float) -> Iterator[Violation]:
     if plan.limit and 0 < (plan.limit_burst or 0) < min_burst:
-        reason = f"{plan.limit_burst:g} units don't hold two of the largest requests for each sidecar"
+        reason = f"{plan.limit_burst:g} units are less than two of the largest requests for each sidecar"
         yield Violation((*path, "LimitBurst"), "burst-too-small", reason, f"at least {min_burst:g}")
     if 0 < (plan.reserve or 0) < min_reserve:
-        reason = f"{plan.reserve:g} units/s are less than one usual request a minute"
-        yield Violation((*path, "Guaranteed"), "reserve-tiny", reason, "units a second", Severity.WARNING)
+        reason = f"{plan.reserve:g} units/s are less than one mean request per minute"
+        yield Violation(
+            (*path, "Guaranteed"), "reserve-tiny", reason, "a rate in units per second", Severity.WARNING
+        )
--- a/runloft/config/operator/machine_checks.py
+++ b/runloft/config/operator/machine_checks.py
@@ -70,7 +70,9 @@
         needed += STORE_SOCKETS
     sockets = (record.limits or MachineLimitsRecord()).sockets
     if sockets is not None and sockets < needed:
-        reason = f"links, listeners and the store need {needed} descriptors before any client"
+        reason = (
+            f"node connections, listeners and the store need {needed} descriptors before any client connects"
+        )
         yield Violation(SOCKETS_PATH, "descriptors-too-few", reason, f"at least {needed}")
 
 
@@ -83,7 +85,8 @@
     per_pool = (sockets - RESERVED_SOCKETS) // divisor
     if per_pool < nodes:
         reason = (
-            f"{max(0, per_pool)} of {sockets} descriptors are for nodes of one wire, and there are {nodes}"
+            f"{max(0, per_pool)} of {sockets} descriptors are available to the nodes of one protocol, "
+            f"but the number of nodes is {nodes}"
         )
         remedy = f"at least {nodes * divisor + RESERVED_SOCKETS}"
         yield Violation(SOCKETS_PATH, "sockets-below-nodes", reason, remedy, Severity.WARNING)
@@ -109,13 +112,14 @@
     clients = limits.clients or 0
     if clients > capacity.maximum:
         reason = (
-            f"{capacity.maximum} of {limits.sockets} descriptors are for one front's clients, "
-            f"and {clients} are expected"
+            f"{capacity.maximum} of {limits.sockets} descriptors are available to one listener's clients, "
+            f"but {clients} clients are expected"
         )
         remedy = f"at least {2 * capacity.listeners * clients}"
     elif clients >= capacity.eviction_at:
         reason = (
-            f"from {capacity.eviction_at} clients on some are closed to make room, and {clients} are expected"
+            f"from {capacity.eviction_at} client connections on idle ones are evicted, "
+            f"and {clients} clients are expected"
         )
         remedy = f"at least {3 * capacity.listeners * (clients + 1)}"
     else:
@@ -128,8 +132,11 @@
     base_mb = BASE_MEMORY_WITH_TOOLS_MB if record.agreement or record.admin else BASE_MEMORY_MB
     clients_mb = clients * CLIENT_MEMORY_KB / 1024
     if clients and limits.memory_mb is not None and base_mb + clients_mb > limits.memory_mb:
-        reason = f"the program takes {base_mb:g} MB, and {clients} clients' connections {clients_mb:.0f}"
-        remedy = f"at least {ceil(base_mb + clients_mb)}, and what requests and buffers take"
+        reason = (
+            f"the program takes {base_mb:g} MB, "
+            f"and the connections of {clients} clients take {clients_mb:.0f} MB"
+        )
+        remedy = f"at least {ceil(base_mb + clients_mb)}, plus the memory for requests and buffers"
         yield Violation(MEMORY_PATH, "memory-below-clients", reason, remedy, Severity.WARNING)
 
 
@@ -141,9 +148,9 @@
     timeout_ms = CROWDED_IDLE_TIMEOUT_MS if crowded else IDLE_TIMEOUT_MS
     if idle_ms <= timeout_ms:
         return
-    reason = f"clients rest {idle_ms:g} ms, and are closed after {timeout_ms:g}"
-    remedy = f"at most {timeout_ms:g} between requests"
+    reason = f"clients are idle for {idle_ms:g} ms, but are closed after {timeout_ms:g} ms"
+    remedy = f"at most {timeout_ms:g} ms between requests"
     if crowded and idle_ms <= IDLE_TIMEOUT_MS:
-        reason += f", being more than {crowding_threshold}"
+        reason += f", since more than {crowding_threshold} are expected"
         remedy += f", or limits.sockets of at least {6 * capacity.listeners * clients}"
     yield Violation(IDLE_PATH, "idle-closes-clients", reason, remedy, Severity.WARNING)
--- a/runloft/config/operator/object_checks.py
+++ b/runloft/config/operator/object_checks.py
@@ -36,7 +36,7 @@
             reason = f'there is no class "{name}"'
             yield Violation(path, "unknown-class", reason, nearest_word(name, classes))
         elif operation in WRITE_OPERATIONS and name in read_only:
-            reason = f'"{name}" is a class that reads'
+            reason = f'class "{name}" does not write'
             yield Violation(path, "class-does-not-write", reason, "a class that writes", Severity.WARNING)
 
 
@@ -55,8 +55,8 @@
         if volume.id is not None:
             number = int(volume.id, 16)
             if number in names_by_id:
-                reason = f'id {volume.id} is that of "{names_by_id[number]}" already'
-                yield Violation((*path, "id"), "id-twice", reason, "an id of its own")
+                reason = f'id {volume.id} is already used by volume "{names_by_id[number]}"'
+                yield Violation((*path, "id"), "id-twice", reason, "a unique id")
             names_by_id.setdefault(number, name)
 
 
@@ -67,7 +67,7 @@
         reason = f'there is no plan "{volume.plan}"'
         yield Violation((*path, "plan"), "unknown-plan", reason, nearest_word(volume.plan, plans))
     if volume.hosts is not None and hosts is not None and volume.hosts > hosts:
-        reason = f"it works through {volume.hosts:g} sidecars, and there are {hosts}"
+        reason = f"hosts is {volume.hosts:g}, but the number of sidecars is {hosts}"
         yield Violation((*path, "hosts"), "hosts-above-group", reason, f"at most {hosts}")
 
 
@@ -77,5 +77,5 @@
     max_bytes = int(request_memory_mb * (1 << 20) / BODY_MEMORY_DIVISOR)
     if objects.max_body > max_bytes:
         path = ("objects", "max_body")
-        reason = f"a body of {objects.max_body} bytes is more than the {max_bytes} that may be held"
+        reason = f"a body of {objects.max_body} bytes is more than the {max_bytes} that may be buffered"
         yield Violation(path, "part-too-large", reason, f"at most {max_bytes}, or more limits.memory_mb")
--- a/runloft/config/operator/settings_records.py
+++ b/runloft/config/operator/settings_records.py
@@ -9,7 +9,7 @@
 
 POSITIVE = Number(above=0.0, maximum=1e9)
 FRACTION = Number(minimum=0.0, maximum=1.0)
-RATE = Number("units a second", 0.0, 1e9)
+RATE = Number("units per second", 0.0, 1e9)
 
 # Keys by table that must be the same on all sidecars, besides classes and plans: quotas and rules use them.
 SHARED_KEYS = {
@@ -22,20 +22,24 @@
 class ClassRecord(Record):
     """One class of requests; times are in nanoseconds."""
 
-    name: str = setting("Name", kinds.name(), description="as requests name it")
+    name: str = setting("Name", kinds.name(), description="name used in requests")
     latency_objective: int = setting(
-        "Target", duration(1), description="aim: answered by then, it earns its full worth"
+        "Target", duration(1), description="latency objective; later responses have a lower priority"
     )
-    deadline: int = setting("HardLimit", duration(1), description="deadline: a client waits no longer")
-    priority_weight: float = setting("Importance", POSITIVE, 1.0, "worth of a request in time")
-    late_fraction: float = setting("LateValue", FRACTION, 0.0, "part of the worth that a late answer earns")
-    idempotency: str = setting("Effect", Text((*EFFECTS, "fragile")), "fragile", "what a repeat may do")
-    idempotency_scope: str = setting("Group", Text((*GROUPS, "cell")), "cell", "which nodes discard repeats")
+    deadline: int = setting("HardLimit", duration(1), description="deadline: how long a client waits at most")
+    priority_weight: float = setting(
+        "Importance", POSITIVE, 1.0, "priority of a request that meets its objective"
+    )
+    late_fraction: float = setting("LateValue", FRACTION, 0.0, "factor on the priority of a late request")
+    idempotency: str = setting(
+        "Effect", Text((*EFFECTS, "fragile")), "fragile", "whether a request may be repeated"
+    )
+    idempotency_scope: str = setting("Group", Text((*GROUPS, "cell")), "cell", "nodes that discard repeats")
     idempotency_window: int = setting("Window", duration(), 0, "how long repeats are discarded")
     in_order: bool = setting("InTurn", Boolean(), False, "whether requests on one key keep their order")
-    streamed: bool = setting("Streamed", Boolean(), False, "whether answers come as streams")
+    streamed: bool = setting("Streamed", Boolean(), False, "whether responses are streamed")
     objective_stretch: float = setting(
-        "AimStretch", Number(minimum=0.0), 0.0, "the aim grows with the work", False
+        "AimStretch", Number(minimum=0.0), 0.0, "growth of the objective with the work", False
     )
 
     CONSTRAINTS = (
@@ -43,14 +47,14 @@
             "aim-past-deadline",
             ("latency_objective", "deadline"),
             lambda objective, deadline: objective <= deadline,
-            "the aim of {latency_objective} ns lies past the deadline of {deadline} ns",
+            "the latency objective of {latency_objective} ns is above the deadline of {deadline} ns",
             "a Target of at most {deadline}",
         ),
         Constraint(
             "window-missing",
             ("idempotency_window", "idempotency"),
             lambda window, idempotency: idempotency != "dedup" or window > 0,
-            "repeats of a dedup class are discarded for a time, and it is 0",
+            "a dedup class requires a time for which repeats are discarded, but it is 0",
             "a Window above 0",
         ),
     )
@@ -60,16 +64,20 @@
 class PlanRecord(Record):
     """One plan; its figures apply to each of its volumes, summed over all sidecars and nodes."""
 
-    name: str = setting("Name", kinds.name(), description="as requests name it")
+    name: str = setting("Name", kinds.name(), description="name used in requests")
     rate: float = setting(
-        "BaseRate", Number("units a second", above=0.0, maximum=1e9), description="nominal rate"
-    )
-    reserve: float = setting("Guaranteed", RATE, 0.0, "rate that earns its full worth")
-    weight: float = setting("Parts", Number(above=0.0, maximum=1e6), 1.0, "share of what reserves leave")
-    price: float = setting("ValueFactor", POSITIVE, 1.0, "factor on the worth")
-    limit: float = setting("Limit", RATE, 0.0, "rate that can't be passed; 0: none")
-    limit_burst: float = setting("LimitBurst", Number("units", 0.0, 1e9), 0.0, "what the limit's store holds")
-    slack: float = setting("Slack", Number("units", 0.0, 1e9), 0.0, "how far that store may fall below 0")
+        "BaseRate", Number("units per second", above=0.0, maximum=1e9), description="nominal rate"
+    )
+    reserve: float = setting("Guaranteed", RATE, 0.0, "rate with full priority")
+    weight: float = setting(
+        "Parts", Number(above=0.0, maximum=1e6), 1.0, "share of the rate that reserves leave free"
+    )
+    price: float = setting("ValueFactor", POSITIVE, 1.0, "factor on the priority")
+    limit: float = setting("Limit", RATE, 0.0, "rate limit; 0: none")
+    limit_burst: float = setting(
+        "LimitBurst", Number("units", 0.0, 1e9), 0.0, "size of the limit's token bucket"
+    )
+    slack: float = setting("Slack", Number("units", 0.0, 1e9), 0.0, "how far the bucket may fall below 0")
 
     CONSTRAINTS = (
         Constraint(
@@ -83,28 +91,28 @@
             "limit-below-reserve",
             ("limit", "reserve"),
             lambda limit, reserve: limit == 0 or limit >= reserve,
-            "the limit of {limit:g} units/s lies below the reserve of {reserve:g}",
+            "the limit of {limit:g} units/s is below the reserve of {reserve:g}",
             "a Limit of 0 or at least {reserve:g}",
         ),
         Constraint(
             "burst-missing",
             ("limit_burst", "limit"),
             lambda burst, limit: limit == 0 or burst > 0,
-            "a limit of {limit:g} units/s with a store that holds nothing lets no request pass",
-            "a LimitBurst that holds at least two of the largest requests for each sidecar",
+            "a limit of {limit:g} units/s with a burst of 0 permits no request",
+            "a LimitBurst of at least two of the largest requests for each sidecar",
         ),
         Constraint(
             "burst-without-limit",
             ("limit_burst", "limit"),
             lambda burst, limit: limit > 0 or burst == 0,
-            "{limit_burst:g} units of burst belong to no limit",
+            "{limit_burst:g} units of burst have no effect without a limit",
             "a Limit above 0, or no LimitBurst",
         ),
         Constraint(
             "slack-without-limit",
             ("slack", "limit"),
             lambda slack, limit: limit > 0 or slack == 0,
-            "{slack:g} units of slack belong to no limit",
+            "{slack:g} units of slack have no effect without a limit",
             "a Limit above 0, or no Slack",
         ),
     )
@@ -114,42 +122,47 @@
 class ExtraRecord(Record):
     """Properties of the service: request sizes, and weights within and beyond the quota."""
 
-    writes_by_class: list[bool] = setting("ClassWrites", ListOf(Boolean()), [], "for each class: it writes")
+    writes_by_class: list[bool] = setting(
+        "ClassWrites", ListOf(Boolean()), [], "for each class, whether it writes"
+    )
     slow_start_units: float = setting(
-        "ColdUnits", Number("units", 0.0, 1e9), 0.0, "a cold node always bears these"
+        "ColdUnits", Number("units", 0.0, 1e9), 0.0, "units that a cold node always has capacity for"
     )
     mean_units: float = setting(
-        "UsualUnits", Number("units", above=0.0, maximum=1e6), 1.0, "mean of a request"
+        "UsualUnits", Number("units", above=0.0, maximum=1e6), 1.0, "mean size of a request"
+    )
+    max_units: float = setting(
+        "MaxUnits", Number("units", above=0.0, maximum=1e6), 1.0, "size of the largest request"
     )
-    max_units: float = setting("MaxUnits", Number("units", above=0.0, maximum=1e6), 1.0, "of the largest")
-    within_quota: float = setting("WithinShare", FRACTION, 1.0, "part of the worth within the share")
-    beyond_quota: float = setting("BeyondShare", FRACTION, 1.0, "part of the worth beyond the share")
-    load_report_interval: int = setting("UsePeriod", duration(), 0, "period of the meter; 0: none")
+    within_quota: float = setting("WithinShare", FRACTION, 1.0, "factor on the priority within the quota")
+    beyond_quota: float = setting("BeyondShare", FRACTION, 1.0, "factor on the priority beyond the quota")
+    load_report_interval: int = setting("UsePeriod", duration(), 0, "period of load reports; 0: none")
     reports_load_elsewhere: bool = setting(
-        "TellsElsewhere", Boolean(), False, "answers tell of other sidecars' use"
+        "TellsElsewhere", Boolean(), False, "reports include other sidecars' use"
     )
-    shards: int = setting("SlotsTotal", count(0), 0, "how many shards there are", used=False)
+    shards: int = setting("SlotsTotal", count(0), 0, "number of shards", used=False)
 
     CONSTRAINTS = (
         Constraint(
             "usual-above-most",
             ("mean_units", "max_units"),
             lambda mean, largest: mean <= largest,
-            "the usual request of {mean_units:g} units is larger than the largest of {max_units:g}",
+            "the mean request of {mean_units:g} units is larger than the largest of {max_units:g}",
             "UsualUnits of at most {max_units:g}",
         ),
         Constraint(
             "beyond-above-within",
             ("beyond_quota", "within_quota"),
             lambda beyond, within: beyond <= within,
-            "units beyond the share would earn {beyond_quota:g}, those within it {within_quota:g}",
+            "the priority factor beyond the quota is {beyond_quota:g}, the one within it {within_quota:g}",
             "a BeyondShare of at most {within_quota:g}",
         ),
         Constraint(
             "cold-node-overrun",
             ("slow_start_units", "max_units"),
             lambda units, largest: units == 0 or units >= largest,
-            "one request of {max_units:g} units is more than the {slow_start_units:g} that a cold node bears",
+            "one request of {max_units:g} units is more than the {slow_start_units:g} "
+            "that a cold node has capacity for",
             "ColdUnits of at least {max_units:g}, or smaller requests",
         ),
     )
@@ -159,32 +172,40 @@
 class PermissionsRecord(Record):
     """Permissions and limits of the site; times are in nanoseconds."""
 
-    max_attempts: int = setting("AttemptsCap", count(1, 3), 1, "attempts of a request at most")
-    may_cancel: bool = setting("Cancel", Boolean(), False, "attempts may be called off")
-    may_health_check: bool = setting("MayProbe", Boolean(), False, "nodes may be probed")
-    may_hedge: bool = setting("MayDuplicate", Boolean(), False, "a request may have two attempts out")
+    max_attempts: int = setting("AttemptsCap", count(1, 3), 1, "maximum number of attempts of a request")
+    may_cancel: bool = setting("Cancel", Boolean(), False, "whether attempts may be cancelled")
+    may_health_check: bool = setting("MayProbe", Boolean(), False, "whether nodes may be health-checked")
+    may_hedge: bool = setting(
+        "MayDuplicate", Boolean(), False, "whether a request may have two attempts in flight"
+    )
     idle_timeout: int = setting(
-        "ConnIdle", duration(10**6), 15 * 10**9, "idle connections to nodes close then"
+        "ConnIdle", duration(10**6), 15 * 10**9, "idle time after which node connections close"
     )
     connect_timeout: int = setting(
-        "ConnectTimeout", duration(10**6, 60 * 10**9), 250 * 10**6, "to connect to a node"
+        "ConnectTimeout", duration(10**6, 60 * 10**9), 250 * 10**6, "timeout for connecting to a node"
     )
-    max_retry_after: int = setting("MaxRetryAfter", duration(), 0, "longest wait that a client heeds")
+    max_retry_after: int = setting("MaxRetryAfter", duration(), 0, "longest retry-after that clients respect")
     sends_retry_after: bool = setting(
-        "RetryAfter", Boolean(), True, "clients are told when to come back", used=False
+        "RetryAfter", Boolean(), True, "whether responses tell clients when to retry", used=False
+    )
+    max_streams: int = setting(
+        "StreamsPerConn", count(1), 32, "maximum number of attempts on one connection", used=False
+    )
+    peers: bool = setting("Peers", Boolean(), False, "whether sidecars may message each other", used=False)
+    max_open: int = setting("MaxOpen", count(1), 20000, "maximum number of open requests", used=False)
+    cpu_second: float = setting(
+        "CpuUsPerS", Number(minimum=0.0), 0.0, "CPU time in us per second", used=False
+    )
+    cpu_request: float = setting(
+        "CpuUsPerRequest", Number(minimum=0.0), 0.0, "CPU time in us per request", used=False
     )
-    max_streams: int = setting("StreamsPerConn", count(1), 32, "attempts on one connection", used=False)
-    peers: bool = setting("Peers", Boolean(), False, "sidecars may send each other messages", used=False)
-    max_open: int = setting("MaxOpen", count(1), 20000, "requests open at once", used=False)
-    cpu_second: float = setting("CpuUsPerS", Number(minimum=0.0), 0.0, "CPU, us a second", used=False)
-    cpu_request: float = setting("CpuUsPerRequest", Number(minimum=0.0), 0.0, "CPU, us a request", used=False)
 
     CONSTRAINTS = (
         Constraint(
             "second-copies",
             ("may_hedge",),
             lambda may_hedge: not may_hedge,
-            "two attempts of one request are never out at once",
+            "two attempts of one request are never in flight at the same time",
             "MayDuplicate = false",
         ),
     )
@@ -194,37 +215,43 @@
 class SafetyRecord(Record):
     """Parameters of slow start, draining and the retry budget; times are in nanoseconds."""
 
-    slow_start: int = setting("Cold", duration(), 0, "a node is warm by then; 0: no rule for cold nodes")
+    slow_start: int = setting("Cold", duration(), 0, "time until a started node is warm; 0: no slow start")
     slow_start_initial_fraction: float = setting(
-        "ColdFrom", Number(above=0.0, maximum=1.0), 1.0, "part of its power at its start"
+        "ColdFrom", Number(above=0.0, maximum=1.0), 1.0, "fraction of its rate at its start"
     )
-    overload_window: int = setting("Fall", duration(), 0, "pushed for so long, a cold node falls over")
+    overload_window: int = setting("Fall", duration(), 0, "time of overload that makes a cold node fail")
     overload_multiple: float = setting(
-        "FallMultiple", Number(minimum=1.0, maximum=100.0), 1.0, "pushed this hard"
+        "FallMultiple", Number(minimum=1.0, maximum=100.0), 1.0, "multiple of its rate that overloads it"
+    )
+    drain_grace: int = setting(
+        "DrainGrace", duration(10**6), 10**9, "time until sends to a draining node end"
+    )
+    answer_slack: int = setting(
+        "AnswerSlack", duration(), 0, "time for responses after the deadline", used=False
+    )
+    poll_interval: int = setting("AskEvery", duration(), 0, "interval at which the node list is polled")
+    ambiguity_wait: int = setting(
+        "SettleAfterDoubt", duration(), 0, "pause of a key after an ambiguous attempt"
     )
-    drain_grace: int = setting("DrainGrace", duration(10**6), 10**9, "sends to a leaving node end by then")
-    answer_slack: int = setting("AnswerSlack", duration(), 0, "after a client's deadline", used=False)
-    poll_interval: int = setting("AskEvery", duration(), 0, "how often the list is asked for")
-    ambiguity_wait: int = setting("SettleAfterDoubt", duration(), 0, "pause of a key after a doubtful end")
     retry_budget_base: float = setting(
-        "ExtraFloor", Number(minimum=0.0), 0.0, "further attempts always allowed"
+        "ExtraFloor", Number(minimum=0.0), 0.0, "retries that are always permitted"
     )
-    retry_budget_ratio: float = setting("ResendRatio", FRACTION, 0.0, "further attempts for each request")
-    retry_budget_window: int = setting("LookBack", duration(), 0, "time over which those are counted")
+    retry_budget_ratio: float = setting("ResendRatio", FRACTION, 0.0, "additional retries per request")
+    retry_budget_window: int = setting("LookBack", duration(), 0, "time over which retries are counted")
 
     CONSTRAINTS = (
         Constraint(
             "cold-rule-in-part",
             ("overload_window", "slow_start"),
             lambda overload, slow_start: (overload > 0) == (slow_start > 0),
-            "Cold and Fall make one rule: with only one of them no cold node is spared",
+            "slow start requires both Cold and Fall: with only one of them it is disabled",
             "both above 0, or neither",
         ),
         Constraint(
             "budget-in-part",
             ("retry_budget_window", "retry_budget_base", "retry_budget_ratio"),
             lambda window, base, ratio: window > 0 or (base == 0 and ratio == 0),
-            "a budget for further attempts without a time over which it counts is no budget",
+            "a retry budget has no effect without a time over which retries are counted",
             "a LookBack above 0",
         ),
     )
@@ -234,26 +261,34 @@
 class FeedbackRecord(Record):
     """Load reports that nodes send."""
 
-    fields: list[str] = setting("Fields", ListOf(Text(tuple(REPORT_FIELDS)), distinct=True), [], "values")
-    source: str = setting("Source", Text(("piggyback", "pull", "silent")), "silent", "where they come", False)
+    fields: list[str] = setting(
+        "Fields", ListOf(Text(tuple(REPORT_FIELDS)), distinct=True), [], "reported values"
+    )
+    source: str = setting(
+        "Source", Text(("piggyback", "pull", "silent")), "silent", "how they are received", False
+    )
 
 
 @attrs.frozen
 class SettingsRecord(Record):
     """Settings of the decisions and of the core."""
 
-    hosts: int = setting("GroupSize", count(1, 10_000), 1, "how many sidecars there are")
-    host_number: int = setting("SlotNo", count(0, 9_999), 0, "this one's number among them, from 0")
-    tick: int = setting("Tick", duration(10**5, 10**8), 10**6, "time between two turns at least")
+    hosts: int = setting("GroupSize", count(1, 10_000), 1, "number of sidecars")
+    host_number: int = setting("SlotNo", count(0, 9_999), 0, "this sidecar's number, from 0")
+    tick: int = setting("Tick", duration(10**5, 10**8), 10**6, "minimum time between two scheduling rounds")
     zones: list[str] = setting("Localities", ListOf(kinds.name(), distinct=True), [], "names of the zones")
-    discovery: str = setting("Discovery", Text(("automatic", "subscribe")), "automatic", "how lists come")
+    discovery: str = setting(
+        "Discovery", Text(("automatic", "subscribe")), "automatic", "how node lists are received"
+    )
     classes: list[ClassRecord] = setting("Classes", Rows(ClassRecord, 1), description="classes of requests")
     plans: list[PlanRecord] = setting("ServiceLevels", Rows(PlanRecord, 1), description="plans of volumes")
-    extra: ExtraRecord = setting("Extra", Table(ExtraRecord), ExtraRecord(), "facts of the service")
+    extra: ExtraRecord = setting("Extra", Table(ExtraRecord), ExtraRecord(), "properties of the service")
     permits: PermissionsRecord = setting(
-        "Limits", Table(PermissionsRecord), PermissionsRecord(), "what the site permits"
+        "Limits", Table(PermissionsRecord), PermissionsRecord(), "permissions and limits of the site"
+    )
+    safety: SafetyRecord = setting(
+        "Safety", Table(SafetyRecord), SafetyRecord(), "slow start, draining and retry budget"
     )
-    safety: SafetyRecord = setting("Safety", Table(SafetyRecord), SafetyRecord(), "figures of the rules")
     feedback: FeedbackRecord = setting("Feedback", Table(FeedbackRecord), FeedbackRecord(), "load reports")
 
     CONSTRAINTS = (
@@ -261,7 +296,7 @@
             "slot-outside-group",
             ("host_number", "hosts"),
             lambda host_number, hosts: host_number < hosts,
-            "slot {host_number} is none of the group's {hosts}, which count from 0",
+            "slot {host_number} is not one of the group's {hosts}, which are numbered from 0",
             "a SlotNo below {hosts}",
         ),
     )
--- a/runloft/config/operator/template.py
+++ b/runloft/config/operator/template.py
@@ -6,8 +6,8 @@
 VOLUME_ID_BYTES = 8
 
 TEMPLATE = """\
-# runloft as the sidecar of {name}.  Check it with: python -m runloft config check FILE
-# Times in settings are nanoseconds; the names are those of the simulator's first message.
+# runloft as the sidecar of {name}.  Check this file with: python -m runloft config check FILE
+# Times under [settings] are in nanoseconds; the keys are those of the simulator's first message.
 name = "{name}"
 listen = "127.0.0.1:6379"         # RESP2
 discovery = "127.0.0.1:8500"      # the agent on this machine
@@ -16,14 +16,14 @@
 [limits]
 sockets = 1024
 
-[objects]                         # leave this table out and the object API is off
+[objects]                         # without this table the object API is off
 listen = "127.0.0.1:8080"
-store = "redis://127.0.0.1:6380/0" # where objects and uploads lie, shared by all sidecars
-unit_bytes = 65536                # a request counts a unit for each so many bytes
+store = "redis://127.0.0.1:6380/0" # shared store for locations of objects and uploads
+unit_bytes = 65536                # bytes that count as one unit of a request
 max_body = 8388608
-server_port = 8081                # of object servers whose list entry names no object_endpoint
+server_port = 8081                # port of object servers without object_endpoint in the node list
 
-[objects.classes]                 # each operation's class, by the names under settings.Classes
+[objects.classes]                 # class of each operation, by its Name in settings.Classes
 get = "history-export"
 head = "position-read"
 put = "report-write"
@@ -34,10 +34,10 @@
 abort = "report-write"
 parts = "position-read"
 
-[objects.volumes.{name}]          # one table a volume, by the name in /volumes/NAME/objects/KEY
+[objects.volumes.{name}]          # one table per volume, by the NAME in /volumes/NAME/objects/KEY
 id = "{volume}"
 plan = "standard"
-hosts = 1                         # through how many sidecars the volume works
+hosts = 1                         # number of sidecars that serve the volume
 
 [settings]
 GroupSize = 1
@@ -120,6 +120,8 @@
 def operator_template(application: str) -> str:
     """Return the file for an application; raise ValueError if its name is not a valid volume name."""
     if not APPLICATION_NAME.fullmatch(application):
-        raise ValueError("an application's name holds lower-case letters, digits and inner hyphens")
+        raise ValueError(
+            "an application's name consists of up to 64 lower-case letters, digits and inner hyphens"
+        )
     last_bytes = application.encode()[-VOLUME_ID_BYTES:]
     return TEMPLATE.format(name=application, volume=last_bytes.hex().rjust(2 * VOLUME_ID_BYTES, "0"))
--- a/runloft/config/platform_config.py
+++ b/runloft/config/platform_config.py
@@ -35,7 +35,7 @@
 def config_from_json(document: Any) -> Config:
     """Check and translate a configuration; raise ConfigError with every fault, each prefixed by its key."""
     if not isinstance(document, dict):
-        raise ConfigError(["(top): an object is wanted"])
+        raise ConfigError(["(top): expected an object"])
     return _Translation(document).config()
 
 
@@ -120,17 +120,17 @@
 
     def _check_settings(self, settings: contract.Settings, pairs: PathValues) -> None:
         if not settings.classes:
-            self._faults.append("settings.Classes: at least one class is wanted")
+            self._faults.append("settings.Classes: expected at least one class")
         if not settings.plans:
-            self._faults.append("settings.ServiceLevels: at least one plan is wanted")
+            self._faults.append("settings.ServiceLevels: expected at least one plan")
         for index, row in enumerate(settings.classes):
             path = f"settings.Classes.{index}"
             if row.deadline_ns <= 0:
-                self._faults.append(f"{path}.HardLimit: a positive time is wanted")
+                self._faults.append(f"{path}.HardLimit: expected a positive time")
             if row.latency_objective_ns <= 0:
-                self._faults.append(f"{path}.Target: a positive time is wanted")
+                self._faults.append(f"{path}.Target: expected a positive time")
             if pairs.get(f"Classes.{index}.Effect") not in (*EFFECTS, "fragile", None):
-                self._faults.append(f"{path}.Effect: one of {', '.join(EFFECTS)}, fragile is wanted")
+                self._faults.append(f"{path}.Effect: expected one of {', '.join(EFFECTS)}, fragile")
         self._check_names("Classes", [pairs.get(f"Classes.{i}.Name") for i in range(len(settings.classes))])
         plan_names = [pairs.get(f"ServiceLevels.{i}.Name") for i in range(len(settings.plans))]
         self._check_names("ServiceLevels", plan_names)
@@ -138,12 +138,12 @@
     def _check_names(self, table: str, names: list[str | None]) -> None:
         for index, name in enumerate(names):
             if not name or name in names[:index]:
-                self._faults.append(f"settings.{table}.{index}.Name: a name of its own is wanted")
+                self._faults.append(f"settings.{table}.{index}.Name: expected a unique and non-empty name")
 
     def _check_peers(self, peers: Any) -> None:
         """Check the list of schedulers, which is not kept because nothing is sent to them."""
         if not isinstance(peers, list | None):
-            self._faults.append("peers: a list of addresses is wanted")
+            self._faults.append("peers: expected a list of addresses")
             return
         for index, peer in enumerate(peers or ()):
             try:
@@ -154,7 +154,7 @@
     def _node_list(self) -> Document:
         node_list = self._document.get("known") or {}
         if not isinstance(node_list, dict):
-            self._faults.append("known: an object is wanted")
+            self._faults.append("known: expected an object")
             return {}
         return node_list
 
@@ -166,9 +166,9 @@
             sockets = limits.get("sockets", DEFAULT_SOCKETS)
             memory_mb = limits.get("memory_mb", MEMORY_MB)
         if not isinstance(sockets, int) or sockets < MIN_SOCKETS:
-            self._faults.append("limits.sockets: a number of at least 32 is wanted")
+            self._faults.append("limits.sockets: expected a whole number of at least 32")
         if isinstance(memory_mb, bool) or not isinstance(memory_mb, int | float) or not memory_mb >= 1:
-            self._faults.append("limits.memory_mb: a positive number is wanted")
+            self._faults.append("limits.memory_mb: expected a number of at least 1")
         return _Limits(sockets, memory_mb)
 
 
--- a/runloft/config/schema/kinds.py
+++ b/runloft/config/schema/kinds.py
@@ -84,11 +84,11 @@
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a number", self.expected)
         if not math.isfinite(value):
-            raise InvalidValueError("not-finite", f"{value} is no finite number", self.expected)
+            raise InvalidValueError("not-finite", f"{value} is not a finite number", self.expected)
         if self.integer and value != int(value):
             raise InvalidValueError("not-whole", f"{value} is not a whole number", self.expected)
         if not self._within_bounds(value):
-            raise InvalidValueError("out-of-bounds", f"{value} lies outside its bounds", self.expected)
+            raise InvalidValueError("out-of-bounds", f"{value} is out of bounds", self.expected)
         return int(value) if self.integer else float(value)
 
     def _within_bounds(self, value: float) -> bool:
@@ -102,12 +102,14 @@
         """Convert a string such as 400ms or 8MiB to the wire's unit, by decimal arithmetic."""
         match = VALUE_WITH_UNIT.fullmatch(text)
         if not match or match[2] not in units:
-            raise InvalidValueError("wrong-unit", f"{quote_value(text)} can't be read", self.expected)
+            raise InvalidValueError(
+                "wrong-unit", f"{quote_value(text)} is not a number with a known unit", self.expected
+            )
         try:
             value = Decimal(match[1]) * Decimal(units[match[2]])
         except InvalidOperation:
             raise InvalidValueError(
-                "wrong-unit", f"{quote_value(text)} can't be read", self.expected
+                "wrong-unit", f"{quote_value(text)} is not a number with a known unit", self.expected
             ) from None
         return int(value) if value == int(value) else float(value)
 
@@ -178,16 +180,16 @@
 
     choices: tuple[str, ...] = ()
     pattern: re.Pattern[str] | None = None
-    form: str = "a text"
+    form: str = "a string"
     code: str = "wrong-form"
     allow_empty: bool = True
 
     def parse(self, value: Any) -> str:
         """Return the value if it is an accepted string."""
         if not isinstance(value, str):
-            raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a text", self.expected)
+            raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a string", self.expected)
         if self.choices and value not in self.choices:
-            reason = f"{quote_value(value)} is none of the choices"
+            reason = f"{quote_value(value)} is not one of the choices"
             raise InvalidValueError("not-a-choice", reason, self.expected)
         matches = self.pattern is None or self.pattern.fullmatch(value)
         if not matches or (not self.allow_empty and not value):
@@ -215,14 +217,14 @@
     def parse(self, value: Any) -> str:
         """Return the address unchanged."""
         if not isinstance(value, str):
-            raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a text", self.expected)
+            raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a string", self.expected)
         host, _, port = value.rpartition(":")
         if not host or not _is_port(port):
             raise self._bad_address(f"{quote_value(value)} is not host:port")
         if not self.any_port and int(port) == 0:
             raise self._bad_address("port 0 can't be connected to")
         if self.listens and not _can_be_bound(host):
-            raise self._bad_address(f"{quote_value(host)} is no address of a machine")
+            raise self._bad_address(f"{quote_value(host)} is neither localhost nor an IP address")
         return value
 
     def _bad_address(self, reason: str) -> InvalidValueError:
@@ -257,10 +259,10 @@
     def parse(self, value: Any) -> str:
         """Return the digits unchanged."""
         if not isinstance(value, str):
-            raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a text", self.expected)
+            raise InvalidValueError("wrong-type", f"{quote_value(value)} is not a string", self.expected)
         if not HEX.fullmatch(value):
             raise InvalidValueError(
-                "bad-hex", f"{quote_value(value)} is no hexadecimal number", self.expected
+                "bad-hex", f"{quote_value(value)} is not a hexadecimal number", self.expected
             )
         return value
 
@@ -279,12 +281,14 @@
     def parse(self, value: Any) -> list[float]:
         """Return the lower and the upper number as a list."""
         if not isinstance(value, list) or len(value) != 2:
-            reason = f"{quote_value(value)} is no pair of numbers"
+            reason = f"{quote_value(value)} is not a pair of numbers"
             raise InvalidValueError("wrong-type", reason, self.expected)
         low = self.number.parse(value[0])
         high = self.number.parse(value[1])
         if low > high:
-            raise InvalidValueError("range-reversed", f"{low} is more than {high}", self.expected)
+            raise InvalidValueError(
+                "range-reversed", f"the lower bound {low} is above the upper bound {high}", self.expected
+            )
         return [low, high]
 
     @property
@@ -313,10 +317,12 @@
             except InvalidValueError as error:
                 raise InvalidValueError(error.code, error.reason, error.remedy, subpath) from error
             if self.distinct and item in items:
-                raise InvalidValueError("twice", f"{quote_value(raw)} stands twice", self.expected, subpath)
+                raise InvalidValueError(
+                    "twice", f"duplicate value {quote_value(raw)}", self.expected, subpath
+                )
             items.append(item)
         if len(items) < self.min_length:
-            raise InvalidValueError("too-few", f"{len(items)} are too few", self.expected)
+            raise InvalidValueError("too-few", f"too few entries: {len(items)}", self.expected)
         return items
 
     @property
--- a/runloft/config/schema/layers.py
+++ b/runloft/config/schema/layers.py
@@ -68,7 +68,7 @@
             "layers-disagree",
             f"{layer.name} sets {quote_value(value)}, {origin.layer.name} sets {quote_value(existing)} "
             f"at {self._reader.place(origin.source_path)}",
-            "one value, in one of the two places",
+            "the same value in both places, or only one of them",
         )
 
 
--- a/runloft/config/schema/reader.py
+++ b/runloft/config/schema/reader.py
@@ -68,7 +68,7 @@
         keys = [setting.key for setting in declared.values()]
         unknown = [key for key in raw if key not in keys]
         for key in unknown:
-            reason = f"{quote_value(key)} is no key here"
+            reason = f"{quote_value(key)} is not a key of this table"
             self.fault((*path, key), "unknown-key", reason, nearest_word(key, keys))
         misspelled = [key.casefold() for key in unknown]
         values: dict[str, Any] = {}
@@ -92,7 +92,7 @@
             return True  # the misspelled key is already reported as unknown
         if setting.default is not REQUIRED:
             return False
-        self.fault((*path, setting.key), "missing", "it is not given", setting.kind.expected)
+        self.fault((*path, setting.key), "missing", "the required key is missing", setting.kind.expected)
         return True
 
     def _check_constraints(self, record: Record, invalid: set[str], path: KeyPath) -> None:
@@ -127,7 +127,7 @@
             self.fault(path, "wrong-type", reason, kind.expected)
             return None
         if len(raw) < kind.min_length:
-            self.fault(path, "too-few", f"{len(raw)} are too few", kind.expected)
+            self.fault(path, "too-few", f"too few entries: {len(raw)}", kind.expected)
         rows = [self.record(kind.record, row, (*path, str(index))) for index, row in enumerate(raw)]
         return [row for row in rows if row is not None]
 
@@ -136,7 +136,7 @@
             self.fault(path, "wrong-type", f"{quote_value(raw)} is not a table", kind.expected)
             return None
         if len(raw) < kind.min_length:
-            self.fault(path, "too-few", f"{len(raw)} are too few", kind.expected)
+            self.fault(path, "too-few", f"too few entries: {len(raw)}", kind.expected)
         records: dict[str, Record] = {}
         for name, table in raw.items():
             try:
--- a/runloft/config/schema/toml_file.py
+++ b/runloft/config/schema/toml_file.py
@@ -28,7 +28,7 @@
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        reader.fault((), "unreadable", error.strerror or str(error), "a file that can be read")
+        reader.fault((), "unreadable", error.strerror or str(error), "a readable file")
         return TomlFile(reader)
     return parse_toml(path, data)
 
--- a/runloft/config/tool/check_command.py
+++ b/runloft/config/tool/check_command.py
@@ -15,9 +15,9 @@
 def run(options: argparse.Namespace) -> int:
     """Check files, a fleet, or both against each other, and return the exit status."""
     if not options.file and not options.fleet:
-        return usage_error("config check wants FILE or --fleet")
+        return usage_error("config check requires FILE or --fleet")
     if options.nodes and not options.fleet:
-        return usage_error("--nodes goes with --fleet")
+        return usage_error("--nodes requires --fleet")
     faults = _find_faults(options)
     blocking = blocking_faults(faults, options.strict)
     if options.json:
--- a/runloft/config/tool/diff_command.py
+++ b/runloft/config/tool/diff_command.py
@@ -44,7 +44,7 @@
         sides.append(side)
     old, new = sides
     if old.is_fleet != new.is_fleet:
-        return usage_error("one is a fleet, the other one sidecar's file")
+        return usage_error("a fleet file can't be compared with a sidecar's file")
     _print_changes(list(find_changes(old.volumes, new.volumes)), options.json)
     return 0
 
--- a/runloft/config/tool/explanation.py
+++ b/runloft/config/tool/explanation.py
@@ -80,7 +80,7 @@
     if not isinstance(setting.default, Record):
         lines.append(ExplanationLine("default", _default_text(setting)))
     if not setting.used:
-        lines.append(ExplanationLine("note", "known, and passed over: the program doesn't go by it"))
+        lines.append(ExplanationLine("note", "accepted and ignored: the program doesn't use it"))
     for constraint in _constraints_on(key):
         remedy = _replace_placeholders(constraint.remedy, key.record)
         lines.append(ExplanationLine("constraint", f"{constraint.code}: right is {remedy}"))
@@ -89,7 +89,7 @@
 
 def _default_text(setting: Setting) -> str:
     if setting.default is REQUIRED:
-        return "none: it must be given"
+        return "none: the key is required"
     return "absent" if setting.default is None else str(setting.default)
 
 
--- a/runloft/config/tool/write_command.py
+++ b/runloft/config/tool/write_command.py
@@ -73,7 +73,7 @@
         path.parent.mkdir(parents=True, exist_ok=True)
         written = write_generated(path, file.text, options.force)
     except HandEditedError as error:
-        print_error(f"{error}; --force writes over it")
+        print_error(f"{error}; use --force to overwrite it")
         return 1
     except OSError as error:
         print_error(f"{path}: {error.strerror}")
--- a/tests/agreement/test_rollout.py
+++ b/tests/agreement/test_rollout.py
@@ -210,11 +210,11 @@
 
 def test_a_rollout_without_a_safe_path_stops_and_gives_the_reason():
     def plan(_):
-        raise NoSafePathError("c reserves 3 units/s on shard 2, which bears 1")
+        raise NoSafePathError("c reserves 3 units/s on shard 2, which has capacity for 1")
 
     rollout = Rollout("t", "me", plan, LEASE, FENCE, 0)
     assert (
         rollout.handle_view(StoreView(1, epoch=1, previous_epoch_closed=True), 0) == []
         and rollout.phase is RolloutPhase.STOPPED
-        and "bears 1" in rollout.reason
+        and "which has capacity for 1" in rollout.reason
     )
--- a/tests/config/test_commands.py
+++ b/tests/config/test_commands.py
@@ -38,7 +38,7 @@
 def test_a_key_is_explained_from_its_declaration(capsys):
     assert main(["config", "explain", "settings.ServiceLevels.0.Guaranteed"]) == 0
     out = capsys.readouterr().out
-    assert "units a second" in out and "reserve-above-rate" in out and "default    0.0" in out
+    assert "units per second" in out and "reserve-above-rate" in out and "default    0.0" in out
     assert main(["config", "explain", "Guarantied"]) == 1
     assert "Guaranteed" in capsys.readouterr().err
 
--- a/tests/config/test_feasibility.py
+++ b/tests/config/test_feasibility.py
@@ -89,7 +89,7 @@
     fleet = parse_fleet("f.toml", text.encode()).fleet
     (fault,) = check_feasibility(fleet)
     assert (fault.code, fault.key) == ("reserve-not-borne", "volumes.0")
-    assert fault.reason == "ships and tracks reserve 20 units/s on shard 3, which bears 18"
+    assert fault.reason == "ships and tracks reserve 20 units/s on shard 3, which has capacity for 18"
     assert fault.remedy.startswith("2 units/s less")
 
 
--- a/tests/config/test_unchanged_output.py
+++ b/tests/config/test_unchanged_output.py
@@ -1,7 +1,7 @@
-"""Tests that the configuration tool's output matches that of version 9c33a60.
+"""Tests that the configuration tool's output matches the recorded transcripts.
 
-The files under ``files/expected`` are transcripts of that version: command, exit status, standard output
-and standard error.  They change only with an intended change of the tool's output.
+The files under ``files/expected`` hold each command with its exit status, standard output and standard
+error.  They change only with an intended change of the tool's output.
 """
 
 import hashlib
--- a/tests/service/test_startup_errors.py
+++ b/tests/service/test_startup_errors.py
@@ -130,7 +130,7 @@
             "known.rev: invalid literal for int() with base 10: 'x'",
         ),
         (platform_config(known={"targets": 1.5}), "known.targets: 'float' object is not iterable"),
-        (platform_config(known=[1]), "known: an object is wanted"),
+        (platform_config(known=[1]), "known: expected an object"),
         (
             platform_config(listen="é..b:7000"),
             "listen: can't listen on é..b:7000: encoding of hostname failed",
