--- a/runloft/config/faults.py
+++ b/runloft/config/faults.py
@@ -38,7 +38,7 @@
     def __str__(self) -> str:
         where = f"{self.file}:{self.line}" if self.line else self.file
         word = "warning: " if self.severity is Severity.WARNING else ""
-        remedy = f"; right would be {self.remedy}" if self.remedy else ""
+        remedy = f"; expected {self.remedy}" if self.remedy else ""
         return f"{where}: {word}{self.key}: {self.reason}{remedy} [{self.code}]"
 
     def as_json(self) -> Document:
--- a/runloft/config/tool/explanation.py
+++ b/runloft/config/tool/explanation.py
@@ -83,7 +83,7 @@
         lines.append(ExplanationLine("note", "accepted and ignored: the program doesn't use it"))
     for constraint in _constraints_on(key):
         remedy = _replace_placeholders(constraint.remedy, key.record)
-        lines.append(ExplanationLine("constraint", f"{constraint.code}: right is {remedy}"))
+        lines.append(ExplanationLine("constraint", f"{constraint.code}: requires {remedy}"))
     return lines
 
 
