--- a/runloft/config/schema/layers.py
+++ b/runloft/config/schema/layers.py
@@ -68,7 +68,7 @@
             "layers-disagree",
             f"{layer.name} sets {quote_value(value)}, {origin.layer.name} sets {quote_value(existing)} "
             f"at {self._reader.location(origin.source_path)}",
-            "one value, in one of the two places",
+            "the same value in both places, or only one of them",
         )
 
 
