--- a/runloft/accounts/service_log.py
+++ b/runloft/accounts/service_log.py
@@ -1,9 +1,9 @@
 """A per-node log of responses, which attributes the time that a request waits to the volumes served.
 
-A node is modelled as serving one attempt after the other.  The time between two responses, as far as the
-node had attempts of this host, is attributed to the volume of the later one.  The resulting intervals,
-clipped to a wait, sum to the time in which the node was busy for this host during the wait.  The cost of a
-wait is proportional to the number of responses within it; no state is kept for each pair of volumes.
+A node is modelled as serving one attempt after the other.  The time between two responses during which the
+node had attempts of this host is attributed to the volume of the later one.  The resulting intervals, clipped
+to a wait, sum to the time in which the node was busy for this host during the wait.  The cost of a wait is
+proportional to the number of responses within it; no state is kept for each pair of volumes.
 
 An interval much longer than expected for its units means that the node stalled; the excess is attributed to
 no volume.
--- a/runloft/accounts/totals.py
+++ b/runloft/accounts/totals.py
@@ -47,7 +47,7 @@
     components: dict[LatencyComponent, int] = field(default_factory=dict)
     waited_for: TopAmounts = field(default_factory=TopAmounts)  # time by the volume whose work was waited for
     stalled_ns: int = 0  # time waited while a node was stalled
-    unattributed_ns: int = 0  # no work of this host at the node, no response, or node removed
+    unattributed_ns: int = 0  # time waited for a node with no attempt of this host or no response, or removed
 
     def add(self, latency: RequestLatency, served: bool, late: bool) -> None:
         """Add one request."""
--- a/runloft/core/attempts.py
+++ b/runloft/core/attempts.py
@@ -31,7 +31,7 @@
 from runloft.decisions.contract import AttemptOutcome
 from runloft.decisions.outcomes import NEVER_EXECUTED
 
-# Outcomes decided by this host: the node may not have received anything.
+# Outcomes decided by this host, which don't tell whether the node received the attempt.
 LOCAL_OUTCOMES = (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED)
 
 
--- a/runloft/core/endpoints.py
+++ b/runloft/core/endpoints.py
@@ -29,9 +29,9 @@
         self.nodes: dict[int, NodeUpdate] = {}
         self.node_ids: dict[str, int] = {}  # by node uid
         self.start_times = StartTimes()
-        self.wall_clock_is_unreliable = False  # set once it was seen to step
+        self.wall_clock_is_unreliable = False  # true once the wall clock was seen to step
         self._last_update_at = 0
-        self._node_by_shard: dict[int, int] = {}  # the last listed; only maintained for an observer
+        self._node_by_shard: dict[int, int] = {}  # last node listed; only maintained for an observer
         self._next_node_ids = count(1)
 
     def update(self, event: NodeListUpdate, now: int, *, track_shards: bool) -> contract.NodeList:
--- a/runloft/core/invariants.py
+++ b/runloft/core/invariants.py
@@ -75,7 +75,7 @@
     def check_close(self, unanswered: int, has_unread_input: bool, closed_locally: bool, **ids: Any) -> None:
         """Check that closing a client connection loses neither a request nor unread input.
 
-        ``closed_locally`` tells that the close was not caused by the client.
+        ``closed_locally`` is false if the client caused the close.
         """
         if closed_locally and unanswered:
             self.record(Violation.REQUEST_DROPPED, unanswered=unanswered, **ids)
--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -19,7 +19,7 @@
     buffered_bytes: int = 48 << 20  # total size of all request bodies
 
 
-SUSPENDED_RETRY_AFTER_NS = 1_000_000_000  # sent with requests shed because of a suspended volume
+SUSPENDED_RETRY_AFTER_NS = 1_000_000_000  # for requests shed because their plan or volume is suspended
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
     """The request was not served and can be retried safely.
 
     ``retry_after_ns`` is the delay before a retry, or 0 if none is given.  ``cause`` is the outcome of the
-    last attempt, TIMEOUT if the deadline of the request has expired, or None.
+    last attempt, TIMEOUT if the request was sent and its deadline is near or past, or None.
     """
 
     retry_after_ns: int = 0
@@ -109,7 +109,7 @@
 class Failed:
     """The request was not served but may have executed.
 
-    ``cause`` is the outcome of the last attempt, TIMEOUT if the deadline of the request has expired, or None.
+    ``cause`` is the outcome of the last attempt, TIMEOUT if the deadline is near or past, or None.
     """
 
     cause: AttemptOutcome | None = None
--- a/runloft/core/permissions.py
+++ b/runloft/core/permissions.py
@@ -193,7 +193,7 @@
     """Return why a client connection may not be closed, or None.
 
     A close caused by the client is always permitted.  ``incomplete_bytes`` is the number of bytes read of an
-    incomplete command; ``has_unread_input`` tells that a close would discard input in the socket.
+    incomplete command; ``has_unread_input`` is true if a close would discard input in the socket.
     """
     if reason in CAUSED_BY_CLIENT:
         return None
--- a/runloft/core/start_times.py
+++ b/runloft/core/start_times.py
@@ -35,7 +35,7 @@
         """Record the reported start of a node.
 
         ``changed_since`` is the time of the previous contact with discovery if the start is reported as a
-        change, or None if the node may have started at any time.  ``clock_is_unreliable`` tells that the wall
+        change, or None if the node may have started at any time.  ``clock_is_unreliable`` is true if the wall
         clock was seen to step.
         """
         previous = self._starts.get(uid)
--- a/runloft/decisions/dispatch.py
+++ b/runloft/decisions/dispatch.py
@@ -60,7 +60,7 @@
             self._send(request, node, is_probe, now)
 
     def _drop_expired(self, queue: list[TrackedRequest], node: Node, rate: float, now: int) -> None:
-        """Shed or fail requests that can't be served in time, so that their clients know early."""
+        """Shed or fail requests that can't be served in time or retried, so that their clients know early."""
         for request in list(queue):
             is_retry_denied = request.attempts and not self._retry_policy.may_retry(request, node, now)
             if is_retry_denied or self._admission.deadline_overrun_s(request, node, rate, now) > 0:
@@ -69,7 +69,10 @@
     def _highest_priority(
         self, queue: list[TrackedRequest], node: Node, rate: float, is_probe: bool, now: int
     ) -> TrackedRequest | None:
-        """Return the request to send next, by preference as a probe, priority and latency objective."""
+        """Return the request to send next, or None if none may be sent.
+
+        Requests are ranked by preference as a probe, then by priority, then by latency objective.
+        """
         best: TrackedRequest | None = None
         best_rank = (False, 0.0, 0)
         for request in queue:
--- a/runloft/decisions/node.py
+++ b/runloft/decisions/node.py
@@ -72,7 +72,7 @@
         self.last_sent_at = 0
         self.gone_since = 0  # when the node list first showed it as gone; 0 if it isn't gone
         self._latest_served_sent_at = 0  # when the latest successful attempt was sent
-        # Start of the current time without a success; None if no attempt was sent or in flight in it.
+        # Start of the current period without a success; None if no attempt was sent or in flight in it.
         self._silent_since: int | None = None
         self._unanswered_attempts = 0
 
@@ -172,7 +172,7 @@
             self._record_success(now, sent_at, units, result.latency_ns, was_quick)
         elif outcome is AttemptOutcome.TIMEOUT:
             if result.latency_ns < UNRESPONSIVE_OBJECTIVES * self.objective_ns:
-                self._unanswered_attempts -= 1  # a short client deadline is no sign of a silent node
+                self._unanswered_attempts -= 1  # a short client deadline doesn't imply silence
         elif outcome is AttemptOutcome.CONNECT_FAILED:
             self.slow_start.record_connect_failure(now)
 
--- a/runloft/decisions/retry_policy.py
+++ b/runloft/decisions/retry_policy.py
@@ -51,7 +51,10 @@
         return now + settings.tick_ns < window_end and self.recognises_key(request, node)
 
     def recognises_key(self, request: TrackedRequest, node: Node) -> bool:
-        """Return whether a node recognises a request's key, or needn't as executing it again is harmless."""
+        """Return whether a node recognises a request's key, or doesn't have to.
+
+        It doesn't have to if no attempt may have been executed or if executing the request again is harmless.
+        """
         if request.ambiguous_node is None or request.is_idempotent:
             return True
         first = self._state.nodes[request.ambiguous_node].entry
--- a/runloft/decisions/slow_start.py
+++ b/runloft/decisions/slow_start.py
@@ -10,7 +10,7 @@
 
 USED_CAPACITY_FRACTION = 0.8  # safety margin, since the node's true capacity isn't known
 LARGE_FLEET_RATE_MULTIPLE = 4  # cap on a scheduler's demand, in equal shares of the node's rate
-INFERRED_START_FRACTION = 0.5  # of the slow start, for which an inferred start applies
+INFERRED_START_FRACTION = 0.5  # fraction of the slow start during which an inferred start applies
 GOLDEN_RATIO_FRACTION = 0.6180339887  # spreads the schedulers' first requests evenly over time
 MIN_USED_UNITS = 1e-9  # smaller sums are rounding errors
 
@@ -32,7 +32,7 @@
         slow_start_ns = self._state.settings.slow_start_ns
         if listed and now < listed + slow_start_ns:
             return listed
-        # Overloaded nodes refuse connects too: an inferred start expires early, and a listed one precedes it.
+        # Overloaded nodes refuse connects too: an inferred start expires early and yields to a listed one.
         inferred = node.slow_start.unreachable_at
         if inferred and now < inferred + INFERRED_START_FRACTION * slow_start_ns:
             return inferred
@@ -50,7 +50,8 @@
             return True
         scheduler_started_at = self._state.started_at
         if now <= scheduler_started_at + window_ns and started_at < scheduler_started_at:
-            return False  # a restarted scheduler doesn't know what it sent in the window before
+            # A restarted scheduler doesn't know its past use, so its first window counts as used up.
+            return False
         budget = node.slow_start
         if budget.started_at != started_at:
             self._start_budget(budget, started_at, units, now)
@@ -83,8 +84,8 @@
         initial = settings.slow_start_initial_fraction
         elapsed_ns = max(0, now - started_at - window_ns)
         warm_fraction = initial + (1 - initial) * elapsed_ns / max(1, settings.slow_start_ns)
-        # The baseline rates of all schedulers add up to at most the node's warm rate.  A scheduler without a
-        # baseline uses its clients' demand.
+        # The baseline rates of all schedulers add up to at most the node's warm rate.  A scheduler with a
+        # lower baseline, or none, uses its clients' demand, limited by ``equal_rate``.
         observed_ns = max(window_ns, min(settings.slow_start_ns, now - self._state.started_at))
         demand = node.slow_start.demand.total(now) * NS_PER_SECOND / observed_ns
         schedulers = max(1, settings.scheduler_count)
@@ -99,6 +100,6 @@
             * window_ns
             / NS_PER_SECOND
         )
-        # One mean request less, since requests vary in size.
+        # Reduced by one mean request, since requests vary in size.
         configured_share = (settings.slow_start_units - settings.mean_units) / schedulers
         return max(configured_share, rate_share)
--- a/runloft/decisions/slow_start_budget.py
+++ b/runloft/decisions/slow_start_budget.py
@@ -4,7 +4,8 @@
 from runloft.decisions.sliding_sum import SlidingSum
 from runloft.decisions.units import NS_PER_SECOND
 
-QUICK_SUCCESS_CREDIT_FRACTION = 0.7  # of a request's units, if it was served without queueing
+# Fraction of a request's units that is credited back if it was served without queueing.
+QUICK_SUCCESS_CREDIT_FRACTION = 0.7
 # Connects that fail for this long, with nothing served, indicate a restart.
 MIN_DOWNTIME_NS = NS_PER_SECOND // 2
 
--- a/runloft/decisions/tracked_request.py
+++ b/runloft/decisions/tracked_request.py
@@ -3,7 +3,8 @@
 from runloft.decisions.events import Request
 from runloft.decisions.settings import ClassSettings, Idempotency, IdempotencyScope
 
-MAX_QUEUED_FRACTION = 0.45  # of the time left on arrival, after which a request that reached no node is shed
+# Fraction of the time left on arrival after which a request that reached no node is shed.
+MAX_QUEUED_FRACTION = 0.45
 
 
 class TrackedRequest:
--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -33,9 +33,7 @@
             sent += 1
         harness.receive(shard=20_000 + number)  # a shard without a node
         harness.step(node_list(number, NodeState.GONE))
-    assert (
-        sent == 3000 and len(core.nodes) < 3000
-    )  # nodes are forgotten about a minute after they are removed
+    assert sent == 3000 and len(core.nodes) < 3000  # removed nodes are forgotten after a minute
     harness.step(node_list(0, NodeState.GONE), after=70_000)  # a forgotten node is listed as gone again
     harness.step(node_list(0, NodeState.GONE), after=70_000)
     harness.step(after=5000)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -37,8 +37,8 @@
     host.wait(500)
     in_flight = host.receive_request(units=20)  # takes one second to serve
     arrived_at, queued = host.now, host.receive_request(units=10, time_left_ms=2600)
-    assert not host.sends(queued) and not host.final_responses(queued)  # the forecast is within its deadline
-    host.wait(1150)  # its queue deadline is later
+    assert not host.sends(queued) and not host.final_responses(queued)  # forecast within its queue deadline
+    host.wait(1150)  # ends before its queue deadline
     ((at, answer),) = host.final_responses(queued)
     assert at < arrived_at + 2600 * MS - 1400 * MS  # well before its deadline
     assert isinstance(answer, ShedRequest) and answer.retry_after_ns > 0 and in_flight in host.open
--- a/tests/decisions/test_congestion_price.py
+++ b/tests/decisions/test_congestion_price.py
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.OK, AttemptOutcome.TIMEOUT])
 def test_many_schedulers_keep_low_priority_requests_from_an_overloaded_node(outcome):
-    """213 schedulers with one request each filled every queue for seconds, for disconnected clients."""
+    """213 schedulers with one request each kept all queues full for seconds, for disconnected clients."""
     for hosts, is_sent in ((200, False), (4, True)):
         host = overloaded_host(hosts, outcome)
         low_priority = host.receive_request(request_class=1)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -1,4 +1,4 @@
-"""Many schedulers with simulated shared nodes: limits that are safe for one may overload them in total."""
+"""Many schedulers that share simulated nodes: limits that are safe for one may together overload a node."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 def test_replaced_node_takes_over_the_demand_of_its_shard_without_overload(hosts, load):
     """A new node number has no history of its own."""
     fleet = Fleet(hosts)
-    fleet.run(10, load)  # of the 30 units per second that the node serves when warm
+    fleet.run(10, load)  # the node serves 30 units per second when warm
     fleet.replace(0, 1)
     served_before = fleet.served
     fleet.run(12, load)
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -12,7 +12,7 @@
 
 def test_new_objects_avoid_an_ejected_node_until_its_ejection_ends():
     host = Host(settings(request_class(), max_attempts=1), nodes=(NODE, NodeEntry(11, 1)))
-    for _ in range(20):  # one in three succeeds on node 10, so that it is never silent
+    for _ in range(20):  # one attempt in three succeeds on node 10, so it is never silent
         for outcome in (AttemptOutcome.ERROR, AttemptOutcome.ERROR, AttemptOutcome.OK):
             host.finish_attempt(host.receive_request(shard=0), outcome, latency=1)
             host.wait(5)
