--- a/runloft/core/model.py
+++ b/runloft/core/model.py
@@ -98,7 +98,7 @@
     """The request was not served and can be retried safely.
 
     ``retry_after_ns`` is the delay before a retry, or 0 if none is given.  ``cause`` is the outcome of the
-    last attempt, TIMEOUT if the request was sent and its deadline is near or past, or None.
+    last attempt, TIMEOUT if an attempt was requested and the deadline is near or past, or None.
     """
 
     retry_after_ns: int = 0
--- a/runloft/core/requests.py
+++ b/runloft/core/requests.py
@@ -115,8 +115,8 @@
     def failure_cause(self, request_id: int) -> AttemptOutcome | None:
         """Return the outcome of the last attempt, or TIMEOUT if the deadline expires within two ticks.
 
-        TIMEOUT is returned only if an attempt was made.  Return None if the request is unknown or no attempt
-        has ended.
+        TIMEOUT is returned only if the scheduler requested an attempt, even one that was not permitted.
+        Return None if the request is unknown or no attempt has ended.
         """
         request = self.pending.get(request_id)
         if request is None:
--- a/runloft/decisions/node.py
+++ b/runloft/decisions/node.py
@@ -172,7 +172,7 @@
             self._record_success(now, sent_at, units, result.latency_ns, was_quick)
         elif outcome is AttemptOutcome.TIMEOUT:
             if result.latency_ns < UNRESPONSIVE_OBJECTIVES * self.objective_ns:
-                self._unanswered_attempts -= 1  # a short client deadline doesn't imply silence
+                self._unanswered_attempts -= 1  # a short deadline or timeout doesn't imply silence
         elif outcome is AttemptOutcome.CONNECT_FAILED:
             self.slow_start.record_connect_failure(now)
 
