--- a/runloft/agreement/ballot.py
+++ b/runloft/agreement/ballot.py
@@ -118,7 +118,7 @@
     def _may_be_excluded(self, lease: Lease, holds_no_older_reserves: bool) -> bool:
         """Return whether the next generation may be committed without this sidecar's answer.
 
-        ``holds_no_older_reserves``: it holds no reserves of a generation before the committed one.
+        ``holds_no_older_reserves``: the sidecar holds no reserves of a generation before the committed one.
         """
         earlier_leases_expired = self._committed_unchanged_ns >= self._fence_expiry_ns(lease)
         return self._is_unanswered(lease.name) and (holds_no_older_reserves or earlier_leases_expired)
--- a/runloft/agreement/content.py
+++ b/runloft/agreement/content.py
@@ -102,7 +102,7 @@
 
 
 def with_defaults(content: Content, defaults: Content) -> Content:
-    """Return a content with the entries of ``defaults`` that it lacks, or ``content`` itself if none."""
+    """Add the entries of ``defaults`` that a content lacks; return ``content`` itself if it lacks none."""
     result = merge_contents((defaults, content))
     return content if result == content else result
 
@@ -110,9 +110,9 @@
 def intermediate_content(old: Content, new: Content) -> Content:
     """Return a step between two contents, in which each plan has the smaller reserve of both.
 
-    While sidecars serve the step and either content at the same time, no volume counts for more than that
-    content reserves for it.  A volume that changes its plan gets the plan that reserves less.  Classes and
-    plans that only the old content has are kept; everything else is the new content's.
+    While some sidecars serve the step and others serve one of the two contents, no volume has a higher
+    reserve than in that content.  A volume that changes its plan gets the plan that reserves less.  Classes
+    and plans that only the old content has are kept; everything else is the new content's.
     """
     plans: dict[str, Row] = {}
     for name, row in new.plans.items():
--- a/runloft/agreement/replica.py
+++ b/runloft/agreement/replica.py
@@ -234,7 +234,7 @@
         return [*self._with_current_reserves(effects), acquired]
 
     def _with_current_reserves(self, effects: list[ReplicaEffect]) -> list[ReplicaEffect]:
-        """Return the effects with an ``ApplyConfig`` for the current reserves, added if there is none."""
+        """Set the current ``holds_reserves`` in each ``ApplyConfig``; append one if the effects have none."""
         is_applied_already = any(isinstance(effect, ApplyConfig) for effect in effects)
         if self.content is not None and not is_applied_already:
             return [*effects, ApplyConfig(self.content, self.version.generation, self.holds_reserves)]
--- a/runloft/agreement/rollout.py
+++ b/runloft/agreement/rollout.py
@@ -13,7 +13,7 @@
 ========== ============================================================= ========== =======================
 phase      event                                                         next       effects
 ========== ============================================================= ========== =======================
-PLANNING   view without an epoch                                         unchanged  OpenEpoch
+PLANNING   view without an epoch, or with too low a one                  unchanged  OpenEpoch
 PLANNING   the previous epoch isn't closed, or a generation is pending   unchanged
 PLANNING   plan made, the step is committed already                      next step  ReportProgress
 PLANNING   plan made                                                     STAGING    PutStage
@@ -53,7 +53,7 @@
 )
 
 TIMEOUT_LEASES = 4  # for all verdicts, and again for all sidecars to apply the generation
-FENCE_MARGIN_LEASES = 2  # added to the fence where that is the longer wait
+FENCE_MARGIN_LEASES = 2  # the timeout exceeds the fence by at least this
 
 Plan = Callable[[Content | None], Sequence[Content]]
 
--- a/runloft/agreement/rollout_driver.py
+++ b/runloft/agreement/rollout_driver.py
@@ -41,7 +41,7 @@
     reason: str  # why it stopped; empty: it is done
     seconds: float
     messages: tuple[str, ...]
-    excluded: tuple[str, ...]  # silent sidecars, left out of the verdicts
+    excluded: tuple[str, ...]  # silent sidecars whose verdicts were not required
     unconfirmed: tuple[str, ...]  # sidecars that had not applied the last generation at the timeout
 
 
--- a/runloft/discovery/watch.py
+++ b/runloft/discovery/watch.py
@@ -33,7 +33,8 @@
     max_backoff_s: float
 
 
-# The agent runs on this machine and answers at once; its changes take effect as soon as it is back.
+# The agent runs on this machine and answers at once.  After an outage, its changes have to be received soon,
+# as they take effect as soon as the agent is back.
 SUBSCRIBED_TIMINGS = WatchTimings(hedge_delay_s=0.4, call_timeout_ns=2_500_000_000, max_backoff_s=0.2)
 # An agent whose lists are polled serves one call after the other.
 POLLED_TIMINGS = WatchTimings(hedge_delay_s=2.0, call_timeout_ns=4_000_000_000, max_backoff_s=1.0)
--- a/runloft/listeners/accepting.py
+++ b/runloft/listeners/accepting.py
@@ -23,7 +23,7 @@
 PRESSURE_FRACTION = 1 / 3  # share of max_sockets above which idle connections are evicted
 CLIENT_FRACTION = 1 / 2  # share of max_sockets that clients may use
 RECENT_ACTIVITY_NS = 100_000_000  # no eviction within this time of connecting or of a response
-EVICTION_BATCH = 8  # connections evicted per scan of all clients
+EVICTION_BATCH = 8  # connections evicted at a time, since finding candidates scans all clients
 MAX_FAILED_ACCEPTS = 64  # failures of accept(2) in a row before a pause
 # Errors of accept(2) that concern the connection at the head of the queue, not the listener or the machine.
 CONNECTION_ERRORS = frozenset(
@@ -84,7 +84,7 @@
         return ()
 
     def is_under_connection_pressure(self) -> bool:
-        """Return whether idle connections are closed after a shorter timeout, as there are many clients."""
+        """Return whether there are so many clients that idle connections time out sooner."""
         return len(self.clients) > self.pressure_threshold // 2
 
     def evict_idle(self) -> None:
--- a/runloft/listeners/objects/limits.py
+++ b/runloft/listeners/objects/limits.py
@@ -2,7 +2,7 @@
 
 MAX_HEAD_BYTES = 16 << 10
 MAX_READ_AHEAD_BYTES = 64 << 10  # while a request is being served; further input waits in the socket
-BODY_MEMORY_DIVISOR = 8  # all bodies together take this fraction of the spare memory; others wait in sockets
+BODY_MEMORY_DIVISOR = 8  # spare memory divided by this: limit for all bodies; others wait in sockets
 
 HEAD_TIMEOUT_S = 2.6  # for a complete head, from connecting or from its first byte
 IDLE_TIMEOUT_S = 15.0  # between requests
--- a/runloft/listeners/resp/commands.py
+++ b/runloft/listeners/resp/commands.py
@@ -7,7 +7,9 @@
 from runloft.upstream.payloads import RespPayload
 
 MAX_SHARD = 65_535  # limit of the simulator's wire format
-NETWORK_DELAY_ALLOWANCE_NS = 25_000_000  # subtracted from a client's timeout: no message reports the delays
+NETWORK_DELAY_ALLOWANCE_NS = (
+    25_000_000  # subtracted from a client's timeout, as no message reports the delays
+)
 MIN_REMAINING_TIME_NS = 1_000_000
 HEX = re.compile(rb"[0-9a-fA-F]{16}")
 # Only digits: ``float`` and ``int`` would also accept signs, spaces, underscores, ``nan`` and ``inf``.
@@ -72,7 +74,10 @@
         return units
 
     def _timeout_ns(self, milliseconds: bytes, request_class: int) -> int:
-        """Return the client's timeout, at most twice its class's deadline: it may give up earlier."""
+        """Return the client's timeout, limited to twice its class's deadline.
+
+        A client that states a longer timeout may still give up earlier.
+        """
         return min(
             int(float(milliseconds) * 1_000_000), 2 * self._settings.classes[request_class].deadline_ns
         )
--- a/runloft/listeners/resp/lifetime.py
+++ b/runloft/listeners/resp/lifetime.py
@@ -51,7 +51,7 @@
     has_backlog: bool
 
     def is_under_connection_pressure(self) -> bool:
-        """Return whether idle connections are closed after a shorter timeout, as there are many clients."""
+        """Return whether there are so many clients that idle connections time out sooner."""
 
     def enforce_input_memory_limit(self) -> None:
         """Fail incomplete commands while input buffers exceed their memory limit."""
--- a/runloft/listeners/resp/limits.py
+++ b/runloft/listeners/resp/limits.py
@@ -6,8 +6,8 @@
 MAX_COMMAND_BYTES = 72 << 10
 MAX_ERRORS = 24  # in a row on one connection; the next error closes it
 
-INPUT_MEMORY_DIVISOR = 8  # spare memory over this: limit for the receive buffers of all clients
-OUTPUT_MEMORY_DIVISOR = 4  # spare memory over this: limit for the unwritten responses of all clients
+INPUT_MEMORY_DIVISOR = 8  # spare memory divided by this: limit for the receive buffers of all clients
+OUTPUT_MEMORY_DIVISOR = 4  # spare memory divided by this: limit for the unwritten responses of all clients
 
 # From a command's first byte to its last; for the first command, from connecting.
 COMMAND_TIMEOUT_NS = 2_600_000_000
--- a/runloft/listeners/resp/listener.py
+++ b/runloft/listeners/resp/listener.py
@@ -65,7 +65,7 @@
         self.paused_clients.discard(client)
 
     def enforce_input_memory_limit(self) -> None:
-        """Fail incomplete commands, the oldest activity first, while input buffers exceed their limit."""
+        """Fail incomplete commands, least recently active client first, while input exceeds its limit."""
         while self.input_memory.is_exceeded():
             candidates = [
                 client
--- a/runloft/net/resp2/parsing.py
+++ b/runloft/net/resp2/parsing.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SimpleValue:
-    """A simple string, an error or an integer, as its type byte tells."""
+    """A simple string, an error or an integer; ``type_byte`` distinguishes them."""
 
     type_byte: int
     text: bytes
--- a/runloft/upstream/connection.py
+++ b/runloft/upstream/connection.py
@@ -197,7 +197,7 @@
             self.close()
 
     async def _connect(self) -> bool:
-        """Connect; return False after a local error, when the attempt is left to be retried by the pool."""
+        """Connect; return False after a local error, for which the pool retries the attempt."""
         try:
             await connect(self.sock, parse_address(self.peer.endpoint))
         except OSError as error:
--- a/runloft/upstream/pool.py
+++ b/runloft/upstream/pool.py
@@ -18,11 +18,11 @@
 from runloft.upstream.connection import Peer, UpstreamConnection
 
 log = structlog.get_logger()
-# Of the nodes' idle timeout, so that the pool closes idle connections before they do.
+# Fraction of the nodes' idle timeout after which the pool closes an idle connection, before the node does.
 IDLE_TIMEOUT_FRACTION = 0.7
 MAX_REPLY_BYTES = 4 << 20
-MAX_REPLY_DIVISOR = 8  # of the spare memory: the size limit of one reply if below MAX_REPLY_BYTES
-REPLY_BUDGET_DIVISOR = 3  # of the spare memory: the shared budget for long replies that are partly received
+MAX_REPLY_DIVISOR = 8  # spare memory divided by this: limit for one reply, if below MAX_REPLY_BYTES
+REPLY_BUDGET_DIVISOR = 3  # spare memory divided by this: limit for all partly received long replies
 MIN_IDLE_BEFORE_REUSE_NS = 3_000_000  # extra bytes after a reply, such as a second copy, arrive by then
 RESERVED_DESCRIPTORS = 32  # for listeners, the watch, logs and signals: all but client and node connections
 POOL_FULL_RETRY_NS = 5_000_000
--- a/runloft/upstream/resp_connection.py
+++ b/runloft/upstream/resp_connection.py
@@ -59,7 +59,10 @@
             self.timer = pool.deadlines.add(pool.clock() + STALL_TIMEOUT_NS, on_timeout)
 
     async def _reserve_reply_memory(self, size: int) -> None:
-        """Wait for memory for a long reply; until then its remaining bytes stay in the socket's buffer."""
+        """Wait for memory for a long reply, so that many of them at once can't exhaust the memory.
+
+        Until then the remaining bytes of this reply stay in the socket's buffer.
+        """
         await self.pool.reply_memory.acquire(size)
         if self.closed:
             self.pool.reply_memory.release(size)
--- a/tests/agreement/test_rollout.py
+++ b/tests/agreement/test_rollout.py
@@ -58,9 +58,8 @@
     fleet.advance(ticks_until_rollout)
     for number, new_content in enumerate((CONTENTS[2], CONTENTS[3], CONTENTS[2])):
         started_at = fleet.now
-        rollout = roll_out(
-            fleet, new_content, token=f"t{number}"
-        )  # SimulatedFleet.check checks the rule at each tick
+        # SimulatedFleet.check verifies at each tick that at most two generations hold reserves.
+        rollout = roll_out(fleet, new_content, token=f"t{number}")
         assert rollout.phase is RolloutPhase.DONE and rollout.excluded <= {"s0"}
         assert {sidecar.served.plans["p1"]["Parts"] for sidecar in fleet.sidecars[1:]} == {
             new_content.plans["p1"]["Parts"]
@@ -93,7 +92,7 @@
     sidecar.run(fleet.store, fleet.now, fleet.rng)
     sidecar.link = "down"
     assert sidecar.holds_reserves
-    fleet.advance(5 * FENCE // TICK)  # SimulatedFleet.check checks the rule at each tick
+    fleet.advance(5 * FENCE // TICK)  # SimulatedFleet.check verifies the reserves at each tick
     assert operator.rollout.phase is RolloutPhase.DONE and len(operator.rollout.steps) == 2
 
 
--- a/tests/agreement/test_store.py
+++ b/tests/agreement/test_store.py
@@ -134,7 +134,7 @@
 
 
 def test_an_exchange_costs_the_same_for_any_number_of_sidecars():
-    """Commands and bytes, as counted by the store."""
+    """The cost is the number of commands and bytes, as counted by the store."""
 
     async def check(server, store, other):
         async def cost_of_exchange():
--- a/tests/net/test_connecting.py
+++ b/tests/net/test_connecting.py
@@ -12,7 +12,7 @@
 
 
 def test_waiter_on_a_closed_socket_does_not_take_the_wakeup_of_a_reused_descriptor():
-    """With one descriptor for two sockets in a loop iteration, the first waiter took the second's wake-up."""
+    """Two sockets had one descriptor in one loop iteration: the first's waiter took the second's wake-up."""
 
     async def run():
         full_listener, first_closed, results = socket.socket(), anyio.Event(), []
