--- a/runloft/agreement/effective.py
+++ b/runloft/agreement/effective.py
@@ -123,7 +123,7 @@
 
 
 def refusals(raw: Json, content: Content) -> list[str]:
-    """Return the reasons why this sidecar can't serve a content, none if it can.
+    """Return the reasons why this sidecar can't serve a content, an empty list if it can.
 
     The content must have every class, plan and volume of the sidecar's file, and the file with the content's
     values must pass the checks of an operator's file.
--- a/runloft/agreement/local_snapshot.py
+++ b/runloft/agreement/local_snapshot.py
@@ -78,7 +78,7 @@
             raise SnapshotError(self.path, error) from error
 
     def read(self) -> Snapshot | None:
-        """Return the snapshot, or None if there is none.
+        """Return the snapshot, or None if the file is missing or empty.
 
         Raise SnapshotReadError if the file can't be read, SnapshotError if it can't be trusted.
         """
--- a/runloft/agreement/planning.py
+++ b/runloft/agreement/planning.py
@@ -15,7 +15,7 @@
 
 
 def content_of_fleet(fleet: Fleet, files: Iterable[Json]) -> Content:
-    """Return the content of a fleet: the volumes are the fleet file's, all else is the sidecars' files'."""
+    """Return the content of a fleet: volumes from the fleet file, all else from the sidecars' files."""
     content = merge_contents(content_of_file(raw) for raw in files)
     volumes = {
         volume.name: {
--- a/runloft/listeners/accepting.py
+++ b/runloft/listeners/accepting.py
@@ -24,7 +24,7 @@
 CLIENT_FRACTION = 1 / 2  # share of max_sockets that clients may use
 RECENT_ACTIVITY_NS = 100_000_000  # no eviction within this time of connecting or of a response
 EVICTION_BATCH = 8  # connections evicted at a time, since finding candidates scans all clients
-MAX_FAILED_ACCEPTS = 64  # failures of accept(2) in a row before a pause
+MAX_FAILED_ACCEPTS = 64  # failures of accept(2) in one ``accept_waiting`` before a pause
 # Errors of accept(2) that concern the connection at the head of the queue, not the listener or the machine.
 CONNECTION_ERRORS = frozenset(
     (
--- a/runloft/listeners/objects/placement.py
+++ b/runloft/listeners/objects/placement.py
@@ -7,7 +7,10 @@
 
 
 class PlacementDirectory:
-    """Placements by operation; the caller owns the store. Methods raise StoreUnavailableError."""
+    """Finds and records the placements of operations' objects, in a store that the caller owns.
+
+    Methods raise StoreUnavailableError if the store fails.
+    """
 
     def __init__(self, store: PlacementStore) -> None:
         self.store = store
--- a/runloft/listeners/resp/commands.py
+++ b/runloft/listeners/resp/commands.py
@@ -7,9 +7,7 @@
 from runloft.upstream.payloads import RespPayload
 
 MAX_SHARD = 65_535  # limit of the simulator's wire format
-NETWORK_DELAY_ALLOWANCE_NS = (
-    25_000_000  # subtracted from a client's timeout, as no message reports the delays
-)
+NETWORK_DELAY_ALLOWANCE_NS = 25_000_000  # subtracted from client timeouts, as no message reports the delays
 MIN_REMAINING_TIME_NS = 1_000_000
 HEX = re.compile(rb"[0-9a-fA-F]{16}")
 # Only digits: ``float`` and ``int`` would also accept signs, spaces, underscores, ``nan`` and ``inf``.
--- a/runloft/net/socket_state.py
+++ b/runloft/net/socket_state.py
@@ -37,7 +37,7 @@
 
 
 def half_closed(socks: Iterable[socket.socket]) -> set[int]:
-    """Return the descriptors of sockets whose peer has shut down its sending side, even if data is unread."""
+    """Return the descriptors of sockets that failed or whose peer stopped sending, even with unread data."""
     poll = select.poll()
     for sock in socks:
         poll.register(sock, select.POLLRDHUP)
--- a/runloft/placement/store.py
+++ b/runloft/placement/store.py
@@ -64,7 +64,7 @@
         return f"runloft:upload:{volume}:{upload}:{key}"
 
     async def get(self, name: str) -> Placement | None:
-        """Return the placement of a key, None if it has none; raise StoreUnavailableError."""
+        """Return the placement of a key, None if it has none; raise StoreUnavailableError on failure."""
         with _unavailable_errors(name):
             value = await self._redis.get(name)
         if value is None:
@@ -79,13 +79,13 @@
             ) from error
 
     async def put(self, name: str, placement: Placement, upload: bool = False) -> None:
-        """Store a placement, with an expiry for an upload; raise StoreUnavailableError."""
+        """Store a placement, with an expiry for an upload; raise StoreUnavailableError on failure."""
         with _unavailable_errors(name):
             ttl_s = UPLOAD_TTL_S if upload else None
             await self._redis.set(name, f"{placement.shard} {placement.size}", ex=ttl_s)
 
     async def delete(self, name: str) -> None:
-        """Delete a placement; raise StoreUnavailableError."""
+        """Delete a placement; raise StoreUnavailableError on failure."""
         with _unavailable_errors(name):
             await self._redis.delete(name)
 
--- a/tests/listeners/test_resp_closing.py
+++ b/tests/listeners/test_resp_closing.py
@@ -43,7 +43,7 @@
 
 
 def test_a_reset_after_many_errors_leaves_no_connection_to_watch():
-    """The first response closed it before the pause for its errors; the poll then found a closed socket."""
+    """Writing a response closed it before the pause for its errors; the poll then found a closed socket."""
 
     async def scenario(harness):
         sock = harness.connect()
