--- a/tests/upstream/test_connect_failures.py
+++ b/tests/upstream/test_connect_failures.py
@@ -21,7 +21,7 @@
 
 
 def test_connect_timeout_reports_that_nothing_was_executed(monkeypatch):
-    """Some connects completed up to 1.5 s late: no byte of the request may be sent on such a connection."""
+    """If a connect completes after its timeout (up to 1.5 s late were seen), no byte may be sent on it."""
 
     async def scenario(harness):
         harness.receive_request()
