--- a/runloft/arguments.py
+++ b/runloft/arguments.py
@@ -48,20 +48,20 @@
 
 
 def _add_scenario_parser(actions: Subparsers) -> None:
-    run = actions.add_parser("run", help="run a scenario and print what each volume got")
+    run = actions.add_parser("run", help="run a scenario and print the results of each volume")
     run.add_argument("scenario", metavar="SCENARIO")
     run.add_argument("--seed", type=int, default=1, help="seed of the request arrivals (default 1)")
-    run.add_argument("--plot", metavar="FILE", help="write a plot of the service over time (PNG, SVG)")
+    run.add_argument("--plot", metavar="FILE", help="write a plot of the units served over time (PNG, SVG)")
     run.add_argument("--json", action="store_true", help="print as JSON")
 
 
 def _add_rollouts_parser(actions: Subparsers) -> None:
     rollouts = actions.add_parser(
-        "rollouts", help="measure roll-outs for several numbers of sidecars and reply losses"
+        "rollouts", help="measure rollouts for several numbers of sidecars and reply losses"
     )
     rollouts.add_argument("--sidecars", default="3,10,30", metavar="N,...")
     rollouts.add_argument(
-        "--lost", default="0,0.5", metavar="PART,...", help="lost fractions of the store's replies"
+        "--lost", default="0,0.5", metavar="PART,...", help="fractions of the store's replies that are lost"
     )
     rollouts.add_argument("--lease-ms", type=float, default=1000.0)
     rollouts.add_argument("--seed", type=int, default=1)
--- a/runloft/lab/discovery.py
+++ b/runloft/lab/discovery.py
@@ -111,7 +111,10 @@
         await self._send(stream, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     async def _stream_changes(self, stream: anyio.abc.SocketStream, revision: int) -> None:
-        """Send each change as a chunk, and an empty line as a heartbeat if there is none."""
+        """Send the list if the revision is outdated, then each change as a chunk.
+
+        A chunk with an empty line is sent as a heartbeat while there is none.
+        """
         instances = self.instances
         await self._send(stream, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         data = instances.encoded_list() if revision != instances.revision else b""
--- a/runloft/lab/fleet_rollout.py
+++ b/runloft/lab/fleet_rollout.py
@@ -17,7 +17,7 @@
 KEY_PREFIX = "runloft"
 NS_PER_MS = 1_000_000
 NS_PER_S = 1e9
-TIMEOUTS_PER_LEASE = 4  # the lease over the timeout of an exchange with the store
+TIMEOUTS_PER_LEASE = 4  # an exchange with the store times out after the lease divided by this
 POLLS_PER_LEASE = 10
 
 
--- a/runloft/lab/load.py
+++ b/runloft/lab/load.py
@@ -49,7 +49,7 @@
     class_name: str
     units_per_s: float
     units_per_request: float = 2.0
-    surge_factor: float = 1.0  # of the rate during the surge
+    surge_factor: float = 1.0  # multiple of the rate during the surge
     surge_at_s: float = 0.0
     surge_for_s: float = 0.0
     retries: int = 1
--- a/runloft/lab/program_log.py
+++ b/runloft/lab/program_log.py
@@ -1,4 +1,4 @@
-"""Patterns of the program's log lines that the laboratory waits for.  The first group is the address."""
+"""Patterns of the scheduler's log lines that the laboratory waits for; the first group is the address."""
 
 import re
 
--- a/runloft/lab/reporting.py
+++ b/runloft/lab/reporting.py
@@ -17,7 +17,7 @@
     """Yield a row for each arm and volume.
 
     "in time" is within the latency objective.  "kept" is the fraction of the reserve that was served in
-    time, of as much of it as was requested in each second.
+    time; in each second only the demand counts, up to the reserve.
     """
     for report in reports:
         for tally in report.tallies:
--- a/runloft/lab/scale/capacity.py
+++ b/runloft/lab/scale/capacity.py
@@ -1,7 +1,8 @@
 """``runloft lab capacity PAGE``: write or check the tables of docs/CAPACITY.md.
 
-Each cell states its source: m is measured, w is calculated, g is a guess.  A figure without a slope is shown
-as ``not measured``.
+Each cell states its source: m is measured, w is calculated, g is a guess, ``given`` is specified by the
+operators, ``limit`` is a limit of the program or its platform.  A figure without a slope is shown as
+``not measured``.
 """
 
 import argparse
--- a/runloft/lab/scale/capacity_page/rows.py
+++ b/runloft/lab/scale/capacity_page/rows.py
@@ -36,7 +36,7 @@
     rate_per_s: float = 1.0
     rate_is_assumed: bool = False
     without_clients: bool = False
-    # The quantity counts as not measured unless each figure has slopes along these dimensions.
+    # Without slopes along these dimensions the sum would be too low and counts as not measured.
     required_dimensions: tuple[str, ...] = ()
 
     @property
--- a/runloft/lab/scale/datapath/recording.py
+++ b/runloft/lab/scale/datapath/recording.py
@@ -131,7 +131,7 @@
             "anyio": version("anyio"),
         }
         notes = (
-            "events are sizes under another condition than the points', which their names tell",
+            "events are sizes measured under other conditions than the points; their names state which",
             f"scheduler and stand-ins ran on {len(os.sched_getaffinity(0))} core(s) together",
         )
         return replace(
--- a/runloft/lab/scale/datapath/sizing.py
+++ b/runloft/lab/scale/datapath/sizing.py
@@ -45,7 +45,7 @@
     """Raise SizeError for a size that can't be measured; call it before any process is started."""
     if sizes.nodes < 1 or sizes.clients < 0 or sizes.statements < 0:
         raise SizeError(
-            f"{sizes}: at least one node is needed, and no number of clients or statements below 0"
+            f"{sizes}: expected at least one node and no negative number of clients or statements"
         )
     _check_client_sockets(sizes, limits)
     _check_descriptors(sizes, limits)
--- a/runloft/lab/scale/events.py
+++ b/runloft/lab/scale/events.py
@@ -49,7 +49,7 @@
     rollout = await fleet.roll_out(ROLLOUT_TIMEOUT_S)
     report = rollout.report
     if not report.done:
-        notes.append(f"the roll-out stopped: {report.reason[:MAX_REASON_LENGTH]}")
+        notes.append(f"rollout stopped: {report.reason[:MAX_REASON_LENGTH]}")
     # A rollout that stopped may still take effect, but only within one lease.
     timeout_s = ARRIVAL_TIMEOUT_S if report.done else fleet.setup.lease_ms / MS_PER_S
     times = await fleet.generation_times(above)
@@ -59,7 +59,7 @@
             await anyio.sleep(POLL_INTERVAL_S)
             times = await fleet.generation_times(above)
     if len(times) < expected:
-        notes.append(f"{len(times)} of {expected} went by the change")
+        notes.append(f"{len(times)} of {expected} schedulers use the change")
     return arrival_figures(times, report.started_at, expected) | _tool_figures(rollout)
 
 
@@ -114,7 +114,7 @@
             await anyio.sleep(POLL_INTERVAL_S)
             times = await fleet.node_times()
     if len(times) < fleet.running_count:
-        notes.append(f"{len(times)} of {fleet.running_count} tables have the node")
+        notes.append(f"{len(times)} of {fleet.running_count} node tables have the new node")
     return arrival_figures(times, started_at, fleet.running_count)
 
 
@@ -204,7 +204,7 @@
         figures[ALL_COMMITTED] = time.monotonic() - reconnected_at
         if ALL_COMMITTED not in second:
             del figures[ALL_COMMITTED]
-        notes.append("the change came into force when it was rolled out again after the healing")
+        notes.append("the change took effect only when it was rolled out again after the reconnection")
     return figures
 
 
@@ -241,7 +241,7 @@
         connections = _scheduler_connections(traffic) if traffic else 0
         keys = traffic.keys if traffic else 0
         notes.append(
-            f"{connections} of {fleet.running_count} connections and {keys} of {records} records came back"
+            f"{connections} of {fleet.running_count} connections and {keys} of {records} records restored"
         )
         return {}
     figures = {ALL_COMMITTED: await fleet.wait_converged() - started_at}
--- a/runloft/lab/scale/fleet.py
+++ b/runloft/lab/scale/fleet.py
@@ -43,7 +43,7 @@
 from runloft.lab.scale.records import Sizes
 from runloft.lab.scale.scheduler_config import config_document, volume_rows
 
-TOOL_LISTENER = 2  # index of the store's listener that only the tool uses
+TOOL_LISTENER = 2  # index of the store's listener for the tool, whose traffic is counted separately
 POLL_INTERVAL_S = 0.1
 CONVERGENCE_TIMEOUT_S = 90.0  # a fleet that has not converged by then never will
 CUT_REGION = 1
--- a/runloft/lab/scale/rollout_tool.py
+++ b/runloft/lab/scale/rollout_tool.py
@@ -13,7 +13,7 @@
 
 KEY_PREFIX = "runloft"
 NS_PER_MS = 1_000_000
-TIMEOUTS_PER_LEASE = 4  # the timeout for the store's replies is this fraction of a lease
+TIMEOUTS_PER_LEASE = 4  # an exchange with the store times out after the lease divided by this
 MS_PER_S = 1000
 
 
@@ -54,6 +54,6 @@
             ended_at=time.monotonic(),
             cpu_s=time.process_time() - cpu_before_s,
             done=report.done if report else False,
-            reason=report.reason if report else f"not over in {command.timeout_s:g} s",
+            reason=report.reason if report else f"not finished within {command.timeout_s:g} s",
             left_out=len(report.excluded) if report else 0,
         )
--- a/runloft/lab/serving.py
+++ b/runloft/lab/serving.py
@@ -27,7 +27,7 @@
 
     delay_s: float = 0.0  # before each reply
     silent: bool = False  # connections stay open, but no replies are sent
-    reply_loss_probability: float = 0.0  # of a closed connection instead of a reply
+    reply_loss_probability: float = 0.0  # that the connection is closed instead of a reply being sent
     refusing: bool = False  # connections are closed as soon as they are accepted
     random: Random = field(default_factory=lambda: Random(1))
 
--- a/runloft/lab/sidecars.py
+++ b/runloft/lab/sidecars.py
@@ -1,4 +1,4 @@
-"""The sidecars of one arm: a process of the program for each application."""
+"""The sidecars of one arm: one scheduler process for each application."""
 
 import os
 import sys
--- a/runloft/lab/soak/clients.py
+++ b/runloft/lab/soak/clients.py
@@ -32,7 +32,7 @@
     "ledger-write": ClientClass(b"IO.OUT", 1.5),
 }
 WRITE_VERB = b"IO.OUT"
-ANSWER_GRACE_S = 0.5  # an answer up to this long after the deadline is worthless, but no violation
+ANSWER_GRACE_S = 0.5  # an answer up to this long after the deadline is no violation, although useless
 READ_TIMEOUT_MARGIN_S = 1.5  # beyond the latest expected answer; no answer arrives after it
 MEAN_THINK_TIME_S = 0.12  # between the requests of one client
 # A pipeline must fit into a receive window: the send time of bytes that are still buffered is unknown.
@@ -44,7 +44,7 @@
 MAX_EARLY_DISCONNECT_S = 0.3
 MIN_SLOW_READ_S = 0.2
 MAX_SLOW_READ_S = 1.0
-RESET_PROBABILITY = 0.5  # of a client that disconnects early
+RESET_PROBABILITY = 0.5  # that a client that disconnects early resets its connection
 HALF_COMMAND_BYTES = (5, 60)  # fewest and most bytes of an incomplete command
 HALF_COMMAND_WAIT_S = 3.2
 HALF_COMMAND_TIMEOUT_S = 3.0  # for an error or a close after an incomplete command
--- a/runloft/lab/soak/node_oracles.py
+++ b/runloft/lab/soak/node_oracles.py
@@ -1,4 +1,4 @@
-"""Oracles for nodes: a draining node gets no requests, a warming node not too many."""
+"""Oracles for nodes: a draining node gets no requests, one in slow start no more than allowed."""
 
 import math
 from collections import defaultdict
@@ -79,7 +79,7 @@
 
 def _max_requests(since_start_s: float) -> float:
     """Return the most requests allowed in the overload window that ends this long after the node's start."""
-    # Nodes of the laboratory are never slower than the settings state for the whole fleet.
+    # The settings state one slow start for the whole fleet; no node of the laboratory is slower.
     warming_s = max(0.0, since_start_s - OVERLOAD_WINDOW_S)
     warm_fraction = SLOW_START_INITIAL_FRACTION + (1 - SLOW_START_INITIAL_FRACTION) * warming_s / SLOW_START_S
     units = max(SLOW_START_UNITS, OVERLOAD_MULTIPLE * warm_fraction * NODE_UNITS_PER_S * OVERLOAD_WINDOW_S)
--- a/runloft/lab/soak/options.py
+++ b/runloft/lab/soak/options.py
@@ -29,7 +29,11 @@
         "--troubles", default="", metavar="KIND,...", help="only these kinds of faults (default all)"
     )
     soak.add_argument("--schedule", metavar="FILE", help="run this schedule instead of seeds")
-    soak.add_argument("--shrink", action="store_true", help="remove faults while a same rule is still broken")
+    soak.add_argument(
+        "--shrink",
+        action="store_true",
+        help="drop each fault without which one of the same rules is still broken",
+    )
     soak.add_argument(
         "--keep", metavar="DIR", help="keep logs, schedule and request traces of seeds with violations"
     )
--- a/runloft/lab/soak/process_oracles.py
+++ b/runloft/lab/soak/process_oracles.py
@@ -9,7 +9,8 @@
 from runloft.lab.soak.violations import Rule, Violation
 
 LOGGED_ERROR = re.compile(r"Traceback|invariant violated|\[error +\]")
-EXPECTED_ERROR = re.compile(r"reload failed, the old configuration stands")  # logged if a file cannot be read
+# Logged if the configuration file can't be read.
+EXPECTED_ERROR = re.compile(r"reload failed, the old configuration stays in use")
 MAX_LINE_LENGTH = 160
 
 
--- a/runloft/service/metrics.py
+++ b/runloft/service/metrics.py
@@ -1,7 +1,7 @@
 """The scheduler's metrics, collected on each scrape.
 
-A scrape runs in a thread other than the event loop's. It needs no lock: the event loop replaces the objects
-that a scrape reads as a whole, and a scrape copies tables that change with a single atomic operation.
+A scrape runs in a thread other than the event loop's. It needs no lock: the event loop replaces some objects
+as a whole, and a scrape copies the tables that are modified in place with a single atomic operation.
 """
 
 from collections.abc import Iterator
--- a/runloft/service/reload.py
+++ b/runloft/service/reload.py
@@ -50,7 +50,7 @@
         self.watch = watch
         self.post = post
         self.components = components
-        self.apply_agreement = apply_agreement  # replaces the file's values by those agreed on
+        self.apply_agreement = apply_agreement  # replaces the file's values with those agreed on
         self.timers = timers  # for retries of failed reads; None: no retries
         self.clock = clock
         self._retry_timer: TimerHandle | None = None
@@ -78,10 +78,12 @@
             self._retry_later(retries)
             return
         except ConfigError as error:
-            log.error("reload failed, the old configuration stands", codes=error.codes, faults=error.faults)
+            log.error(
+                "reload failed, the old configuration stays in use", codes=error.codes, faults=error.faults
+            )
             return
         except Exception:  # an unexpected error must not end a running scheduler
-            log.exception("reload failed, the old configuration stands")
+            log.exception("reload failed, the old configuration stays in use")
             return
         self.apply(self.apply_agreement(config))
         log.info("reloaded", discovery="{}:{}".format(*self.config.discovery), rev=self.watch.rev)
--- a/runloft/service/server.py
+++ b/runloft/service/server.py
@@ -107,7 +107,7 @@
 
 
 def object_endpoint(settings: ObjectSettings, node: NodeUpdate) -> str:
-    """Return the address of a node's object server: its entry's, else the node's host and `server_port`."""
+    """Return a node's object server address: that of its entry, or else its host with `server_port`."""
     host = node.endpoint.rpartition(":")[0]
     return node.object_endpoint or f"{host}:{settings.server_port}"
 
@@ -178,7 +178,7 @@
             "resp",
             RespConnection,
             node_endpoint,
-            # The other half of the descriptors is for clients.
+            # Clients may use half of the descriptors; the pools share the rest.
             descriptors_divisor=4 if config.objects else 2,
         )
         listener = RespListener(self.tasks, self.runner.post, self.runner.timers, self.runner.clock, config)
@@ -214,7 +214,7 @@
         *,
         descriptors_divisor: int,
     ) -> None:
-        """Add the connection pool of one protocol, limited to 1/``descriptors_divisor`` of the sockets."""
+        """Add a protocol's connection pool; it gets 1/``descriptors_divisor`` of the unreserved sockets."""
         runner = self.runner
         runner.pools[protocol] = ConnectionPool(
             self.tasks,
--- a/runloft/service/shutdown.py
+++ b/runloft/service/shutdown.py
@@ -29,7 +29,7 @@
 
     serve_until: int  # until then, connected clients are served normally
     answer_until: int  # until then, idle connections are closed and open requests continue
-    exit_at: int  # all requests are answered; clients that are still connected are not waited for
+    exit_at: int  # by then all requests are answered; clients that are still connected are not waited for
 
     @classmethod
     def starting_at(cls, now: int, settings: Settings) -> "ShutdownSchedule":
--- a/tests/service/test_cli.py
+++ b/tests/service/test_cli.py
@@ -152,7 +152,7 @@
 
 
 def test_serve_loads_no_module_of_the_tools():
-    """28 schedulers that restarted at once were away for 0.5 s, a fifth of it for importing the tools."""
+    """28 schedulers that restarted at once were unavailable for 0.5 s, a fifth of it to import the tools."""
     code = "import sys; from runloft.cli import main; main(['serve', '--config', '/no']); print(*sys.modules)"
     run = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
     loaded = run.stdout.split()
--- a/tests/service/test_graceful_shutdown.py
+++ b/tests/service/test_graceful_shutdown.py
@@ -29,7 +29,7 @@
 
 
 class OneClientListener:
-    """A listener with one client, which sends requests at an interval until it is closed between two."""
+    """A listener with one client, which sends requests at an interval until its idle connection is closed."""
 
     def __init__(self, scene, interval, deadline):
         self.scene = scene
--- a/tests/support/agreement.py
+++ b/tests/support/agreement.py
@@ -337,7 +337,7 @@
             self.differing_since.pop(pair, None)
             return
         since = self.differing_since.setdefault(pair, self.now)
-        assert self.now - since <= LEASE + 2 * TICK, f"two generations for {self.now - since}"
+        assert self.now - since <= LEASE + 2 * TICK, f"different values served for {self.now - since}"
 
     def check_generations(self, alive, leased):
         """Check that reserves are held by at most two generations.
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -94,7 +94,8 @@
         self.serial = count()
         # Events by time and serial number: the outcome of an attempt, or None for its arrival at the node.
         self.events: list[tuple[int, int, Attempt, AttemptOutcome | None]] = []
-        self.connect_batch_ns = 0  # attempts reach their nodes in batches at multiples of this; 0: at once
+        # Connections are established at multiples of this, so attempts arrive in batches; 0: at once.
+        self.connect_batch_ns = 0
         self.zones = 1  # a host's or node's zone is its number modulo this
         self.cut_zone = -1  # the zone that is partitioned from the others; -1: none
         self.last_used: dict[tuple[int, int], int] = {}  # (host, node): time of the last response
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for runloft's peers, each in a thread, from the public specifications; and runloft's process."""
+"""Stand-ins for runloft's peers, written from public specifications, each in a thread; runloft's process."""
 
 import contextlib
 import json
