--- a/runloft/lab/scale/capacity_page/event_tables.py
+++ b/runloft/lab/scale/capacity_page/event_tables.py
@@ -16,14 +16,14 @@
 
 EVENTS_HEAD = (
     "event",
-    "how often",
-    "all in force after",
+    "frequency",
+    "all schedulers converged after",
     "goal",
-    "used, worst",
-    "carried by",
-    "breaks first beyond",
+    "used, worst case",
+    "mechanism",
+    "what fails first",
 )
-EVENT_HEAD = ("figure", "median (least to most)", "plays", "at", "budget", "used, worst")
+EVENT_HEAD = ("figure", "median (least to most)", "plays", "at", "budget", "used, worst case")
 
 
 def events_table(figures: EventFigures) -> str:
--- a/runloft/lab/scale/capacity_page/load_cases.py
+++ b/runloft/lab/scale/capacity_page/load_cases.py
@@ -30,8 +30,8 @@
 )
 LOAD_CASES: Mapping[str, Sizes] = {
     "the ordinary day": DAY,
-    "a zone away": AFTER_ZONE_LOSS,
-    "a region away": AFTER_REGION_LOSS,
+    "after the loss of a zone": AFTER_ZONE_LOSS,
+    "after the loss of a region": AFTER_REGION_LOSS,
 }
 
 ASSUMED_DIMENSIONS = ("volumes",)  # the operators specify none: one volume per storage node
--- a/runloft/lab/scale/capacity_page/measured_tables.py
+++ b/runloft/lab/scale/capacity_page/measured_tables.py
@@ -17,9 +17,9 @@
 MEASURED_TABLES: Mapping[str, MeasuredTable] = {
     "path-together": MeasuredTable(
         {
-            "clients-ask-in-turn": "in turn",
-            "clients-ask-by-lot": "by lot",
-            "clients-ask-in-turn-uncrowded": "in turn, 60,000 sockets",
+            "clients-ask-in-turn": "round robin",
+            "clients-ask-by-lot": "random",
+            "clients-ask-in-turn-uncrowded": "round robin, 60,000 sockets",
         },
         ("clients", "statements"),
         {
@@ -35,9 +35,9 @@
         },
     ),
     "path-rest": MeasuredTable(
-        {"clients-rest": "as set", "clients-rest-uncrowded": "60,000 sockets"},
+        {"clients-rest": "configured limit", "clients-rest-uncrowded": "60,000 sockets"},
         ("clients",),
-        {"memory before": "scheduler.before.resident_mb", "memory at most": "scheduler.resident_mb"}
+        {"memory before": "scheduler.before.resident_mb", "peak memory": "scheduler.resident_mb"}
         | {
             f"open after {after_s} s": f"scheduler.after_{after_s}_s.clients_open_count"
             for after_s in OPEN_COUNT_TIMES_S
@@ -48,8 +48,8 @@
         (),
         {
             "until it serves": "scheduler.start_s",
-            "processor until then": "scheduler.start_cpu_s",
-            "processor in the next 2 s": "scheduler.first_2_s.cpu_s",
+            "processor time until then": "scheduler.start_cpu_s",
+            "processor time in the next 2 s": "scheduler.first_2_s.cpu_s",
             "memory then": "scheduler.resident_mb",
         },
     ),
--- a/runloft/lab/scale/capacity_page/over_budget.py
+++ b/runloft/lab/scale/capacity_page/over_budget.py
@@ -89,10 +89,10 @@
 
 def over_budget_table(rows: RowFigures, events: EventFigures) -> str:
     """Return the table of violations, followed by the number of rows and events without a measurement."""
-    lines = over_budget(rows, events) or [OverBudget("nothing of what was measured", "", "", "")]
+    lines = over_budget(rows, events) or [OverBudget("none of the measured quantities", "", "", "")]
     text = markdown_table(("when", "what", "used", "budget"), lines)
     unmeasured = sum(rows.estimate(checked.row, checked.sizes) is None for checked in checked_rows())
     unmeasured += sum(not events.plays(name) for name in EVENTS)
     if unmeasured:
-        text += f"\nNot measured, so not judged: {unmeasured} figures and events.\n"
+        text += f"\nNot measured and therefore not checked: {unmeasured} rows and events.\n"
     return text
--- a/runloft/lab/scale/capacity_page/reference_tables.py
+++ b/runloft/lab/scale/capacity_page/reference_tables.py
@@ -17,7 +17,7 @@
 from runloft.lab.scale.capacity_page.state import STATE, StateItem
 from runloft.lab.scale.records import Result, dimensions
 
-LOAD_CASE_HEADS = ("ordinary day", "a zone away", "a region away")
+LOAD_CASE_HEADS = ("ordinary day", "after the loss of a zone", "after the loss of a region")
 SIZES_AND_SPECIFIED_DIMENSIONS = (
     (DAY, SPECIFIED_FOR_DAY),
     (AFTER_ZONE_LOSS, SPECIFIED_AFTER_ZONE_LOSS),
@@ -36,7 +36,7 @@
     if result is None:
         return file, MISSING, "", "", "", ""
     versions = ", ".join(f"{name} {version}" for name, version in sorted(result.versions.items()))
-    slopes = f"{len(result.slopes)} slopes" if result.slopes else "slopes are fitted here"
+    slopes = f"{len(result.slopes)} slopes" if result.slopes else "slopes fitted for this page"
     content = f"{len(result.points)} points, {slopes}, {len(result.events)} events"
     missing = "; ".join(result.missing) or "nothing"
     return file, f"`{result.command}`", str(result.seed), versions, content, missing
--- a/runloft/lab/scale/capacity_page/role_rows.py
+++ b/runloft/lab/scale/capacity_page/role_rows.py
@@ -6,7 +6,7 @@
 from runloft.lab.scale.capacity_page.load_cases import DAY
 from runloft.lab.scale.capacity_page.rows import SCRAPE_INTERVAL_S, Role, Row
 
-LATE_ITERATIONS = "turns of the data path come late"
+LATE_ITERATIONS = "event-loop iterations are late"
 MACHINE = "the machine"
 AGREEMENT = "scheduler.agreement."
 DISCOVERY_ROWS = (
@@ -17,7 +17,7 @@
         document=Document.FULL,
         budget=BudgetName.THREAD,
         mechanism=mechanisms.WATCH,
-        breaks_beyond="changes come late",
+        breaks_beyond="changes arrive late",
     ),
     Row(
         role=Role.DISCOVERY,
@@ -44,7 +44,7 @@
         document=Document.FULL,
         budget=BudgetName.MACHINE_NETWORK,
         mechanism=mechanisms.WATCH,
-        breaks_beyond="its restart: whole lists at once",
+        breaks_beyond="a restart of discovery: full lists to all watches at once",
     ),
 )
 STORE_ROWS = (
@@ -102,7 +102,7 @@
         document=Document.DATA_PATH,
         budget=None,
         mechanism=mechanisms.CONNECTION_POOL,
-        breaks_beyond="what clients ask for",
+        breaks_beyond="client load",
     ),
     Row(
         role=Role.NODES,
@@ -111,7 +111,7 @@
         document=Document.DATA_PATH,
         budget=None,
         mechanism=mechanisms.CONNECTION_POOL,
-        breaks_beyond="what clients ask for",
+        breaks_beyond="client load",
     ),
 )
 CLIENTS_ROWS = (
@@ -140,7 +140,7 @@
         document=Document.DATA_PATH,
         budget=None,
         mechanism=mechanisms.EVENT_LOOP,
-        breaks_beyond="late turns",
+        breaks_beyond="late event-loop iterations",
     ),
 )
 TOOL_ROWS = (
@@ -173,7 +173,7 @@
     ),
     Row(
         role=Role.TOOL,
-        title="the fleet come together",
+        title="time until the fleet has converged",
         figures=("fleet.together_s",),
         document=Document.FULL,
         budget=None,
@@ -189,7 +189,7 @@
         document=Document.DATA_PATH,
         budget=BudgetName.MACHINE_NETWORK,
         mechanism=mechanisms.SCRAPE,
-        breaks_beyond="scrapes less often",
+        breaks_beyond="a longer scrape interval",
         rate_per_s=DAY.schedulers / SCRAPE_INTERVAL_S,
         rate_is_assumed=True,
     ),
--- a/runloft/lab/scale/capacity_page/row_figures.py
+++ b/runloft/lab/scale/capacity_page/row_figures.py
@@ -98,7 +98,7 @@
             return row.breaks_beyond
         size = largest.size + (budget.amount - estimate.total) / largest.slope
         if size < largest.size:
-            return f"beyond it already: {row.breaks_beyond}"
+            return f"already exceeded: {row.breaks_beyond}"
         size_text = formatting.size_text(largest.dimension, float(int(size + INTEGER_TOLERANCE)))
         return f"at {size_text} {source_of(row, estimate)}: {row.breaks_beyond}"
 
@@ -138,9 +138,9 @@
     growing = [term for term in estimate.terms if abs(term.amount) >= threshold]
     text = ", ".join(f"in {formatting.dimension_title(term.dimension)}" for term in growing) or "constant"
     if row.is_per_scheduler and any(term.dimension == "schedulers" for term in growing):
-        text += " (quadratic over all)"
+        text += " (quadratic for the whole fleet)"
     if estimate.is_convex:
         text += CONVEX_SUFFIX
     if estimate.residual > threshold:
-        text += f", points lie {formatting.number(estimate.residual)} off the line"
+        text += f", points deviate from the line by {formatting.number(estimate.residual)}"
     return text
--- a/runloft/lab/scale/capacity_page/row_tables.py
+++ b/runloft/lab/scale/capacity_page/row_tables.py
@@ -23,14 +23,14 @@
 ROW_HEAD = (
     "what",
     "slope x size",
-    "comes to",
-    "measured there",
-    "measured up to",
+    "total",
+    "measured at this size",
+    "largest measured size",
     "grows",
     "budget",
     "used",
-    "carried by",
-    "breaks first beyond",
+    "mechanism",
+    "what fails first",
 )
 RESERVED_MACHINE_COUNT = 5
 ROLES_ON_RESERVED_MACHINES = (Role.DISCOVERY, Role.STORE)
@@ -94,7 +94,7 @@
         row = largest.row
         share = f"{row.title}: {percentage(largest.share)} {source_of(row, largest.estimate)}"
         lines.append((role, share, figures.breaks_beyond(row, largest.estimate, DAY)))
-    return markdown_table(("role", "the largest share of a budget", "what breaks first beyond"), lines)
+    return markdown_table(("role", "the largest share of a budget", "first failure beyond the budget"), lines)
 
 
 def _largest_share(rows: Sequence[Row], figures: RowFigures) -> BudgetShare | None:
@@ -117,7 +117,7 @@
             (f"{role}.in_bytes_per_s", f"{role}.out_bytes_per_s"),
         )
         lines.append((role, *(_quantity_text(role, names, figures) for names in quantities)))
-    lines.append(("machines set aside", f"{RESERVED_MACHINE_COUNT} {Source.SPECIFIED}", "", ""))
+    lines.append(("reserved machines", f"{RESERVED_MACHINE_COUNT} {Source.SPECIFIED}", "", ""))
     return markdown_table(("role", "processor", "memory", "bytes in and out"), lines)
 
 
--- a/runloft/lab/scale/capacity_page/scheduler_rows.py
+++ b/runloft/lab/scale/capacity_page/scheduler_rows.py
@@ -5,13 +5,13 @@
 from runloft.lab.scale.capacity_page.documents import Document
 from runloft.lab.scale.capacity_page.rows import SCRAPE_INTERVAL_S, Role, Row
 
-LATE_ITERATIONS = "turns of the data path come late"
+LATE_ITERATIONS = "event-loop iterations are late"
 MACHINE = "the machine"
 AGREEMENT = "scheduler.agreement."
 PATH_ROWS = (
     Row(
         role=Role.PATH,
-        title="processor, clients at work",
+        title="processor, active clients",
         figures=("work.scheduler.cpu",),
         document=Document.DATA_PATH,
         budget=BudgetName.THREAD,
@@ -20,7 +20,7 @@
     ),
     Row(
         role=Role.PATH,
-        title="processor, by its parts",
+        title="processor, sum of the fitted terms",
         figures=("scheduler.cpu",),
         document=Document.DATA_PATH,
         budget=BudgetName.THREAD,
@@ -30,21 +30,21 @@
     ),
     Row(
         role=Role.PATH,
-        title="memory, clients at rest",
+        title="memory, idle clients",
         figures=("rest.scheduler.resident_mb",),
         document=Document.DATA_PATH,
         budget=BudgetName.MEMORY,
         mechanism=mechanisms.LISTENER,
-        breaks_beyond="the machine's limit: idle clients' memory is not counted",
+        breaks_beyond="the machine's memory: that of idle clients is not included in the limit",
     ),
     Row(
         role=Role.PATH,
-        title="memory, clients at work",
+        title="memory, active clients",
         figures=("work.scheduler.resident_mb",),
         document=Document.DATA_PATH,
         budget=BudgetName.MEMORY,
         mechanism=mechanisms.LISTENER,
-        breaks_beyond="the machine's limit: idle clients' memory is not counted",
+        breaks_beyond="the machine's memory: that of idle clients is not included in the limit",
     ),
     Row(
         role=Role.PATH,
@@ -53,7 +53,7 @@
         document=Document.DATA_PATH,
         budget=BudgetName.DESCRIPTORS,
         mechanism=mechanisms.LISTENER,
-        breaks_beyond="idle clients go, then calls wait in the kernel",
+        breaks_beyond="idle clients are evicted, then connections wait in the listen backlog",
     ),
     Row(
         role=Role.PATH,
@@ -62,7 +62,7 @@
         document=Document.DATA_PATH,
         budget=BudgetName.CLIENTS,
         mechanism=mechanisms.LISTENER,
-        breaks_beyond="clients are closed and connect again",
+        breaks_beyond="closed clients reconnect",
     ),
     Row(
         role=Role.PATH,
@@ -71,7 +71,7 @@
         document=Document.DATA_PATH,
         budget=None,
         mechanism=mechanisms.IDLE_TIMEOUT,
-        breaks_beyond="each connects again",
+        breaks_beyond="closed clients reconnect",
     ),
     Row(
         role=Role.PATH,
@@ -89,7 +89,7 @@
         document=Document.DATA_PATH,
         budget=None,
         mechanism=mechanisms.CONNECTION_POOL,
-        breaks_beyond="an attempt waits for one, 5 ms at a time",
+        breaks_beyond="attempts poll for a free connection every 5 ms",
     ),
     Row(
         role=Role.PATH,
@@ -118,7 +118,7 @@
         document=Document.FULL,
         budget=BudgetName.CONTROL_BYTES,
         mechanism=mechanisms.WATCH,
-        breaks_beyond="each change goes to each scheduler",
+        breaks_beyond="every change is sent to every scheduler",
     ),
     Row(
         role=Role.CONTROL,
@@ -166,7 +166,7 @@
         ),
         document=Document.FULL,
         budget=BudgetName.CONTROL_BYTES,
-        mechanism="the three above",
+        mechanism="discovery/watch.py, agreement/client.py, agreement/store.py: watch and leases",
         breaks_beyond="the budget",
     ),
     Row(
@@ -175,7 +175,7 @@
         figures=("scheduler.control.cpu",),
         document=Document.FULL,
         budget=BudgetName.CONTROL_CPU,
-        mechanism="the same",
+        mechanism="discovery/watch.py, agreement/client.py, agreement/store.py: watch and leases",
         breaks_beyond=LATE_ITERATIONS,
     ),
     Row(
@@ -189,7 +189,7 @@
     ),
     Row(
         role=Role.CONTROL,
-        title="the program without clients, memory",
+        title="memory without clients",
         figures=("scheduler.resident_mb",),
         document=Document.DATA_PATH,
         budget=BudgetName.CONTROL_MEMORY,
@@ -199,7 +199,7 @@
     ),
     Row(
         role=Role.CONTROL,
-        title="metrics, bytes a scrape",
+        title="metrics, bytes per scrape",
         figures=("scheduler.metrics.scrape_bytes",),
         document=Document.DATA_PATH,
         budget=None,
@@ -208,7 +208,7 @@
     ),
     Row(
         role=Role.CONTROL,
-        title="metrics, processor a scrape",
+        title="metrics, processor per scrape",
         figures=("scheduler.metrics.scrape_cpu_s",),
         document=Document.DATA_PATH,
         budget=None,
--- a/runloft/lab/scale/capacity_page/settings_needed.py
+++ b/runloft/lab/scale/capacity_page/settings_needed.py
@@ -53,25 +53,25 @@
 def _socket_requirements(sizes: Sizes) -> tuple[Requirement, ...]:
     return (
         Requirement(
-            "limits.sockets: clients are kept at all",
+            "limits.sockets: minimum for these clients",
             ceil(sizes.clients / CLIENT_FRACTION),
             f"{LISTENER_FILES}: at most {CLIENT_FRACTION:.3g} of them are clients",
         ),
         Requirement(
-            "limits.sockets: none is closed to make room",
+            "limits.sockets: no client is evicted",
             ceil(sizes.clients / PRESSURE_FRACTION),
-            f"{LISTENER_FILES}: from {PRESSURE_FRACTION:.3g} of them on the least useful are closed",
+            f"{LISTENER_FILES}: above {PRESSURE_FRACTION:.3g} of them idle connections are evicted",
         ),
         Requirement(
-            f"limits.sockets: all may rest {IDLE_TIMEOUT_S:g} s",
+            f"limits.sockets: full idle timeout of {IDLE_TIMEOUT_S:g} s for all clients",
             ceil(2 * sizes.clients / PRESSURE_FRACTION),
-            f"{LISTENER_FILES}: beyond {PRESSURE_FRACTION / 2:.3g} of them "
-            f"a rest ends after {PRESSURE_IDLE_TIMEOUT_S:g} s",
+            f"{LISTENER_FILES}: above {PRESSURE_FRACTION / 2:.3g} of them "
+            f"the idle timeout is {PRESSURE_IDLE_TIMEOUT_S:g} s",
         ),
         Requirement(
             "limits.sockets: one connection to each node",
             2 * sizes.nodes + RESERVED_DESCRIPTORS,
-            f"{POOL_LIMIT_FILE}: half of them less {RESERVED_DESCRIPTORS / 2:g} go to nodes",
+            f"{POOL_LIMIT_FILE}: half of them, less {RESERVED_DESCRIPTORS / 2:g}, are for node connections",
         ),
     )
 
@@ -79,21 +79,21 @@
 def _idle_requirements(sizes: Sizes) -> tuple[Requirement, ...]:
     mean_idle_s = sizes.clients / sizes.statements
     return (
-        Requirement("a client's mean rest between two statements, s", mean_idle_s, "clients / statements"),
+        Requirement("a client's mean idle time between statements, s", mean_idle_s, "clients / statements"),
         Requirement(
-            f"idle clients closed a second, {IDLE_TIMEOUT_S:g} s each",
+            f"clients closed per second by the idle timeout of {IDLE_TIMEOUT_S:g} s",
             sizes.statements * exp(-IDLE_TIMEOUT_S / mean_idle_s),
-            "where statements come as a Poisson process",
+            "if statements arrive as a Poisson process",
             Source.ASSUMED,
         ),
         Requirement(
-            f"idle clients closed a second, {PRESSURE_IDLE_TIMEOUT_S:g} s each",
+            f"clients closed per second by the idle timeout of {PRESSURE_IDLE_TIMEOUT_S:g} s",
             sizes.statements * exp(-PRESSURE_IDLE_TIMEOUT_S / mean_idle_s),
-            "the same, beyond a sixth of limits.sockets",
+            "as above, with more clients than a sixth of limits.sockets",
             Source.ASSUMED,
         ),
         Requirement(
-            "a node connection's mean rest, s",
+            "a node connection's mean idle time, s",
             sizes.nodes / sizes.statements,
             f"nodes / statements; idle ones are closed after {IDLE_TIMEOUT_FRACTION:g} of ConnIdle",
         ),
@@ -104,8 +104,8 @@
     return Requirement(
         "limits.memory_mb: the program and its clients",
         BASE_MEMORY_WITH_TOOLS_MB + sizes.clients * CLIENT_MEMORY_KB / KB_PER_MB,
-        f"{MACHINE_CHECKS_FILE}: {CLIENT_MEMORY_KB:g} KiB a client, "
-        f"{BASE_MEMORY_WITH_TOOLS_MB:g} MB without any",
+        f"{MACHINE_CHECKS_FILE}: {CLIENT_MEMORY_KB:g} KiB per client, "
+        f"{BASE_MEMORY_WITH_TOOLS_MB:g} MB without clients",
         budget=BudgetName.MEMORY,
     )
 
@@ -113,13 +113,14 @@
 def _lease_requirements() -> tuple[Requirement, ...]:
     return (
         Requirement(
-            "agreement.lease_ms: at most, with the fence that follows",
+            "agreement.lease_ms: maximum with the default fence",
             MAX_CHANGE_MS / LEASES_PER_CHANGE,
-            f"{AGREEMENT_CHECKS_FILE}: {MAX_CHANGE_MS / MS_PER_S:g} s for a change while one is silent",
+            f"{AGREEMENT_CHECKS_FILE}: {MAX_CHANGE_MS / MS_PER_S:g} s for a change "
+            "while one scheduler doesn't renew its lease",
         ),
         Requirement(
-            f"a change with a lease of {DEFAULT_LEASE_S:g} s, one silent, s",
+            f"duration of a change with a lease of {DEFAULT_LEASE_S:g} s and one unreachable scheduler, s",
             DEFAULT_LEASE_S * LEASES_PER_CHANGE,
-            "its fence and a sixteenth, a lease to the moment, a look",
+            "the fence plus a sixteenth, a lease until the change takes effect, and one poll",
         ),
     )
--- a/runloft/lab/scale/capacity_page/sources.py
+++ b/runloft/lab/scale/capacity_page/sources.py
@@ -16,6 +16,6 @@
 MISSING = "not measured"
 EXCEEDED = "OVER"
 TOO_LOW = "SHORT"
-NOT_REACHED = "NOT reached"
-CONVEX_SUFFIX = ", faster than its line"
+NOT_REACHED = "not all schedulers reached"
+CONVEX_SUFFIX = ", faster than linear"
 NO_BUDGET = "none"
--- a/runloft/lab/scale/capacity_page/state.py
+++ b/runloft/lab/scale/capacity_page/state.py
@@ -71,7 +71,7 @@
     ),
     StateItem(
         role="scheduler, accounts",
-        title="volumes by name at most",
+        title="volumes accounted by name, at most",
         count=MAX_VOLUMES,
         dimension=None,
         mechanism=mechanisms.VOLUME_LEDGER,
@@ -127,14 +127,14 @@
     ),
     StateItem(
         role="roll-out tool",
-        title="leases in a view",
+        title="leases in one fleet view",
         count=1,
         dimension="schedulers",
         mechanism=mechanisms.ROLLOUT,
         growth="in schedulers",
     ),
     StateItem(
-        role="whoever scrapes",
+        role="metrics scraper",
         title="targets",
         count=1,
         dimension="schedulers",
--- a/tests/lab/scale/capacity_page/test_estimates.py
+++ b/tests/lab/scale/capacity_page/test_estimates.py
@@ -14,11 +14,11 @@
     assert cells[2:4] == ["0.0147 cores w", "no"]
     assert cells[4:8] == [
         "450 schedulers, 400 nodes m",
-        "in schedulers, in nodes (quadratic over all)",
+        "in schedulers, in nodes (quadratic for the whole fleet)",
         "0.015 cores given",
         "98% w",
     ]
-    assert cells[9] == "at 850 nodes w: turns of the data path come late"
+    assert cells[9] == "at 850 nodes w: event-loop iterations are late"
 
 
 def test_measured_value_is_shown_beside_the_estimate():
@@ -38,7 +38,7 @@
         make_line("clients", "scheduler.cpu", 1e-5, 0.0, (0, 8000)),
         make_line("statements", "scheduler.cpu", 5e-4, 0.1, (100, 600)),
     )
-    cells = row_cells(Page({"datapath": path}).tables(), "day-path", "processor, by its parts")
+    cells = row_cells(Page({"datapath": path}).tables(), "day-path", "processor, sum of the fitted terms")
     assert cells[1].endswith("+ 0.1 w") and cells[2] == "0.5042 cores w"
 
 
@@ -56,7 +56,7 @@
     cells = row_cells(
         Page({"full": replace(full, slopes=scattered)}).tables(), "day-control", "watch, bytes in"
     )
-    assert cells[5].endswith("points lie 60 off the line")
+    assert cells[5].endswith("points deviate from the line by 60")
 
 
 def test_convex_growth_is_reported():
@@ -66,7 +66,7 @@
         for p in full.points
     ]
     tables = Page({"full": replace(full, points=tuple(convex_points))}).tables()
-    assert "faster than its line" in row_cells(tables, "day-control", "watch, bytes in")[5]
+    assert "faster than linear" in row_cells(tables, "day-control", "watch, bytes in")[5]
 
 
 def test_figure_without_a_slope_is_reported_as_not_measured():
--- a/tests/lab/scale/capacity_page/test_over_budget.py
+++ b/tests/lab/scale/capacity_page/test_over_budget.py
@@ -12,7 +12,7 @@
 def test_exceeded_budget_is_listed(figure):
     always = Page({}).over_budget()  # independent of the documents
     assert [entry[:2] for entry in always] == [
-        ("a region away", "limits.memory_mb: the program and its clients")
+        ("after the loss of a region", "limits.memory_mb: the program and its clients")
     ] and Page({"full": FULL}).over_budget() == always
     if figure == CPU:
         slopes = tuple(replace(s, slope=2e-5) if s.vary == "schedulers" else s for s in FULL.slopes)
--- a/tests/lab/scale/capacity_page/test_protocol_comparison.py
+++ b/tests/lab/scale/capacity_page/test_protocol_comparison.py
@@ -19,6 +19,6 @@
         "0.1 w",
     ]
     assert row_cells(tables, "before", "a change of configuration")[1:3] == [
-        "NOT reached in 1 of 1 plays m at 450 schedulers",
+        "not all schedulers reached in 1 of 1 plays m at 450 schedulers",
         "3 s m at 450 schedulers",
     ]
