--- a/runloft/agreement/codec.py
+++ b/runloft/agreement/codec.py
@@ -7,7 +7,7 @@
 
 import json
 
-from runloft.agreement.content import Json, content_from_json
+from runloft.agreement.content import Json, content_from_json, found_format
 from runloft.agreement.errors import RecordError
 from runloft.agreement.records import CommittedGeneration, Lease, Stage, Verdict
 
@@ -163,8 +163,5 @@
     except (ValueError, RecursionError) as error:
         raise RecordError(f"invalid JSON: {error}") from error
     if not isinstance(raw, dict) or raw.get("format") != expected_format:
-        raise RecordError(
-            f"expected a record of format {expected_format}, "
-            f"got {raw.get('format') if isinstance(raw, dict) else raw!r:.80}"
-        )
+        raise RecordError(f"expected a record of format {expected_format}, got {found_format(raw)}")
     return raw
--- a/runloft/agreement/content.py
+++ b/runloft/agreement/content.py
@@ -49,10 +49,7 @@
 def content_from_json(raw: Any) -> Content:
     """Return the content of a value from ``as_json``; raise ContentError for any other value."""
     if not isinstance(raw, dict) or raw.get("format") != FORMAT:
-        raise ContentError(
-            f"expected content of format {FORMAT}, "
-            f"got {raw.get('format') if isinstance(raw, dict) else raw!r:.80}"
-        )
+        raise ContentError(f"expected content of format {FORMAT}, got {found_format(raw)}")
     return Content(
         classes=_rows(raw, "classes"),
         plans=_rows(raw, "plans"),
@@ -61,6 +58,11 @@
     )
 
 
+def found_format(raw: Any) -> str:
+    """Return the format of a decoded JSON document, or a value that is no object, as messages show it."""
+    return f"{raw.get('format') if isinstance(raw, dict) else raw!r:.80}"
+
+
 def _rows(raw: Json, table: str) -> Mapping[str, Row]:
     rows = raw.get(table)
     if not isinstance(rows, dict) or not all(isinstance(row, dict) for row in rows.values()):
--- a/runloft/agreement/local_snapshot.py
+++ b/runloft/agreement/local_snapshot.py
@@ -110,11 +110,8 @@
         if not records:
             return None
         matching = [record for record in records if record.name == self.name]
-        if not matching:
-            raise RecordError(
-                f"expected a snapshot of sidecar {self.name!r}, got one of {records[-1].name!r}"
-            )
-        return self._snapshot(max(matching, key=lambda record: record.committed.rank))
+        newest = max(matching, key=lambda record: record.committed.rank, default=records[-1])
+        return self._snapshot(newest)
 
     def _snapshot(self, record: SnapshotRecord) -> Snapshot:
         if record.name != self.name:
--- a/runloft/config/commands.py
+++ b/runloft/config/commands.py
@@ -18,7 +18,7 @@
         help="application to write the file of; with --fleet, one of the fleet's",
     )
     write.add_argument("--fleet", metavar="FLEET", help="fleet file to generate the files from")
-    write.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
+    _add_nodes_option(write)
     write.add_argument(
         "--all", action="store_true", help="write the files of all applications into --output-dir"
     )
@@ -31,7 +31,7 @@
         "file", metavar="FILE", nargs="*", help="operator's file; several files are also compared"
     )
     check.add_argument("--fleet", metavar="FLEET", help="fleet file that the files belong to")
-    check.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
+    _add_nodes_option(check)
     check.add_argument("--strict", action="store_true", help="treat warnings as faults")
     check.add_argument("--json", action="store_true", help="print faults as JSON")
     explain = actions.add_parser("explain", help="show the type, unit, bounds and default of a key")
@@ -41,10 +41,14 @@
     diff = actions.add_parser("diff", help="show the effect of a change on each volume")
     diff.add_argument("old", metavar="OLD")
     diff.add_argument("new", metavar="NEW")
-    diff.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
+    _add_nodes_option(diff)
     diff.add_argument("--json", action="store_true", help="print changes as JSON")
 
 
+def _add_nodes_option(parser: argparse.ArgumentParser) -> None:
+    parser.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
+
+
 def add_rollout_parsers(actions: Any) -> None:
     """Add the options of the actions that use the store, which ``runloft.agreement.commands`` runs."""
     roll = actions.add_parser("roll", help="commit a configuration on all sidecars")
@@ -52,7 +56,7 @@
     out = directions.add_parser("out", help="roll out a directory of operators' files")
     out.add_argument("directory", metavar="DIR")
     out.add_argument("--fleet", metavar="FLEET", help="default: fleet.toml in DIR")
-    out.add_argument("--nodes", metavar="FILE", help="node list in discovery's format")
+    _add_nodes_option(out)
     back = directions.add_parser("back", help="roll back to the previous generation")
     back.add_argument("--fleet", metavar="FLEET", required=True)
     status = actions.add_parser("status", help="show which generation each sidecar applies, and since when")
--- a/runloft/lab/scale/capacity_page/mechanisms.py
+++ b/runloft/lab/scale/capacity_page/mechanisms.py
@@ -2,6 +2,7 @@
 
 WATCH = "discovery/watch.py: watch, a long-lived stream of changes, resumed by index"
 HEARTBEAT = "agreement/client.py, agreement/store.py: leases with fencing, renewed by heartbeats"
+WATCH_AND_LEASES = "discovery/watch.py, agreement/client.py, agreement/store.py: watch and leases"
 EVENT_LOOP = "service/runner.py, core/reducer.py: event loop on one thread"
 LISTENER_FILES = "listeners/accepting.py, listeners/resp/connection.py"
 LISTENER = f"{LISTENER_FILES}: one task per connection"
--- a/runloft/lab/scale/capacity_page/page.py
+++ b/runloft/lab/scale/capacity_page/page.py
@@ -69,9 +69,10 @@
     Raise CapacityError if the markers don't match the tables.
     """
     names = [match["name"] for match in TABLE_PATTERN.finditer(text)]
-    if len(names) != text.count(TABLE_START_MARKER):
+    marker_count = text.count(TABLE_START_MARKER)
+    if len(names) != marker_count:
         raise CapacityError(
-            f"{len(names)} of {text.count(TABLE_START_MARKER)} table markers are complete; "
+            f"{len(names)} of {marker_count} table markers are complete; "
             "each needs a valid name and an end marker"
         )
     for name in names:
--- a/runloft/lab/scale/capacity_page/role_rows.py
+++ b/runloft/lab/scale/capacity_page/role_rows.py
@@ -6,9 +6,7 @@
 from runloft.lab.scale.capacity_page.load_cases import DAY
 from runloft.lab.scale.capacity_page.rows import SCRAPE_INTERVAL_S, Role, Row
 
-LATE_ITERATIONS = "event-loop iterations are late"
 MACHINE = "the machine"
-AGREEMENT = "scheduler.agreement."
 DISCOVERY_ROWS = (
     Row(
         role=Role.DISCOVERY,
--- a/runloft/lab/scale/capacity_page/scheduler_rows.py
+++ b/runloft/lab/scale/capacity_page/scheduler_rows.py
@@ -6,7 +6,6 @@
 from runloft.lab.scale.capacity_page.rows import SCRAPE_INTERVAL_S, Role, Row
 
 LATE_ITERATIONS = "event-loop iterations are late"
-MACHINE = "the machine"
 AGREEMENT = "scheduler.agreement."
 PATH_ROWS = (
     Row(
@@ -166,7 +165,7 @@
         ),
         document=Document.FULL,
         budget=BudgetName.CONTROL_BYTES,
-        mechanism="discovery/watch.py, agreement/client.py, agreement/store.py: watch and leases",
+        mechanism=mechanisms.WATCH_AND_LEASES,
         breaks_beyond="the budget",
     ),
     Row(
@@ -175,7 +174,7 @@
         figures=("scheduler.control.cpu",),
         document=Document.FULL,
         budget=BudgetName.CONTROL_CPU,
-        mechanism="discovery/watch.py, agreement/client.py, agreement/store.py: watch and leases",
+        mechanism=mechanisms.WATCH_AND_LEASES,
         breaks_beyond=LATE_ITERATIONS,
     ),
     Row(
--- a/tests/service/test_transient_failures.py
+++ b/tests/service/test_transient_failures.py
@@ -29,18 +29,23 @@
         pass
 
 
-def fail_reads(monkeypatch, times, number=errno.EIO):
-    """Make the next ``times`` reads of a configuration file fail."""
+def fail_calls(monkeypatch, module, name, times, number):
+    """Make the next ``times`` calls of a module's function fail."""
     failures_left = [times]
-    real = loading.read_file
+    real = getattr(module, name)
 
-    def read(path):
+    def call(argument):
         if failures_left[0]:
             failures_left[0] -= 1
             raise OSError(number, "temporary")
-        return real(path)
+        return real(argument)
+
+    monkeypatch.setattr(module, name, call)
+
 
-    monkeypatch.setattr(loading, "read_file", read)
+def fail_reads(monkeypatch, times, number=errno.EIO):
+    """Make the next ``times`` reads of a configuration file fail."""
+    fail_calls(monkeypatch, loading, "read_file", times, number)
 
 
 def write_config(tmp_path, **changes):
@@ -132,15 +137,7 @@
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_start_retries_exhausted_descriptors_but_not_forbidden_addresses(monkeypatch, number):
     async def scenario():
-        real, failures_left = listening.open_listener, [2]
-
-        def fail_twice(address):
-            if failures_left[0]:
-                failures_left[0] -= 1
-                raise OSError(number, "temporary")
-            return real(address)
-
-        monkeypatch.setattr(listening, "open_listener", fail_twice)
+        fail_calls(monkeypatch, listening, "open_listener", 2, number)
 
         async def pause(_):
             pass
